--- a/crates/fireflywheel/benches/plan.rs
+++ b/crates/fireflywheel/benches/plan.rs
@@ -11,8 +11,8 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::config::{Engine, Model};
-use fireflywheel::fleet::demand::{Board, Demand, Running, Want};
-use fireflywheel::fleet::plan::{self, Site, View};
+use fireflywheel::fleet::demand::{Aggregator, Demand, Pending, Running};
+use fireflywheel::fleet::plan::{self, EngineState, View};
 use smol_str::{SmolStr, format_smolstr};
 
 /// Engines and models.
@@ -30,43 +30,43 @@
     format_smolstr!("m{model}")
 }
 
-fn engine(models: usize) -> Engine {
+fn config(models: usize) -> Engine {
     let model = Model {
         memory_mb: 34_300.0,
-        fetch: Duration::from_secs(6),
-        from_disk: Duration::from_secs(1),
-        from_host: Duration::from_millis(780),
+        store_load_time: Duration::from_secs(6),
+        disk_load_time: Duration::from_secs(1),
+        host_load_time: Duration::from_millis(780),
         adapter_mb: 40.0,
     };
     Engine {
         slots: 128,
         memory_mb: 83_000.0,
-        adapter_places: 8,
+        adapter_slots: 8,
         loads_per_second: 4.9,
         models: (0..models).map(|place| (name(place), model)).collect(),
     }
 }
 
 /// Two models in memory, one of them in use, and copies of others on disk.
-fn site(place: usize, models: usize) -> Site {
-    let mut site = Site {
+fn engine(place: usize, models: usize) -> EngineState {
+    let mut engine = EngineState {
         usable: true,
-        ..Site::default()
+        ..EngineState::default()
     };
     for held in [place % models, (place * 7 + 1) % models] {
-        site.held.models.insert(name(held), BTreeSet::new());
+        engine.held.models.insert(name(held), BTreeSet::new());
     }
     let copies = (0..COPIES).map(|copy| name((place * COPIES + copy) % models));
-    site.held.on_disk.extend(copies);
-    site.running.insert((name(place % models), None), 5);
-    site
+    engine.held.on_disk.extend(copies);
+    engine.running.insert((name(place % models), None), 5);
+    engine
 }
 
 /// As many models are waited for as there are engines, at most all.
-fn wants(sites: usize, models: usize) -> Vec<Want> {
-    let wanted = (0..sites.min(models)).rev();
+fn wants(engines: usize, models: usize) -> Vec<Pending> {
+    let wanted = (0..engines.min(models)).rev();
     wanted
-        .map(|model| Want {
+        .map(|model| Pending {
             model: name(model),
             adapter: None,
             waiting: 2,
@@ -79,21 +79,21 @@
 fn plans(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan");
     for (count, models) in SIZES {
-        let engine = engine(models);
-        let sites: Vec<Site> = (0..count).map(|place| site(place, models)).collect();
+        let config = config(models);
+        let engines: Vec<EngineState> = (0..count).map(|place| engine(place, models)).collect();
         let wants = wants(count, models);
         let rates: BTreeMap<SmolStr, f64> = (0..models)
             .map(|model| (name(model), 10.0 / (model + 1) as f64))
             .collect();
         let view = View {
             now: NOW,
-            engine: &engine,
-            sites: &sites,
-            wants: &wants,
-            rates: &rates,
-            drains: &BTreeMap::new(),
-            fetches: plan::pace::Pace::default().at_once(),
-            pace: plan::pace::Pace::default(),
+            config: &config,
+            engines: &engines,
+            pending: &wants,
+            arrival_rates: &rates,
+            drain_rates: &BTreeMap::new(),
+            max_fetches: plan::concurrency::Estimate::default().limit(),
+            concurrency: plan::concurrency::Estimate::default(),
         };
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| plan::steps(black_box(&view)));
@@ -103,32 +103,32 @@
 }
 
 /// Demands of instances that each have requests at a few engines.
-fn board(instances: usize, engines: usize) -> Board {
-    let mut board = Board::default();
+fn demands(instances: usize, engines: usize) -> Aggregator {
+    let mut demands = Aggregator::default();
     for instance in 0..instances {
         let running = (0..IN_USE).map(|place| Running {
             server: format_smolstr!("e{}", (instance * IN_USE + place) % engines),
             model: name(place),
             adapter: None,
             count: 1,
-            unread: 600,
+            prefill_tokens: 600,
         });
         let demand = Demand {
             running: running.collect(),
             ..Demand::default()
         };
-        board.take(NOW, format_smolstr!("i{instance}"), demand);
+        demands.update(NOW, format_smolstr!("i{instance}"), demand);
     }
-    board
+    demands
 }
 
 fn counts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("running");
     for (instances, engines) in FLEETS {
-        let board = board(instances, engines);
+        let demands = demands(instances, engines);
         let size = format!("{instances}x{engines}");
         group.bench_function(BenchmarkId::from_parameter(size), |bencher| {
-            bencher.iter(|| black_box(&board).running());
+            bencher.iter(|| black_box(&demands).running());
         });
     }
     group.finish();
--- a/crates/fireflywheel/src/fleet/silence.rs
+++ b/crates/fireflywheel/src/fleet/adaptive_timeout.rs
@@ -16,13 +16,13 @@
 
 /// Times until responses begin, of requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usual {
+pub struct Estimator {
     seen: u32,
     mean: f64,
     deviation: f64,
 }
 
-impl Usual {
+impl Estimator {
     /// A response began after `took`.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
@@ -39,7 +39,7 @@
 
     /// After so long without a response it will not come; none while too little is known.
     #[must_use]
-    pub fn limit(&self) -> Option<Duration> {
+    pub fn timeout(&self) -> Option<Duration> {
         if self.seen < LEAST_SEEN {
             return None;
         }
--- a/crates/fireflywheel/src/fleet/backoff.rs
+++ b/crates/fireflywheel/src/fleet/backoff.rs
@@ -41,7 +41,7 @@
     /// A call had no usable answer. `draw` is from 0 up to 1. Pauses are counted from the beginning of a call: after one
     /// that got no answer at all its limit has passed already, and a configuration that was accepted meanwhile would be
     /// in force too late.
-    pub fn failed(&mut self, now: clock::Instant, most: Duration, draw: f64) {
+    pub fn record_failure(&mut self, now: clock::Instant, most: Duration, draw: f64) {
         self.failures = self.failures.saturating_add(1);
         if self.failures == 1 {
             self.until = now.after(self.pause(most, draw));
@@ -67,7 +67,7 @@
     }
 
     /// A call was answered; whether calls had failed before.
-    pub fn succeeded(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         std::mem::take(&mut self.failures) > 0
     }
 
--- a/crates/fireflywheel/src/fleet/config.rs
+++ b/crates/fireflywheel/src/fleet/config.rs
@@ -39,7 +39,8 @@
     /// Within this a response is on time; for a stream its first event.
     pub objective: Duration,
     /// The longest pause between events of a stream that is still on time.
-    pub pause: Option<Duration>,
+    #[serde(rename = "pause")]
+    pub max_event_gap: Option<Duration>,
     /// 0 is the most urgent.
     pub rank: u8,
     /// Groups that serve it, by weight.
@@ -47,7 +48,8 @@
     /// The most backend servers that one request may be sent to.
     pub attempts: u32,
     /// Its requests need no organisation.
-    pub open: bool,
+    #[serde(rename = "open")]
+    pub allow_anonymous: bool,
 }
 
 /// A group that serves a share of a route.
@@ -75,7 +77,7 @@
 impl Kind {
     /// Whether a second run does no harm while nothing of the answer was handed on.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
@@ -103,7 +105,8 @@
     /// Memory for weights and adapters of one server.
     pub memory_mb: f64,
     /// Adapters that one server may hold.
-    pub adapter_places: usize,
+    #[serde(rename = "adapter_places")]
+    pub adapter_slots: usize,
     /// Loads from the weight store a second, over all servers.
     pub loads_per_second: f64,
     /// Models by name.
@@ -116,11 +119,14 @@
     /// Memory of its weights.
     pub memory_mb: f64,
     /// How long a load takes from the weight store, alone.
-    pub fetch: Duration,
+    #[serde(rename = "fetch")]
+    pub store_load_time: Duration,
     /// How long it takes from the server's own disk.
-    pub from_disk: Duration,
+    #[serde(rename = "from_disk")]
+    pub disk_load_time: Duration,
     /// How long it takes from the server's host memory.
-    pub from_host: Duration,
+    #[serde(rename = "from_host")]
+    pub host_load_time: Duration,
     /// Memory of one of its adapters.
     pub adapter_mb: f64,
 }
--- a/crates/fireflywheel/src/fleet/demand.rs
+++ b/crates/fireflywheel/src/fleet/demand.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 use super::era::Era;
-use super::{limit, quota, rate, work};
+use super::{limit, load, quota, rate};
 use crate::clock;
 
 /// Rates forget half of what they saw after this. Demand moves within seconds, and a rare model is asked for
@@ -21,7 +21,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Demand {
     /// Where requests wait.
-    pub lanes: Vec<Lane>,
+    #[serde(rename = "lanes")]
+    pub queues: Vec<Queue>,
     /// Requests in progress by engine and model.
     pub running: Vec<Running>,
     /// Requests that came since the last demand, by group and model.
@@ -29,15 +30,15 @@
     /// Requests that engines have run and that ended since the last demand, by group and model.
     #[serde(default)]
     pub finished: Vec<Count>,
-    /// The instance's clock when it said this, in milliseconds; comes back with the steward's next beat.
+    /// The instance's clock when it said this, in milliseconds; comes back with the steward's next heartbeat.
     pub stamp_ms: u64,
     /// The instance is being stopped, and can't become steward.
     pub leaving: bool,
     /// Engines that didn't hold what the steward had said that they hold.
     pub denied: Vec<SmolStr>,
     /// Models of which the instance wants to be told.
-    #[serde(default)]
-    pub asks: Vec<SmolStr>,
+    #[serde(default, rename = "asks")]
+    pub subscriptions: Vec<SmolStr>,
     /// What organisations with a quota asked for since the last demand.
     #[serde(default)]
     pub usage: Vec<quota::Usage>,
@@ -49,7 +50,7 @@
     pub limits: Vec<limit::Notice>,
     /// Requests that wait for permits, and that the steward wasn't asked for yet.
     #[serde(default)]
-    pub permits: Vec<limit::Ask>,
+    pub permits: Vec<limit::Request>,
     /// The configuration in force at the instance, 0 for none; absent from releases that read each configuration for themselves.
     #[serde(default)]
     pub config_version: Option<u64>,
@@ -57,8 +58,8 @@
     #[serde(default)]
     pub needs_config: bool,
     /// How old the instance's own reads of the store are, in milliseconds.
-    #[serde(default = "never")]
-    pub read_ms: u32,
+    #[serde(default = "never", rename = "read_ms")]
+    pub read_age_ms: u32,
 }
 
 /// The age of reads that were never made.
@@ -68,7 +69,7 @@
 
 /// Requests that wait for one model, or one adapter of it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Lane {
+pub struct Queue {
     /// The group of its engines.
     pub group: SmolStr,
     /// The model.
@@ -95,7 +96,8 @@
     /// How many.
     pub count: u32,
     /// Tokens of their prompts that the engine hasn't read yet.
-    pub unread: u32,
+    #[serde(rename = "unread")]
+    pub prefill_tokens: u32,
 }
 
 /// A number of requests for one model.
@@ -111,7 +113,7 @@
 
 /// What all instances together want of one model, or of one adapter.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Want {
+pub struct Pending {
     /// The model.
     pub model: SmolStr,
     /// The adapter on it.
@@ -129,7 +131,7 @@
 
 /// The demands of all instances.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Aggregator {
     instances: BTreeMap<SmolStr, (clock::Instant, Demand)>,
     arriving: Rates,
     finishing: Rates,
@@ -146,40 +148,40 @@
     }
 }
 
-impl Board {
+impl Aggregator {
     /// Takes in what an instance says; it replaces what it said before.
-    pub fn take(&mut self, now: clock::Instant, instance: SmolStr, demand: Demand) {
+    pub fn update(&mut self, now: clock::Instant, instance: SmolStr, demand: Demand) {
         count(&mut self.arriving, now, HALF_LIFE, &demand.arrived);
         count(&mut self.finishing, now, DRAIN_HALF_LIFE, &demand.finished);
         self.instances.insert(instance, (now, demand));
     }
 
     /// An instance's link has ended: its requests may be gone.
-    pub fn forget(&mut self, instance: &str) {
+    pub fn remove(&mut self, instance: &str) {
         self.instances.remove(instance);
     }
 
     /// What is wanted in a group, the longest waiting first.
     #[must_use]
-    pub fn wants(&self, group: &str) -> Vec<Want> {
-        let mut wants: BTreeMap<(SmolStr, Option<SmolStr>), Want> = BTreeMap::new();
-        for (heard, lane) in self.lanes(group) {
-            let since = heard.before(Duration::from_millis(lane.waited_ms.into()));
-            let until = heard.after(Duration::from_millis(lane.left_ms.into()));
+    pub fn pending(&self, group: &str) -> Vec<Pending> {
+        let mut wants: BTreeMap<(SmolStr, Option<SmolStr>), Pending> = BTreeMap::new();
+        for (heard, queue) in self.queues(group) {
+            let since = heard.before(Duration::from_millis(queue.waited_ms.into()));
+            let until = heard.after(Duration::from_millis(queue.left_ms.into()));
             let want = wants
-                .entry((lane.model.clone(), lane.adapter.clone()))
-                .or_insert_with(|| Want {
-                    model: lane.model.clone(),
-                    adapter: lane.adapter.clone(),
+                .entry((queue.model.clone(), queue.adapter.clone()))
+                .or_insert_with(|| Pending {
+                    model: queue.model.clone(),
+                    adapter: queue.adapter.clone(),
                     waiting: 0,
                     since,
                     until,
                 });
-            want.waiting += lane.waiting;
+            want.waiting += queue.waiting;
             want.since = want.since.min(since);
             want.until = want.until.max(until);
         }
-        let mut wants: Vec<Want> = wants.into_values().collect();
+        let mut wants: Vec<Pending> = wants.into_values().collect();
         wants.sort_by_key(|want| want.since);
         wants
     }
@@ -200,13 +202,13 @@
 
     /// What engines have to do, by engine.
     #[must_use]
-    pub fn loads(&self) -> BTreeMap<&SmolStr, work::Load> {
-        let mut loads: BTreeMap<&SmolStr, work::Load> = BTreeMap::new();
+    pub fn loads(&self) -> BTreeMap<&SmolStr, load::Load> {
+        let mut loads: BTreeMap<&SmolStr, load::Load> = BTreeMap::new();
         let demands = self.instances.values();
         for running in demands.flat_map(|(_, demand)| &demand.running) {
-            let fresh = || work::Load::new(running.server.clone());
+            let fresh = || load::Load::new(running.server.clone());
             let load = loads.entry(&running.server).or_insert_with(fresh);
-            load.unread = load.unread.saturating_add(running.unread);
+            load.prefill_tokens = load.prefill_tokens.saturating_add(running.prefill_tokens);
             load.requests += running.count;
         }
         loads
@@ -214,7 +216,7 @@
 
     /// Requests a second for a model, as of the last seconds.
     #[must_use]
-    pub fn rate(&self, now: clock::Instant, group: &str, model: &str) -> f64 {
+    pub fn arrival_rate(&self, now: clock::Instant, group: &str, model: &str) -> f64 {
         let key = (SmolStr::new(group), SmolStr::new(model));
         let rate = self.arriving.get(&key);
         rate.map_or(0.0, |rate| rate.per_second(now, HALF_LIFE))
@@ -222,17 +224,17 @@
 
     /// Requests a second that engines have run and ended as of the last moments, by model.
     #[must_use]
-    pub fn drains(&self, now: clock::Instant, group: &str) -> BTreeMap<SmolStr, f64> {
+    pub fn drain_rates(&self, now: clock::Instant, group: &str) -> BTreeMap<SmolStr, f64> {
         let rates = self.finishing.iter().filter(|((of, _), _)| of == group);
         rates
             .map(|((_, model), rate)| (model.clone(), rate.per_second(now, DRAIN_HALF_LIFE)))
             .collect()
     }
 
-    fn lanes<'a>(&'a self, group: &'a str) -> impl Iterator<Item = (clock::Instant, &'a Lane)> {
+    fn queues<'a>(&'a self, group: &'a str) -> impl Iterator<Item = (clock::Instant, &'a Queue)> {
         self.instances
             .values()
-            .flat_map(|(heard, demand)| demand.lanes.iter().map(|lane| (*heard, lane)))
-            .filter(move |(_, lane)| lane.group == group)
+            .flat_map(|(heard, demand)| demand.queues.iter().map(|queue| (*heard, queue)))
+            .filter(move |(_, queue)| queue.group == group)
     }
 }
--- a/crates/fireflywheel/src/fleet/events.rs
+++ b/crates/fireflywheel/src/fleet/events.rs
@@ -7,12 +7,12 @@
 
 /// Cuts a stream into whole events, and drops those that were handed on before.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Splitter {
     rest: BytesMut,
     last: Option<u64>,
 }
 
-impl Cutter {
+impl Splitter {
     /// The id of the last event that was taken out.
     #[must_use]
     pub fn last(&self) -> Option<u64> {
@@ -27,7 +27,7 @@
 
     /// Whether all that came are whole events.
     #[must_use]
-    pub fn is_between(&self) -> bool {
+    pub fn is_at_boundary(&self) -> bool {
         self.rest.is_empty()
     }
 
--- a/crates/fireflywheel/src/fleet/frame.rs
+++ b/crates/fireflywheel/src/fleet/frame.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 use super::era::Era;
-use super::{config, demand, lease, limit, quota, server, work};
+use super::{config, demand, lease, limit, load, quota, server};
 use crate::clock;
 
 /// A span in whole milliseconds, as frames carry it; the most there is when it is longer.
@@ -39,17 +39,20 @@
     Held(Holdings),
     /// Whether the receiver is told of all engines from now on, or of those that hold models which it asks for; from the
     /// steward.
-    Whole(bool),
+    #[serde(rename = "Whole")]
+    AllEngines(bool),
     /// How long models will take that are nowhere yet, from the steward.
     Forecast(Vec<Forecast>),
     /// What engines have to read, from the steward; one that isn't named has nothing.
-    Load(Vec<work::Load>),
+    Load(Vec<load::Load>),
     /// The sender is alive, from the steward.
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         /// Tells two processes of one name apart.
         incarnation: u64,
         /// It may order engines.
-        acts: bool,
+        #[serde(rename = "acts")]
+        active: bool,
         /// Instances that it has a link to, itself included.
         instances: u32,
         /// The end of the lease's record after the last renewal.
@@ -64,7 +67,8 @@
         config_version: u64,
         /// How old the oldest is of what it last read of the directory and the configuration, in milliseconds.
         /// While it is young, other instances need not read the store themselves.
-        read_ms: u32,
+        #[serde(rename = "read_ms")]
+        read_age_ms: u32,
         /// The stamp of the receiver's last demand. Without it frames that waited in a queue for seconds would
         /// pass for young.
         stamp_ms: u64,
@@ -85,7 +89,7 @@
     Steward(lease::Record),
     /// All servers that name a limit, from the steward; replaces what it said before.
     Limits(Vec<limit::Notice>),
-    /// Answers to asks for permits, from the steward.
+    /// Answers to permit requests, from the steward.
     Permits(Vec<limit::Reply>),
     /// Which share of each organisation's requests to admit, from the steward; replaces what it said before.
     Shares(Vec<quota::Share>),
@@ -125,7 +129,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Changes {
     /// Groups of which these are all entries.
-    pub all_of: BTreeSet<SmolStr>,
+    #[serde(rename = "all_of")]
+    pub complete_groups: BTreeSet<SmolStr>,
     /// Entries that are new or other than before.
     pub entries: Vec<Entry>,
     /// Ids of entries that are gone.
@@ -150,10 +155,11 @@
     /// How long until it is gone, if it said so, in milliseconds.
     pub leaves_ms: Option<u32>,
     /// Unix milliseconds of its start.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_ms: u64,
     /// Which of its entries since its start this is; 0 if it doesn't say so.
-    #[serde(default)]
-    pub count: u64,
+    #[serde(default, rename = "count")]
+    pub revision: u64,
 }
 
 impl Entry {
@@ -169,8 +175,8 @@
             slots: server.slots,
             ready: server.ready,
             leaves_ms: server.leaves.map(left),
-            born: server.born,
-            count: server.count,
+            started_ms: server.started_ms,
+            revision: server.revision,
         }
     }
 
@@ -188,8 +194,8 @@
             slots: self.slots,
             ready: self.ready,
             leaves,
-            born: self.born,
-            count: self.count,
+            started_ms: self.started_ms,
+            revision: self.revision,
             held: server::Held::default(),
         }
     }
@@ -199,7 +205,7 @@
         let same_stay = self.leaves_ms.is_some() == other.leaves_ms.is_some();
         let other = Self {
             leaves_ms: self.leaves_ms,
-            count: self.count,
+            revision: self.revision,
             ..other.clone()
         };
         same_stay && *self == other
@@ -219,7 +225,7 @@
                 .is_none_or(|old| !old.says_same(entry))
         };
         let changes = Self {
-            all_of: BTreeSet::new(),
+            complete_groups: BTreeSet::new(),
             entries: after.values().filter(is_new).cloned().collect(),
             gone: before
                 .keys()
@@ -241,7 +247,7 @@
         let entries = self.entries.iter().filter(|entry| picked(&entry.id));
         let gone = self.gone.iter().filter(|id| picked(id));
         let changes = Self {
-            all_of: self.all_of.clone(),
+            complete_groups: self.complete_groups.clone(),
             entries: entries.cloned().collect(),
             gone: gone.cloned().collect(),
         };
--- a/crates/fireflywheel/src/fleet/lease.rs
+++ b/crates/fireflywheel/src/fleet/lease.rs
@@ -228,7 +228,7 @@
     ///
     /// A holder whose term isn't over knows that nobody has taken the lease before the new era, and that nobody does before the end of
     /// that term. Any other can't know: a record of a later holder may be among what is lost.
-    pub fn enter(&mut self, now: clock::Instant, era: Era) -> bool {
+    pub fn enter_era(&mut self, now: clock::Instant, era: Era) -> bool {
         self.give_up_resting(now);
         let before = self.era;
         if before.is_some_and(|before| before >= era) {
@@ -279,7 +279,7 @@
         if self.era.is_some_and(|known| era < known) {
             return;
         }
-        self.enter(asked, era);
+        self.enter_era(asked, era);
         let reading = reading.current();
         let mine = reading
             .record
@@ -395,11 +395,11 @@
 
     /// The holder told this instance that its record ends at `end`. A later reading with the same end shows
     /// that it hasn't renewed since, so the term is counted from here and not only from that reading.
-    pub fn heard(&mut self, now: clock::Instant, end: Position) {
+    pub fn observe_end(&mut self, now: clock::Instant, end: Position) {
         if self.held.is_some() || self.era.is_some_and(|known| end.era < known) {
             return;
         }
-        self.enter(now, end.era);
+        self.enter_era(now, end.era);
         if self
             .watched
             .as_ref()
@@ -417,7 +417,7 @@
 
     /// Whether this instance must read the record before it can renew it: it is in another era.
     #[must_use]
-    pub fn needs_reading(&self) -> bool {
+    pub fn needs_read(&self) -> bool {
         self.held.is_some_and(|held| self.era != Some(held.end.era))
     }
 
@@ -554,7 +554,7 @@
     /// renewed: how much of the holder's term is left can't be told across clocks. There a lease that was handed over in an earlier
     /// era is nobody's: others may have taken it before the store came back.
     pub fn receive(&mut self, now: clock::Instant, given: HandOver) {
-        self.enter(now, given.end.era);
+        self.enter_era(now, given.end.era);
         if !self.fenced && self.era != Some(given.end.era) {
             return;
         }
@@ -576,7 +576,7 @@
     /// A process of another incarnation answers at the address of the one that was seen as holder, which has
     /// therefore ended. Where engines refuse orders of an earlier holder, the lease is free at once: only orders
     /// that it sent before may still be on their way.
-    pub fn ended(&mut self, incarnation: u64) {
+    pub fn holder_ended(&mut self, incarnation: u64) {
         let Some(watched) = &mut self.watched else {
             return;
         };
@@ -605,7 +605,7 @@
     }
 
     /// The holder says who has the lease now.
-    pub fn moved(&mut self, now: clock::Instant, holder: Record) {
+    pub fn holder_moved(&mut self, now: clock::Instant, holder: Record) {
         if self.held.is_some() {
             return;
         }
@@ -619,7 +619,7 @@
     }
 
     /// Another instance has a link to this holder. It says nothing of the record, so the term is counted as before.
-    pub fn pointed_to(&mut self, now: clock::Instant, holder: Record) {
+    pub fn redirect(&mut self, now: clock::Instant, holder: Record) {
         if self.held.is_some() {
             return;
         }
@@ -633,7 +633,7 @@
     }
 
     /// The holder names its standbys. One that has just begun has none yet, to whom the lease could be left.
-    pub fn name_standbys(&mut self, standbys: &[Record]) {
+    pub fn set_standbys(&mut self, standbys: &[Record]) {
         let is_standby = standbys.iter().any(|standby| self.is_mine(standby));
         self.standby = (!standbys.is_empty()).then_some(is_standby);
     }
@@ -646,7 +646,7 @@
 
     /// Whether the lease is left to others for now, so that there is no use in reading it.
     #[must_use]
-    pub fn leaves_it_to_standbys(&self, now: clock::Instant) -> bool {
+    pub fn defers_to_standbys(&self, now: clock::Instant) -> bool {
         let watched = self.watched.as_ref();
         self.held.is_none()
             && self.standby == Some(false)
@@ -664,7 +664,7 @@
 
     /// This instance's name in the record.
     #[must_use]
-    pub fn me(&self) -> &Record {
+    pub fn own_record(&self) -> &Record {
         &self.me
     }
 
--- a/crates/fireflywheel/src/fleet/limit.rs
+++ b/crates/fireflywheel/src/fleet/limit.rs
@@ -22,14 +22,14 @@
 
 /// A request waits for a permit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Ask {
+pub struct Request {
     /// The server that it would go to.
     pub server: SmolStr,
     /// How long it can wait, in milliseconds.
     pub left_ms: u32,
 }
 
-/// The steward's answer to an [`Ask`].
+/// The steward's answer to an [`Request`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reply {
     /// The server.
@@ -38,7 +38,7 @@
     pub outcome: Outcome,
 }
 
-/// What became of an [`Ask`].
+/// What became of an [`Request`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
     /// One request may go there now.
--- a/crates/fireflywheel/src/fleet/limit/gate.rs
+++ b/crates/fireflywheel/src/fleet/limit/gate.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
 
-use super::{Ask, Notice, Outcome, Reply};
+use super::{Notice, Outcome, Reply, Request};
 use crate::clock;
 use crate::fleet::frame;
 
@@ -94,7 +94,7 @@
 
 impl Gate {
     /// An answer of the server names a limit. Returns whether that is news.
-    pub fn named(&mut self, now: clock::Instant, per_second: f64) -> bool {
+    pub fn observe_limit(&mut self, now: clock::Instant, per_second: f64) -> bool {
         let before = self.per_second();
         let changed = self.own.map(|own| own.per_second) != Some(per_second);
         self.own = Some(Known::update(self.own, now, per_second));
@@ -105,7 +105,7 @@
 
     /// An answer of the server to a request that was sent at `sent` names no limit. Returns whether that is news. One that was sent before
     /// the limit was known here may have been answered before the server was overloaded.
-    pub fn named_none(&mut self, sent: clock::Instant) -> bool {
+    pub fn observe_no_limit(&mut self, sent: clock::Instant) -> bool {
         let since = [self.own, self.told].into_iter().flatten();
         let Some(since) = since.map(|known| known.since).min() else {
             return false;
@@ -121,7 +121,7 @@
     }
 
     /// The steward tells the server's limit, or that it knows of none. Returns whether that is news.
-    pub fn told(&mut self, now: clock::Instant, per_second: Option<f64>) -> bool {
+    pub fn update_from_steward(&mut self, now: clock::Instant, per_second: Option<f64>) -> bool {
         let before = self.per_second();
         self.told = per_second.map(|per_second| Known::update(self.told, now, per_second));
         // It has heard what answers said here, and later from elsewhere that the limit is lifted.
@@ -132,7 +132,7 @@
     }
 
     /// A link to a steward was made, which knows nothing of what was told before.
-    pub fn linked(&mut self) {
+    pub fn link_opened(&mut self) {
         self.untold = self.is_limited();
         self.pending = None;
         self.refused = None;
@@ -165,7 +165,7 @@
     }
 
     /// A request goes there.
-    pub fn take(&mut self, view: View<'_>) {
+    pub fn use_permit(&mut self, view: View<'_>) {
         let Some(per_second) = self.per_second() else {
             return;
         };
@@ -177,9 +177,9 @@
     }
 
     /// A request that can wait for `left` would go there. Returns whether the steward is to be asked, and wasn't a moment ago.
-    pub fn want(&mut self, view: View<'_>, left: Duration) -> bool {
+    pub fn request_permit(&mut self, view: View<'_>, left: Duration) -> bool {
         self.forget(view.now);
-        let asks = view.steward && self.is_limited() && !self.awaits_turn(view.now);
+        let asks = view.steward && self.is_limited() && !self.is_waiting(view.now);
         if asks {
             self.pending = Some(Pending::Untold(left));
         }
@@ -188,7 +188,7 @@
 
     /// Whether the steward was asked, and need not be asked again yet.
     #[must_use]
-    pub fn awaits_turn(&self, now: clock::Instant) -> bool {
+    pub fn is_waiting(&self, now: clock::Instant) -> bool {
         let refused = |(at, _)| now.since(at) < REFUSED_PAUSE;
         match self.pending {
             None => self.refused.is_some_and(refused),
@@ -200,7 +200,7 @@
 
     /// When a request may go there, as far as the steward tells.
     #[must_use]
-    pub fn expected(&self, now: clock::Instant) -> Option<Duration> {
+    pub fn expected_wait(&self, now: clock::Instant) -> Option<Duration> {
         match (self.pending, self.refused) {
             (Some(Pending::Queued(turn)), _) | (_, Some((_, turn))) => Some(turn.since(now)),
             _ => None,
@@ -222,19 +222,19 @@
     }
 
     /// What the steward is to be asked.
-    pub fn take_ask(&mut self, now: clock::Instant, server: &SmolStr) -> Option<Ask> {
+    pub fn take_request(&mut self, now: clock::Instant, server: &SmolStr) -> Option<Request> {
         let Some(Pending::Untold(left)) = self.pending else {
             return None;
         };
         self.pending = Some(Pending::Told(now));
-        Some(Ask {
+        Some(Request {
             server: server.clone(),
             left_ms: frame::millis(left),
         })
     }
 
     /// The steward answers.
-    pub fn answered(&mut self, now: clock::Instant, reply: &Reply) {
+    pub fn handle_reply(&mut self, now: clock::Instant, reply: &Reply) {
         let turn =
             |wait_ms: u32| now.after(Duration::from_millis(wait_ms.into()).min(LONGEST_WAIT));
         self.refused = None;
--- a/crates/fireflywheel/src/fleet/limit/pacer.rs
+++ b/crates/fireflywheel/src/fleet/limit/pacer.rs
@@ -5,7 +5,7 @@
 
 use smol_str::SmolStr;
 
-use super::{Ask, Notice, Outcome, Reply};
+use super::{Notice, Outcome, Reply, Request};
 use crate::fleet::frame;
 use crate::{bucket, clock};
 
@@ -18,7 +18,7 @@
 
 /// Who asks for a permit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asker {
+pub enum Requester {
     /// The steward's own instance.
     Own,
     /// The instance behind a link.
@@ -28,7 +28,7 @@
 /// A request that waits for its turn.
 #[derive(Clone, Copy, Debug)]
 struct Turn {
-    asker: Asker,
+    requester: Requester,
     /// When it is of no more use.
     until: clock::Instant,
 }
@@ -81,7 +81,7 @@
 
 impl Pacer {
     /// An instance tells what a server's answers say. Returns whether that is news.
-    pub fn hear(&mut self, now: clock::Instant, notice: &Notice) -> bool {
+    pub fn update_limit(&mut self, now: clock::Instant, notice: &Notice) -> bool {
         let Some(per_second) = notice.per_second else {
             return self.accounts.remove(&notice.server).is_some();
         };
@@ -99,19 +99,19 @@
     }
 
     /// An instance asks for a permit; none if the server has no limit, as far as known here.
-    pub fn ask(&mut self, now: clock::Instant, asker: Asker, ask: &Ask) -> Reply {
+    pub fn request(&mut self, now: clock::Instant, requester: Requester, ask: &Request) -> Reply {
         Reply {
             server: ask.server.clone(),
-            outcome: self.outcome(now, asker, ask),
+            outcome: self.outcome(now, requester, ask),
         }
     }
 
-    fn outcome(&mut self, now: clock::Instant, asker: Asker, ask: &Ask) -> Outcome {
+    fn outcome(&mut self, now: clock::Instant, requester: Requester, ask: &Request) -> Outcome {
         let Some(account) = self.accounts.get_mut(&ask.server) else {
             return Outcome::Granted;
         };
         account.fill(now);
-        account.queue.retain(|turn| turn.asker != asker);
+        account.queue.retain(|turn| turn.requester != requester);
         if account.queue.is_empty() && account.bucket.take() {
             return Outcome::Granted;
         }
@@ -121,12 +121,12 @@
             return Outcome::Refused(frame::millis(wait));
         }
         let until = now.after(left);
-        account.queue.push_back(Turn { asker, until });
+        account.queue.push_back(Turn { requester, until });
         Outcome::Queued(frame::millis(wait))
     }
 
     /// Permits for those whose turn has come.
-    pub fn due(&mut self, now: clock::Instant) -> Vec<(Asker, Reply)> {
+    pub fn grant_due(&mut self, now: clock::Instant) -> Vec<(Requester, Reply)> {
         self.accounts
             .retain(|_, account| now.since(account.heard) < FORGOTTEN);
         let mut due = Vec::new();
@@ -138,7 +138,7 @@
                     server: server.clone(),
                     outcome: Outcome::Granted,
                 };
-                due.push((turn.asker, reply));
+                due.push((turn.requester, reply));
             }
         }
         due
@@ -146,16 +146,16 @@
 
     /// Whether requests wait for their turn.
     #[must_use]
-    pub fn is_awaited(&self) -> bool {
+    pub fn has_waiting(&self) -> bool {
         self.accounts
             .values()
             .any(|account| !account.queue.is_empty())
     }
 
     /// An instance's link has ended.
-    pub fn forget(&mut self, asker: Asker) {
+    pub fn remove(&mut self, requester: Requester) {
         for account in self.accounts.values_mut() {
-            account.queue.retain(|turn| turn.asker != asker);
+            account.queue.retain(|turn| turn.requester != requester);
         }
     }
 
--- a/crates/fireflywheel/src/fleet/work.rs
+++ b/crates/fireflywheel/src/fleet/load.rs
@@ -46,7 +46,8 @@
     /// The engine's id.
     pub server: SmolStr,
     /// Tokens of requests of all instances that had no first event yet.
-    pub unread: u32,
+    #[serde(rename = "unread")]
+    pub prefill_tokens: u32,
     /// Requests of all instances there, running and waiting.
     #[serde(default)]
     pub requests: u32,
@@ -81,7 +82,7 @@
     pub fn update(&mut self, now: clock::Instant, unread: u32) -> Duration {
         let halves = now.since(self.updated).div_duration_f64(PRESSURE_HALF_LIFE);
         let kept = 0.5_f64.powf(halves);
-        let waiting = reading_time(f64::from(unread)).as_secs_f64();
+        let waiting = prefill_time(f64::from(unread)).as_secs_f64();
         self.seconds = self.seconds * kept + waiting * (1.0 - kept);
         self.updated = now;
         Duration::from_secs_f64(self.seconds)
@@ -91,7 +92,7 @@
 impl Prompt {
     /// Tokens that an engine must read; with `kept`, it has read the shared ones before.
     #[must_use]
-    pub fn unread(self, kept: bool) -> u32 {
+    pub fn prefill_tokens(self, kept: bool) -> u32 {
         let known = if kept { self.shared } else { 0 };
         self.tokens.saturating_sub(known)
     }
@@ -103,7 +104,7 @@
     pub fn new(server: SmolStr) -> Self {
         Self {
             server,
-            unread: 0,
+            prefill_tokens: 0,
             requests: 0,
         }
     }
@@ -111,7 +112,7 @@
     /// How much it is worth telling, which it is from 1 on. What is read before that arrives is nothing, and
     /// neither are fewer requests than half a batch.
     fn weight(&self, slots: u32) -> f64 {
-        let reading = f64::from(self.unread) / f64::from(LEAST_UNREAD);
+        let reading = f64::from(self.prefill_tokens) / f64::from(LEAST_UNREAD);
         let batch = f64::from(self.requests) * 2.0 / f64::from(slots.max(1));
         reading.max(batch)
     }
@@ -119,24 +120,24 @@
 
 impl Backlog {
     /// A request was sent there with so many tokens to read.
-    pub fn sent(&mut self, tokens: u32) {
+    pub fn add_own(&mut self, tokens: u32) {
         self.own = self.own.saturating_add(tokens);
     }
 
     /// Such a request has its first event, or has ended.
-    pub fn read(&mut self, tokens: u32) {
+    pub fn remove_own(&mut self, tokens: u32) {
         self.own = self.own.saturating_sub(tokens);
     }
 
     /// What this instance tells the steward, which has `requests` there; returns the tokens.
-    pub fn tell(&mut self, requests: u32) -> u32 {
+    pub fn report_own(&mut self, requests: u32) -> u32 {
         self.own_told = self.own;
         self.requests_told = requests;
         self.own
     }
 
     /// The steward tells of all instances' requests.
-    pub fn heard(&mut self, now: clock::Instant, unread: u32, requests: u32) {
+    pub fn update_others(&mut self, now: clock::Instant, unread: u32, requests: u32) {
         self.others = unread.saturating_sub(self.own_told);
         self.other_requests = requests.saturating_sub(self.requests_told);
         self.told = now;
@@ -144,14 +145,14 @@
 
     /// Requests of other instances there, as the steward told last; none once that is old.
     #[must_use]
-    pub fn others(&self, now: clock::Instant) -> u32 {
+    pub fn other_requests(&self, now: clock::Instant) -> u32 {
         let fresh = now.since(self.told) < WORD_USE;
         if fresh { self.other_requests } else { 0 }
     }
 
     /// Tokens that are still to be read.
     #[must_use]
-    pub fn tokens(&self, now: clock::Instant) -> f64 {
+    pub fn prefill_tokens(&self, now: clock::Instant) -> f64 {
         let read = now.since(self.told).as_secs_f64() * 1000.0 * READ_PER_MS;
         (f64::from(self.others) - read).max(0.0) + f64::from(self.own)
     }
@@ -163,7 +164,7 @@
 /// `parts` names all shared parts. By the first of them alone, which thousands of prompts may have in common, all would
 /// go to one server and wait there while others idle.
 #[must_use]
-pub fn keeper<'a, I>(prompt: Prompt, parts: &str, servers: I) -> Option<&'a str>
+pub fn prefix_cache_server<'a, I>(prompt: Prompt, parts: &str, servers: I) -> Option<&'a str>
 where
     I: ExactSizeIterator<Item = &'a str>,
 {
@@ -176,7 +177,7 @@
 /// The engines with the most to do, `count` of them at most and none with next to nothing, by id. `slots` tells how many
 /// requests an engine runs at once.
 #[must_use]
-pub fn largest<S>(loads: BTreeMap<&SmolStr, Load>, slots: S, count: usize) -> Vec<Load>
+pub fn most_loaded<S>(loads: BTreeMap<&SmolStr, Load>, slots: S, count: usize) -> Vec<Load>
 where
     S: Fn(&SmolStr) -> u32,
 {
@@ -194,6 +195,6 @@
 
 /// How long it takes to read so many tokens.
 #[must_use]
-pub fn reading_time(tokens: f64) -> Duration {
+pub fn prefill_time(tokens: f64) -> Duration {
     Duration::from_secs_f64(tokens.max(0.0) / READ_PER_MS / 1000.0)
 }
--- a/crates/fireflywheel/src/fleet/mod.rs
+++ b/crates/fireflywheel/src/fleet/mod.rs
@@ -14,26 +14,26 @@
 //! | [`successor`] | to which instance a steward hands the lease |
 //! | [`demand`] | what instances ask of the steward, and the rates it learns from that |
 //! | [`plan`] | which order to send next |
-//! | [`track`] | what the steward knows of one engine: its report, and orders that the report doesn't show yet |
+//! | [`tracker`] | what the steward knows of one engine: its report, and orders that the report doesn't show yet |
 //! | [`routing`] | which backend server a request goes to |
-//! | [`patience`] | how long a request is worth keeping, and when it should come back |
+//! | [`timeout`] | how long a request is worth keeping, and when it should come back |
 //! | [`backoff`] | when the platform's store may be called again after calls that failed |
 //! | [`organisation`] | whose requests are served, and by which key they are recognised |
 //! | [`quota`] | how much an organisation may ask for, over all instances |
 //! | [`limit`] | how many requests an overloaded server gets from all instances |
-//! | [`silence`] | from when on a server's silence means that its answer is lost |
-//! | [`budget`] | how many repeats all instances may send together |
+//! | [`adaptive_timeout`] | from when on a server's silence means that its answer is lost |
+//! | [`retry_budget`] | how many repeats all instances may send together |
 //! | [`size`] | how many instances share such a limit |
 //! | [`events`] | events of a stream, cut at their ends |
 //! | [`rate`] | how often something may be done |
 //! | [`settings`] | what one process is told at its start |
 //! | [`subscription`] | which instances are told of which engines |
-//! | [`talk`] | when an instance talks to the steward, and how long the steward's reads of the store stand |
-//! | [`work`] | how much engines still have to read |
+//! | [`link`] | when an instance talks to the steward, and how long the steward's reads of the store stand |
+//! | [`load`] | how much engines still have to read |
 //! | [`frame`] | what instance and steward tell each other |
 
+pub mod adaptive_timeout;
 pub mod backoff;
-pub mod budget;
 pub mod config;
 pub mod demand;
 pub mod era;
@@ -41,18 +41,18 @@
 pub mod frame;
 pub mod lease;
 pub mod limit;
+pub mod link;
+pub mod load;
 pub mod organisation;
-pub mod patience;
 pub mod plan;
 pub mod quota;
 pub mod rate;
+pub mod retry_budget;
 pub mod routing;
 pub mod server;
 pub mod settings;
-pub mod silence;
 pub mod size;
 pub mod subscription;
 pub mod successor;
-pub mod talk;
-pub mod track;
-pub mod work;
+pub mod timeout;
+pub mod tracker;
--- a/crates/fireflywheel/src/fleet/plan.rs
+++ b/crates/fireflywheel/src/fleet/plan.rs
@@ -5,7 +5,7 @@
 //! disk comes back in under a second. So the store is used for what has no copy anywhere, a few loads at a
 //! time; and whatever was once fetched is swapped in where its copy lies.
 
-pub mod pace;
+pub mod concurrency;
 mod planner;
 mod survey;
 
@@ -19,19 +19,19 @@
 
 /// One engine, as the steward sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Site {
+pub struct EngineState {
     /// What it holds, by its newest report.
     pub held: server::Held,
     /// It takes requests and will go on to.
     pub usable: bool,
     /// An order to it is on its way, or it isn't known how it ended.
-    pub ordering: bool,
+    pub order_pending: bool,
     /// The model that it loads.
     pub loading: Option<SmolStr>,
     /// That load is from the weight store.
     pub fetching: bool,
     /// The model that an unload makes room for; its load comes next.
-    pub room_for: Option<SmolStr>,
+    pub making_room_for: Option<SmolStr>,
     /// Since when it loads.
     pub loading_since: Option<clock::Instant>,
     /// Requests in progress, by model and adapter.
@@ -41,10 +41,10 @@
     /// Requests a second that it takes, if it names a limit.
     pub limit: Option<f64>,
     /// Since when it has held models and adapters.
-    pub since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
+    pub held_since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
 }
 
-impl Site {
+impl EngineState {
     /// Whether more is asked for of the models that it holds than it takes.
     fn is_short(&self, rates: &BTreeMap<SmolStr, f64>) -> bool {
         let rate = |model: &SmolStr| rates.get(model).copied().unwrap_or_default();
@@ -54,7 +54,7 @@
 
     /// It loads from the weight store, or makes room to do so.
     fn fetches(&self) -> bool {
-        let next = self.room_for.as_ref();
+        let next = self.making_room_for.as_ref();
         self.fetching || next.is_some_and(|model| tier(self, model) == Tier::Store)
     }
 }
@@ -64,8 +64,8 @@
 pub enum Step {
     /// Load a model.
     Load {
-        /// The place of the engine among the sites.
-        site: usize,
+        /// The place of the engine among the engines.
+        engine: usize,
         /// The model.
         model: SmolStr,
         /// Where it comes from.
@@ -73,8 +73,8 @@
     },
     /// Unload a model.
     Unload {
-        /// The place of the engine among the sites.
-        site: usize,
+        /// The place of the engine among the engines.
+        engine: usize,
         /// The model.
         model: SmolStr,
         /// The model that this makes room for.
@@ -82,8 +82,8 @@
     },
     /// Load an adapter of a model that is there.
     LoadAdapter {
-        /// The place of the engine among the sites.
-        site: usize,
+        /// The place of the engine among the engines.
+        engine: usize,
         /// The model.
         model: SmolStr,
         /// The adapter.
@@ -91,8 +91,8 @@
     },
     /// Unload an adapter.
     UnloadAdapter {
-        /// The place of the engine among the sites.
-        site: usize,
+        /// The place of the engine among the engines.
+        engine: usize,
         /// The model.
         model: SmolStr,
         /// The adapter.
@@ -101,14 +101,14 @@
 }
 
 impl Step {
-    /// The place of the engine among the sites.
+    /// The place of the engine among the engines.
     #[must_use]
-    pub fn site(&self) -> usize {
+    pub fn engine(&self) -> usize {
         match self {
-            Self::Load { site, .. }
-            | Self::Unload { site, .. }
-            | Self::LoadAdapter { site, .. }
-            | Self::UnloadAdapter { site, .. } => *site,
+            Self::Load { engine, .. }
+            | Self::Unload { engine, .. }
+            | Self::LoadAdapter { engine, .. }
+            | Self::UnloadAdapter { engine, .. } => *engine,
         }
     }
 
@@ -141,9 +141,9 @@
     #[must_use]
     pub fn load_time(self, model: &config::Model) -> Duration {
         match self {
-            Self::Host => model.from_host,
-            Self::Disk => model.from_disk,
-            Self::Store => model.fetch,
+            Self::Host => model.host_load_time,
+            Self::Disk => model.disk_load_time,
+            Self::Store => model.store_load_time,
         }
     }
 }
@@ -154,25 +154,29 @@
     /// The time.
     pub now: clock::Instant,
     /// What engines of this group can hold.
-    pub engine: &'a config::Engine,
+    pub config: &'a config::Engine,
     /// The engines.
-    pub sites: &'a [Site],
+    pub engines: &'a [EngineState],
     /// What is wanted, the longest waiting first.
-    pub wants: &'a [demand::Want],
+    pub pending: &'a [demand::Pending],
     /// Requests a second that come, by model.
-    pub rates: &'a BTreeMap<SmolStr, f64>,
+    pub arrival_rates: &'a BTreeMap<SmolStr, f64>,
     /// Requests a second that engines end, by model.
-    pub drains: &'a BTreeMap<SmolStr, f64>,
+    pub drain_rates: &'a BTreeMap<SmolStr, f64>,
     /// Loads from the weight store that may run at the same time.
-    pub fetches: usize,
+    pub max_fetches: usize,
     /// What is known of the weight store.
-    pub pace: pace::Pace,
+    pub concurrency: concurrency::Estimate,
 }
 
 /// The orders to send now, at most one for each engine.
 #[must_use]
 pub fn steps(view: &View<'_>) -> Vec<Step> {
-    let fetching = view.sites.iter().filter(|site| site.fetches()).count();
+    let fetching = view
+        .engines
+        .iter()
+        .filter(|engine| engine.fetches())
+        .count();
     let mut planner = planner::Planner {
         view,
         survey: survey::Survey::new(view),
@@ -194,31 +198,31 @@
 #[must_use]
 pub fn forecast(view: &View<'_>) -> Vec<(SmolStr, Duration)> {
     let survey = survey::Survey::new(view);
-    let running = view.sites.iter().filter(|site| site.fetching).count();
+    let running = view.engines.iter().filter(|engine| engine.fetching).count();
     let mut ahead = running;
     let mut waits: Vec<(SmolStr, Duration)> = Vec::new();
-    let wanted = |model: &SmolStr| view.wants.iter().any(|want| want.model == *model);
-    for site in view.sites.iter().filter(|site| site.fetching) {
-        let loading = site.loading.as_ref().filter(|model| wanted(model));
-        let known = loading.and_then(|name| Some((name, view.engine.models.get(name)?)));
-        if let Some(((name, model), since)) = known.zip(site.loading_since) {
-            let time = view.pace.time(model.fetch, running);
+    let wanted = |model: &SmolStr| view.pending.iter().any(|want| want.model == *model);
+    for engine in view.engines.iter().filter(|engine| engine.fetching) {
+        let loading = engine.loading.as_ref().filter(|model| wanted(model));
+        let known = loading.and_then(|name| Some((name, view.config.models.get(name)?)));
+        if let Some(((name, model), since)) = known.zip(engine.loading_since) {
+            let time = view.concurrency.load_time(model.store_load_time, running);
             let left = time.saturating_sub(view.now.since(since));
             waits.push((name.clone(), left));
         }
     }
     let uncopied = view
-        .wants
+        .pending
         .iter()
         .filter(|want| want.adapter.is_none())
         .filter(|want| !survey.has_copy(&want.model) && !survey.is_coming(&want.model));
     for want in uncopied {
-        let Some(model) = view.engine.models.get(&want.model) else {
+        let Some(model) = view.config.models.get(&want.model) else {
             continue;
         };
         ahead += 1;
-        let rounds = ahead.div_ceil(view.fetches.max(1)) as f64;
-        waits.push((want.model.clone(), model.fetch.mul_f64(rounds)));
+        let rounds = ahead.div_ceil(view.max_fetches.max(1)) as f64;
+        waits.push((want.model.clone(), model.store_load_time.mul_f64(rounds)));
     }
     waits.extend(queues(view, &survey));
     waits
@@ -227,7 +231,7 @@
 /// How long the queues of models take to drain whose engines are all full, and that no disk brings another copy of.
 /// Whoever waits at an engine beyond those that it runs is as far ahead as those that wait at their instances.
 fn queues(view: &View<'_>, survey: &survey::Survey<'_>) -> BTreeMap<SmolStr, Duration> {
-    let drains = view.drains.iter().filter(|(_, drain)| **drain > 0.0);
+    let drains = view.drain_rates.iter().filter(|(_, drain)| **drain > 0.0);
     let full = drains.filter(|(model, _)| survey.is_full(model) && !survey.comes_soon(model));
     full.filter_map(|(model, drain)| {
         let queued = survey.waiting(model) + survey.beyond(model);
@@ -239,7 +243,7 @@
 
 /// Why a wanted model can't be used yet, for the log.
 #[must_use]
-pub fn obstacle(view: &View<'_>, model: &SmolStr) -> &'static str {
+pub fn blocked_reason(view: &View<'_>, model: &SmolStr) -> &'static str {
     let survey = survey::Survey::new(view);
     if survey.copies(model) > 0 {
         return "it is there";
@@ -250,21 +254,21 @@
     if !survey.has_copy(model) {
         return "it has no copy, and the weight store is in use";
     }
-    let usable = view.sites.iter().filter(|site| site.usable);
-    let mut copies = usable.filter(|site| tier(site, model) != Tier::Store);
-    if copies.clone().all(|site| site.fetching) {
+    let usable = view.engines.iter().filter(|engine| engine.usable);
+    let mut copies = usable.filter(|engine| tier(engine, model) != Tier::Store);
+    if copies.clone().all(|engine| engine.fetching) {
         return "engines with a copy load from the weight store";
     }
-    if copies.all(|site| site.ordering || site.held.busy) {
+    if copies.all(|engine| engine.order_pending || engine.held.busy) {
         return "engines with a copy carry out orders";
     }
     "nothing may make room for it"
 }
 
-fn tier(site: &Site, model: &SmolStr) -> Tier {
-    if site.held.in_host.contains(model) {
+fn tier(engine: &EngineState, model: &SmolStr) -> Tier {
+    if engine.held.in_host_memory.contains(model) {
         Tier::Host
-    } else if site.held.on_disk.contains(model) {
+    } else if engine.held.on_disk.contains(model) {
         Tier::Disk
     } else {
         Tier::Store
--- a/crates/fireflywheel/src/fleet/plan/pace.rs
+++ b/crates/fireflywheel/src/fleet/plan/concurrency.rs
@@ -17,21 +17,21 @@
 
 /// What is known of the weight store.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Estimate {
     bears: f64,
 }
 
-impl Default for Pace {
+impl Default for Estimate {
     fn default() -> Self {
         Self { bears: ASSUMED }
     }
 }
 
-impl Pace {
+impl Estimate {
     /// A load has ended that takes `alone` by itself and took `took`. It began among `first` loads, itself included, and
     /// there were `at_once` over its time. One that began among few says nothing of more, even if others came beside it:
     /// stores differ in whether these slow it down.
-    pub fn ended(&mut self, first: usize, at_once: usize, alone: Duration, took: Duration) {
+    pub fn observe(&mut self, first: usize, at_once: usize, alone: Duration, took: Duration) {
         if alone.is_zero() {
             return;
         }
@@ -47,13 +47,13 @@
 
     /// Loads that may run at the same time.
     #[must_use]
-    pub fn at_once(self) -> usize {
+    pub fn limit(self) -> usize {
         self.bears.round().max(1.0) as usize
     }
 
     /// How long a load takes among `at_once`.
     #[must_use]
-    pub fn time(self, alone: Duration, at_once: usize) -> Duration {
+    pub fn load_time(self, alone: Duration, at_once: usize) -> Duration {
         alone.mul_f64((at_once as f64 / self.bears).max(1.0))
     }
 }
--- a/crates/fireflywheel/src/fleet/plan/planner.rs
+++ b/crates/fireflywheel/src/fleet/plan/planner.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use super::survey::Survey;
-use super::{Site, Step, Tier, View, tier};
+use super::{EngineState, Step, Tier, View, tier};
 
 /// Requests in progress on one copy of a model from which another copy is wanted: beyond it, each further
 /// request makes all others of its batch slower.
@@ -27,10 +27,10 @@
 /// How much more a second of waiting counts than a request a second that loses its copy.
 const WAIT_WEIGHT: f64 = 1.0;
 
-/// A way to bring a model in at one site.
+/// A way to bring a model in at one engine.
 #[derive(Clone, Debug)]
 struct Way {
-    site: usize,
+    engine: usize,
     tier: Tier,
     /// What has to go first; loaded at once when there is nothing.
     victim: Option<SmolStr>,
@@ -42,12 +42,12 @@
     fn step(self, wanted: &SmolStr) -> Step {
         match self.victim {
             Some(victim) => Step::Unload {
-                site: self.site,
+                engine: self.engine,
                 model: victim,
                 wanted: wanted.clone(),
             },
             None => Step::Load {
-                site: self.site,
+                engine: self.engine,
                 model: wanted.clone(),
                 tier: self.tier,
             },
@@ -59,7 +59,7 @@
 pub(super) struct Planner<'a> {
     pub(super) view: &'a View<'a>,
     pub(super) survey: Survey<'a>,
-    /// Sites that have a step in this plan already.
+    /// Engines that have a step in this plan already.
     pub(super) taken: BTreeSet<usize>,
     pub(super) fetching: usize,
     pub(super) steps: Vec<Step>,
@@ -70,8 +70,8 @@
     /// another engine as well while this one rests, and two models were lost for one.
     pub(super) fn finish_swaps(&mut self) {
         let view = self.view;
-        for (place, site) in view.sites.iter().enumerate() {
-            let Some(model) = &site.room_for else {
+        for (place, engine) in view.engines.iter().enumerate() {
+            let Some(model) = &engine.making_room_for else {
                 continue;
             };
             if let Some(way) = self.way(place, model) {
@@ -84,7 +84,7 @@
     pub(super) fn bring_wanted(&mut self) {
         let view = self.view;
         let mut seen = BTreeSet::new();
-        for want in view.wants {
+        for want in view.pending {
             if !seen.insert(&want.model)
                 || self.survey.copies(&want.model) > 0
                 || self.survey.is_coming(&want.model)
@@ -101,18 +101,22 @@
     /// Adapters that are wanted where their model is.
     pub(super) fn bring_adapters(&mut self) {
         let view = self.view;
-        for want in view.wants {
+        for want in view.pending {
             let Some(adapter) = &want.adapter else {
                 continue;
             };
-            let there = |site: &Site| {
-                site.held.holds(&want.model, Some(adapter))
-                    || site
+            let there = |engine: &EngineState| {
+                engine.held.holds(&want.model, Some(adapter))
+                    || engine
                         .held
-                        .coming
+                        .loading_adapters
                         .contains(&(want.model.clone(), adapter.clone()))
             };
-            if view.sites.iter().any(|site| site.usable && there(site)) {
+            if view
+                .engines
+                .iter()
+                .any(|engine| engine.usable && there(engine))
+            {
                 continue;
             }
             self.bring_adapter(&want.model, adapter);
@@ -121,62 +125,69 @@
 
     fn bring_adapter(&mut self, model: &SmolStr, adapter: &SmolStr) {
         let view = self.view;
-        let host = (0..view.sites.len())
+        let host = (0..view.engines.len())
             .filter(|place| !self.taken.contains(place))
             .filter(|place| {
-                let site = &view.sites[*place];
-                site.usable && !site.ordering && !site.held.busy && site.held.holds(model, None)
+                let engine = &view.engines[*place];
+                engine.usable
+                    && !engine.order_pending
+                    && !engine.held.busy
+                    && engine.held.holds(model, None)
             })
             .min_by_key(|place| {
-                let site = &view.sites[*place];
+                let engine = &view.engines[*place];
                 (
-                    site.held.adapters() >= view.engine.adapter_places,
-                    site.held.adapters(),
+                    engine.held.adapters() >= view.config.adapter_slots,
+                    engine.held.adapters(),
                 )
             });
         let Some(place) = host else {
             return;
         };
-        let site = &view.sites[place];
+        let engine = &view.engines[place];
         let need = view
-            .engine
+            .config
             .models
             .get(model)
             .map_or(0.0, |model| model.adapter_mb);
-        let fits = site.held.adapters() < view.engine.adapter_places && self.free(place) >= need;
+        let fits = engine.held.adapters() < view.config.adapter_slots && self.free(place) >= need;
         if fits {
             self.push(Step::LoadAdapter {
-                site: place,
+                engine: place,
                 model: model.clone(),
                 adapter: adapter.clone(),
             });
         } else if let Some((model, adapter)) = self.idle_adapter(place) {
             self.push(Step::UnloadAdapter {
-                site: place,
+                engine: place,
                 model,
                 adapter,
             });
         }
     }
 
-    /// The adapter of a site that was loaded longest ago, among those that nothing uses.
+    /// The adapter of an engine that was loaded longest ago, among those that nothing uses.
     fn idle_adapter(&self, place: usize) -> Option<(SmolStr, SmolStr)> {
-        let site = &self.view.sites[place];
+        let engine = &self.view.engines[place];
         let wanted = |model: &SmolStr, adapter: &SmolStr| {
-            let mut wants = self.view.wants.iter();
+            let mut wants = self.view.pending.iter();
             wants.any(|want| want.model == *model && want.adapter.as_ref() == Some(adapter))
         };
-        site.held
+        engine
+            .held
             .models
             .iter()
             .flat_map(|(model, adapters)| adapters.iter().map(move |adapter| (model, adapter)))
             .filter(|(model, adapter)| !wanted(model, adapter))
             .map(|(model, adapter)| {
                 let key = (model.clone(), Some(adapter.clone()));
-                (site.since.get(&key).copied().unwrap_or_default(), key)
+                (
+                    engine.held_since.get(&key).copied().unwrap_or_default(),
+                    key,
+                )
             })
             .filter(|(since, _)| self.view.now.since(*since) >= ADAPTER_STAY)
-            .filter(|(_, key)| site.running.get(key).copied().unwrap_or_default() == 0)
+            .filter(|(_, key)| engine.running.get(key).copied().unwrap_or_default() == 0)
             .min_by_key(|(since, _)| *since)
             .and_then(|(_, (model, adapter))| Some((model, adapter?)))
     }
@@ -208,7 +219,7 @@
 
     /// Models whose requests crowd on their copies, the most crowded first.
     fn crowded(&self) -> Vec<&'a SmolStr> {
-        let models = self.view.engine.models.keys();
+        let models = self.view.config.models.keys();
         let mut crowded: Vec<(u32, &SmolStr)> = models
             // A copy that is ten seconds away is no reason to leave others on their disks.
             .filter(|model| !self.survey.comes_soon(model))
@@ -226,7 +237,7 @@
 
     fn is_overwhelmed(&self, model: &SmolStr) -> bool {
         let copies = u32::try_from(self.survey.copies(model)).unwrap_or(u32::MAX);
-        let places = copies.saturating_mul(self.view.engine.slots);
+        let places = copies.saturating_mul(self.view.config.slots);
         let many = self.survey.is_full(model) && self.survey.requests(model) > places;
         many || self.survey.pressure(model) > OVERWHELMED
     }
@@ -237,7 +248,7 @@
         let mut uncopied: Vec<SmolStr> = self.uncopied().cloned().collect();
         uncopied.sort_by(|a, b| self.rate(b).total_cmp(&self.rate(a)));
         for model in uncopied {
-            if self.fetching >= view.fetches {
+            if self.fetching >= view.max_fetches {
                 return;
             }
             if let Some(way) = self.best_way(&model, 0.0, true) {
@@ -248,7 +259,7 @@
 
     fn uncopied(&self) -> impl Iterator<Item = &SmolStr> {
         let view = self.view;
-        let models = view.engine.models.keys();
+        let models = view.config.models.keys();
         models.filter(move |model| !self.survey.has_copy(model) && !self.survey.is_coming(model))
     }
 
@@ -260,17 +271,17 @@
     }
 
     fn push(&mut self, step: Step) {
-        self.taken.insert(step.site());
+        self.taken.insert(step.engine());
         self.steps.push(step);
     }
 
     /// The cheapest way to bring a model in, among engines that can take an order now.
     fn best_way(&self, model: &SmolStr, waited: f64, fetch: bool) -> Option<Way> {
         let fetch = fetch
-            && self.fetching < self.view.fetches
+            && self.fetching < self.view.max_fetches
             && !self.survey.is_stored_unloaded(model)
             && !self.survey.is_coming(model);
-        (0..self.view.sites.len())
+        (0..self.view.engines.len())
             .filter(|place| !self.taken.contains(place))
             .filter_map(|place| self.way(place, model))
             // What another engine has on its disk comes from there, even if that one must be waited for.
@@ -283,23 +294,27 @@
     }
 
     fn way(&self, place: usize, name: &SmolStr) -> Option<Way> {
-        let site = &self.view.sites[place];
-        if !site.usable || site.ordering || site.held.busy || site.held.models.contains_key(name) {
+        let engine = &self.view.engines[place];
+        if !engine.usable
+            || engine.order_pending
+            || engine.held.busy
+            || engine.held.models.contains_key(name)
+        {
             return None;
         }
-        let model = self.view.engine.models.get(name)?;
-        let tier = tier(site, name);
+        let model = self.view.config.models.get(name)?;
+        let tier = tier(engine, name);
         let time = tier.load_time(model);
         let victims = self.victims(place, name, model.memory_mb)?;
         let loss: f64 = victims.iter().map(|victim| self.loss(place, victim)).sum();
-        // While a load runs here, whatever is swapped at this site has to wait.
+        // While a load runs here, whatever is swapped at this engine has to wait.
         let held_up = self.swapped_rate(place) * time.as_secs_f64();
-        let overloaded = site.limit.map_or(0.0, |_| OVERLOADED);
+        let overloaded = engine.limit.map_or(0.0, |_| OVERLOADED);
         Some(Way {
-            site: place,
+            engine: place,
             tier,
             victim: victims.into_iter().next(),
-            cost: time.as_secs_f64() + loss + held_up + overloaded + site.pressure.as_secs_f64(),
+            cost: time.as_secs_f64() + loss + held_up + overloaded + engine.pressure.as_secs_f64(),
         })
     }
 
@@ -310,14 +325,14 @@
         if free >= need {
             return Some(victims);
         }
-        let site = &self.view.sites[place];
-        let mut idle: Vec<(f64, &SmolStr, f64)> = site
+        let engine = &self.view.engines[place];
+        let mut idle: Vec<(f64, &SmolStr, f64)> = engine
             .held
             .models
             .keys()
             .filter(|model| *model != wanted && self.may_go(place, model))
             .filter_map(|model| {
-                let size = self.view.engine.models.get(model)?.memory_mb;
+                let size = self.view.config.models.get(model)?.memory_mb;
                 Some((self.loss(place, model) / size, model, size))
             })
             .collect();
@@ -333,20 +348,20 @@
     }
 
     fn may_go(&self, place: usize, model: &SmolStr) -> bool {
-        let site = &self.view.sites[place];
-        let running: u32 = site
+        let engine = &self.view.engines[place];
+        let running: u32 = engine
             .running
             .iter()
             .filter(|((running, _), _)| running == model)
             .map(|(_, count)| count)
             .sum();
-        let since = site
-            .since
+        let since = engine
+            .held_since
             .get(&(model.clone(), None))
             .copied()
             .unwrap_or_default();
         let copies = u32::try_from(self.survey.copies(model)).unwrap_or(u32::MAX);
-        let wanted = self.view.wants.iter().any(|want| want.model == *model);
+        let wanted = self.view.pending.iter().any(|want| want.model == *model);
         let needed = copies <= 1 && wanted;
         let many = self.survey.requests(model) > copies.saturating_sub(1) * REQUESTS_A_COPY;
         let crowded = copies > 0 && (many || self.survey.pressure(model) > CROWDED);
@@ -357,18 +372,18 @@
 
     /// Requests a second that will find this copy gone.
     fn loss(&self, place: usize, model: &SmolStr) -> f64 {
-        let site = &self.view.sites[place];
+        let engine = &self.view.engines[place];
         let copies = self.survey.copies(model).max(1) as f64;
-        let known = self.view.engine.models.get(model);
-        let again = known.map_or(Duration::ZERO, |known| tier(site, model).load_time(known));
+        let known = self.view.config.models.get(model);
+        let again = known.map_or(Duration::ZERO, |known| tier(engine, model).load_time(known));
         self.rate(model) / copies * (1.0 + again.as_secs_f64())
     }
 
     /// Requests a second for models with a copy here that aren't in any memory.
     fn swapped_rate(&self, place: usize) -> f64 {
-        let held = &self.view.sites[place].held;
+        let held = &self.view.engines[place].held;
         held.on_disk
-            .union(&held.in_host)
+            .union(&held.in_host_memory)
             .filter(|model| self.survey.copies(model) == 0)
             .map(|model| self.rate(model))
             .sum()
@@ -376,7 +391,7 @@
 
     fn rate(&self, model: &SmolStr) -> f64 {
         self.view
-            .rates
+            .arrival_rates
             .get(model)
             .copied()
             .unwrap_or_default()
@@ -384,34 +399,34 @@
     }
 
     fn free(&self, place: usize) -> f64 {
-        let site = &self.view.sites[place];
+        let engine = &self.view.engines[place];
         let size = |model: &SmolStr| {
-            let known = self.view.engine.models.get(model);
+            let known = self.view.config.models.get(model);
             // A model that the configuration doesn't name has an unknown size: nothing is put beside it.
-            known.map_or(self.view.engine.memory_mb, |known| known.memory_mb)
+            known.map_or(self.view.config.memory_mb, |known| known.memory_mb)
         };
         let adapter_size = |model: &SmolStr| {
-            let known = self.view.engine.models.get(model);
+            let known = self.view.config.models.get(model);
             known.map_or(0.0, |known| known.adapter_mb)
         };
-        let models: f64 = site.held.models.keys().map(size).sum();
-        let loading = site
+        let models: f64 = engine.held.models.keys().map(size).sum();
+        let loading = engine
             .loading
             .iter()
-            .filter(|model| !site.held.models.contains_key(*model));
+            .filter(|model| !engine.held.models.contains_key(*model));
         let loading: f64 = loading.map(size).sum();
-        let adapters: f64 = site
+        let adapters: f64 = engine
             .held
             .models
             .iter()
             .map(|(model, adapters)| adapter_size(model) * adapters.len() as f64)
             .sum();
-        let coming: f64 = site
+        let coming: f64 = engine
             .held
-            .coming
+            .loading_adapters
             .iter()
             .map(|(model, _)| adapter_size(model))
             .sum();
-        self.view.engine.memory_mb - models - loading - adapters - coming
+        self.view.config.memory_mb - models - loading - adapters - coming
     }
 }
--- a/crates/fireflywheel/src/fleet/plan/survey.rs
+++ b/crates/fireflywheel/src/fleet/plan/survey.rs
@@ -44,42 +44,46 @@
             coming: BTreeSet::new(),
             soon: BTreeSet::new(),
         };
-        for site in view.sites.iter().filter(|site| site.usable) {
+        for engine in view.engines.iter().filter(|engine| engine.usable) {
             // Models of an engine that takes fewer requests than they have need copies elsewhere.
-            let counted = usize::from(!site.is_short(view.rates));
-            for model in site.held.models.keys() {
+            let counted = usize::from(!engine.is_short(view.arrival_rates));
+            for model in engine.held.models.keys() {
                 *survey.copies.entry(model).or_default() += counted;
-                let least = survey.pressure.entry(model).or_insert(site.pressure);
-                *least = site.pressure.min(*least);
+                let least = survey.pressure.entry(model).or_insert(engine.pressure);
+                *least = engine.pressure.min(*least);
             }
-            let requests: u32 = site.running.values().sum();
-            if requests < view.engine.slots && counted > 0 {
-                survey.placed.extend(site.held.models.keys());
+            let requests: u32 = engine.running.values().sum();
+            if requests < view.config.slots && counted > 0 {
+                survey.placed.extend(engine.held.models.keys());
             }
-            for model in site.held.models.keys() {
+            for model in engine.held.models.keys() {
                 let beyond = survey.beyond.entry(model).or_default();
-                *beyond += requests.saturating_sub(view.engine.slots);
+                *beyond += requests.saturating_sub(view.config.slots);
             }
-            if !site.fetches() {
-                survey.soon.extend(&site.loading);
-                survey.soon.extend(&site.room_for);
+            if !engine.fetches() {
+                survey.soon.extend(&engine.loading);
+                survey.soon.extend(&engine.making_room_for);
             }
-            let stored = site.held.in_host.iter().chain(&site.held.on_disk);
+            let stored = engine
+                .held
+                .in_host_memory
+                .iter()
+                .chain(&engine.held.on_disk);
             for model in stored {
                 survey.stored.insert(model);
-                if !site.held.models.contains_key(model) {
+                if !engine.held.models.contains_key(model) {
                     survey.stored_unloaded.insert(model);
                 }
             }
-            survey.coming.extend(&site.loading);
-            survey.coming.extend(&site.room_for);
+            survey.coming.extend(&engine.loading);
+            survey.coming.extend(&engine.making_room_for);
         }
-        let running = view.sites.iter().flat_map(|site| &site.running);
+        let running = view.engines.iter().flat_map(|engine| &engine.running);
         let running = running.map(|((model, _), count)| (model, *count));
-        for want in view.wants {
+        for want in view.pending {
             *survey.waiting.entry(&want.model).or_default() += want.waiting;
         }
-        let waiting = view.wants.iter().map(|want| (&want.model, want.waiting));
+        let waiting = view.pending.iter().map(|want| (&want.model, want.waiting));
         for (model, count) in running.chain(waiting) {
             *survey.requests.entry(model).or_default() += count;
         }
--- a/crates/fireflywheel/src/fleet/quota/gate.rs
+++ b/crates/fireflywheel/src/fleet/quota/gate.rs
@@ -15,7 +15,7 @@
 const OFFER_HALF_LIFE: Duration = Duration::from_secs(1);
 /// The steward's shares are followed for so long after the instance said something that the steward has heard. It is heard
 /// several times in that, unless the link or one of its ends is slow.
-pub const SHARES_STAND: Duration = Duration::from_millis(800);
+pub const SHARES_TTL: Duration = Duration::from_millis(800);
 /// The share of what nobody used that goes to instances by their use of the rest.
 const BY_USE: f64 = 0.5;
 /// The longest wait that a refused caller is told.
@@ -184,7 +184,7 @@
     /// Instances that share the quota.
     pub instances: usize,
     /// The steward's shares are young enough to be followed.
-    pub told_stands: bool,
+    pub shares_valid: bool,
 }
 
 impl Gate {
@@ -206,7 +206,7 @@
     }
 
     /// The steward tells the organisation's share; none if it doesn't know the organisation.
-    pub fn learn(&mut self, now: clock::Instant, share: Option<Share>) {
+    pub fn update_share(&mut self, now: clock::Instant, share: Option<Share>) {
         self.kept = self.own.per_second(now, USE_HALF_LIFE);
         self.told = share;
     }
@@ -226,7 +226,7 @@
         past.forget(now);
         self.offered += cost;
         self.offering.add(now, OFFER_HALF_LIFE, 1.0);
-        let told = self.told.as_ref().filter(|_| view.told_stands);
+        let told = self.told.as_ref().filter(|_| view.shares_valid);
         if let Some(told) = told {
             let mut policy = Shared {
                 admit: told.admit.into(),
@@ -246,7 +246,7 @@
     }
 
     /// A request that was admitted has not run and won't.
-    pub fn give_back(&mut self, now: clock::Instant, cost: f64) {
+    pub fn refund(&mut self, now: clock::Instant, cost: f64) {
         self.admitted -= cost;
         self.own.add(now, USE_HALF_LIFE, -cost);
         if let Some(past) = &mut self.past {
@@ -256,7 +256,7 @@
 
     /// A link was made. A steward that has acted all the while left this instance its part; a new one must know what was
     /// admitted before it.
-    pub fn linked(&mut self) {
+    pub fn link_opened(&mut self) {
         self.offered = 0.0;
         self.admitted = 0.0;
         self.untold = true;
--- a/crates/fireflywheel/src/fleet/quota/meter.rs
+++ b/crates/fireflywheel/src/fleet/quota/meter.rs
@@ -100,7 +100,7 @@
     }
 
     /// An instance has a link, or had one all along.
-    pub fn arrived(&mut self, instance: &SmolStr) {
+    pub fn link_opened(&mut self, instance: &SmolStr) {
         self.linked.insert(instance.clone());
         self.away.remove(instance);
         for account in self.accounts.values_mut() {
@@ -109,7 +109,7 @@
     }
 
     /// An instance's link has ended: it may admit its part without telling.
-    pub fn left(&mut self, now: clock::Instant, instance: &SmolStr) {
+    pub fn link_closed(&mut self, now: clock::Instant, instance: &SmolStr) {
         if !self.linked.remove(instance) {
             return;
         }
@@ -123,8 +123,8 @@
     }
 
     /// An instance tells what it was asked for and admitted.
-    pub fn hear(&mut self, now: clock::Instant, instance: &SmolStr, usage: &[Usage]) {
-        self.arrived(instance);
+    pub fn record_usage(&mut self, now: clock::Instant, instance: &SmolStr, usage: &[Usage]) {
+        self.link_opened(instance);
         for used in usage {
             if let Some(account) = self.accounts.get_mut(&used.organisation) {
                 account.use_up(now, instance, used);
--- a/crates/fireflywheel/src/fleet/rate.rs
+++ b/crates/fireflywheel/src/fleet/rate.rs
@@ -6,12 +6,12 @@
 
 /// A limit on how often something is done. What was left unused for a second may be done at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct Limiter {
     per_second: f64,
     bucket: bucket::Bucket,
 }
 
-impl Limit {
+impl Limiter {
     /// So many in a second, and as many at the start.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
@@ -24,7 +24,7 @@
 
     /// Takes one; `false` when there is none left.
     #[must_use]
-    pub fn take(&mut self, now: clock::Instant) -> bool {
+    pub fn try_acquire(&mut self, now: clock::Instant) -> bool {
         self.bucket.fill(now, self.per_second);
         self.bucket.take()
     }
--- a/crates/fireflywheel/src/fleet/budget.rs
+++ b/crates/fireflywheel/src/fleet/retry_budget.rs
@@ -49,13 +49,13 @@
     }
 
     /// A request was sent for the first time.
-    pub fn first(&mut self, now: clock::Instant) {
+    pub fn record_request(&mut self, now: clock::Instant) {
         self.part(now).first += 1;
     }
 
     /// Takes one repeat; `false` when the part of this instance, one of `instances`, is used up.
     #[must_use]
-    pub fn repeat(&mut self, now: clock::Instant, instances: usize) -> bool {
+    pub fn try_retry(&mut self, now: clock::Instant, instances: usize) -> bool {
         self.part(now);
         let first: u32 = self.parts.iter().map(|part| part.first).sum();
         let repeats: u32 = self.parts.iter().map(|part| part.repeats).sum();
--- a/crates/fireflywheel/src/fleet/routing.rs
+++ b/crates/fireflywheel/src/fleet/routing.rs
@@ -41,7 +41,7 @@
 
 /// What an instance has seen of one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct Stats {
     /// Its own requests there.
     pub in_flight: u32,
     report: Option<(clock::Instant, Report)>,
@@ -56,47 +56,47 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// What was seen of it.
-    pub seen: &'a Seen,
+    pub stats: &'a Stats,
     /// Requests that it runs at once.
     pub slots: u32,
     /// It is in the failure domain of this instance.
-    pub near: bool,
+    pub same_domain: bool,
     /// Requests of other instances there, as far as the steward tells. They say whether there is room, and not which engine
     /// is better: all instances hear the same, some moments late, and would all turn to the one that was idle then.
-    pub others: u32,
+    pub other_requests: u32,
     /// Until the prompt is read there, as a share of the time within which the first event is on time.
-    pub reading: f64,
+    pub prefill_ratio: f64,
 }
 
-impl Seen {
+impl Stats {
     /// A load report came.
-    pub fn reported(&mut self, now: clock::Instant, report: Report) {
+    pub fn record_report(&mut self, now: clock::Instant, report: Report) {
         self.report = Some((now, report));
     }
 
     /// It answered as it should.
-    pub fn succeeded(&mut self, now: clock::Instant) {
+    pub fn record_success(&mut self, now: clock::Instant) {
         self.failing = self.failing_at(now) * (1.0 - FAILURE_STEP);
         self.failed = now;
         self.down_until = clock::Instant::default();
     }
 
     /// It failed a request.
-    pub fn failed(&mut self, now: clock::Instant) {
+    pub fn record_failure(&mut self, now: clock::Instant) {
         let failing = self.failing_at(now);
         self.failing = failing + (1.0 - failing) * FAILURE_STEP;
         self.failed = now;
     }
 
     /// It couldn't be reached.
-    pub fn unreachable(&mut self, now: clock::Instant) {
-        self.failed(now);
+    pub fn record_unreachable(&mut self, now: clock::Instant) {
+        self.record_failure(now);
         self.down_until = now.after(DOWN);
         self.probed = now;
     }
 
     /// Whether one request may try it although it couldn't be reached; counts as tried from then on.
-    pub fn probe(&mut self, now: clock::Instant) -> bool {
+    pub fn try_probe(&mut self, now: clock::Instant) -> bool {
         let due = now.since(self.probed) >= PROBE;
         if due {
             self.probed = now;
@@ -105,12 +105,12 @@
     }
 
     /// Another server answers at its address: its entry is old.
-    pub fn replaced(&mut self, now: clock::Instant) {
+    pub fn record_replaced(&mut self, now: clock::Instant) {
         self.down_until = now.after(REPLACED);
     }
 
     /// It had no room.
-    pub fn full(&mut self, now: clock::Instant) {
+    pub fn record_full(&mut self, now: clock::Instant) {
         self.full_until = now.after(FULL);
     }
 
@@ -142,18 +142,18 @@
     /// of which the steward tells nothing has room until it says otherwise.
     fn has_room(&self, now: clock::Instant) -> bool {
         let most = f64::from(self.slots) * (1.0 + QUEUE_SHARE);
-        let known = f64::from(self.seen.in_flight + self.others);
-        let crowded = self.others > 0 && known >= most;
-        now >= self.seen.full_until && !crowded
+        let known = f64::from(self.stats.in_flight + self.other_requests);
+        let crowded = self.other_requests > 0 && known >= most;
+        now >= self.stats.full_until && !crowded
     }
 
     /// How unwelcome it is to send one more request there.
     fn cost(&self, now: clock::Instant) -> f64 {
         let slots = f64::from(self.slots.max(1));
-        let mut cost = self.seen.load(now) / slots;
-        cost += self.seen.failing_at(now) * FAILURE_WEIGHT;
-        cost += if self.near { 0.0 } else { DISTANCE };
-        cost + self.reading
+        let mut cost = self.stats.load(now) / slots;
+        cost += self.stats.failing_at(now) * FAILURE_WEIGHT;
+        cost += if self.same_domain { 0.0 } else { DISTANCE };
+        cost + self.prefill_ratio
     }
 }
 
@@ -171,7 +171,7 @@
         .filter(|place| candidates[*place].has_room(now))
         .min_by(|a, b| {
             let (a, b) = (&candidates[*a], &candidates[*b]);
-            let down = a.seen.is_down(now).cmp(&b.seen.is_down(now));
+            let down = a.stats.is_down(now).cmp(&b.stats.is_down(now));
             down.then(a.cost(now).total_cmp(&b.cost(now)))
         })
 }
--- a/crates/fireflywheel/src/fleet/server.rs
+++ b/crates/fireflywheel/src/fleet/server.rs
@@ -26,9 +26,9 @@
     /// When it will be gone, if it said so.
     pub leaves: Option<clock::Instant>,
     /// Unix milliseconds of its start.
-    pub born: u64,
+    pub started_ms: u64,
     /// Which of its entries since its start this is; 0 if it doesn't say so.
-    pub count: u64,
+    pub revision: u64,
     /// What it holds, as of its last entry.
     pub held: Held,
 }
@@ -36,8 +36,8 @@
 impl Server {
     /// Whether its entry is older than another one of the same process.
     #[must_use]
-    pub fn is_older(&self, born: u64, count: u64) -> bool {
-        self.born == born && self.count > 0 && self.count < count
+    pub fn is_older(&self, started_ms: u64, revision: u64) -> bool {
+        self.started_ms == started_ms && self.revision > 0 && self.revision < revision
     }
 }
 
@@ -58,9 +58,11 @@
     /// Models in memory, with their adapters.
     pub models: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
     /// Adapters on their way, as model and adapter.
-    pub coming: BTreeSet<(SmolStr, SmolStr)>,
+    #[serde(rename = "coming")]
+    pub loading_adapters: BTreeSet<(SmolStr, SmolStr)>,
     /// Models with a copy in host memory.
-    pub in_host: BTreeSet<SmolStr>,
+    #[serde(rename = "in_host")]
+    pub in_host_memory: BTreeSet<SmolStr>,
     /// Models with a copy on its disk.
     pub on_disk: BTreeSet<SmolStr>,
 }
@@ -77,6 +79,6 @@
     /// Adapters in memory and on their way.
     #[must_use]
     pub fn adapters(&self) -> usize {
-        self.models.values().map(BTreeSet::len).sum::<usize>() + self.coming.len()
+        self.models.values().map(BTreeSet::len).sum::<usize>() + self.loading_adapters.len()
     }
 }
--- a/crates/fireflywheel/src/fleet/settings.rs
+++ b/crates/fireflywheel/src/fleet/settings.rs
@@ -24,7 +24,7 @@
 
 use smol_str::SmolStr;
 
-use super::{budget, lease};
+use super::{lease, retry_budget};
 use crate::{fault, field, ini_text};
 
 /// The largest settings file, in bytes.
@@ -88,7 +88,7 @@
     /// `[platform] store`.
     pub store: SocketAddr,
     /// `[platform] apply_ms`, 2,000 if left out: within this of its acceptance a configuration must be in force.
-    pub apply: Duration,
+    pub config_deadline: Duration,
     /// `[steward] lease_ms`, 3,000 if left out: the times of the steward's lease.
     pub lease: lease::Options,
     /// `[steward] fenced`, no if left out: engines refuse orders of an earlier holder.
@@ -99,17 +99,17 @@
     /// `[steward] tell_all`, 50,000 if left out: up to so many instances times engines, the steward tells all instances of all
     /// engines. Then one that loses the steward while the store is away still knows where each model is; beyond, what is
     /// told would grow faster than links carry.
-    pub tell_all: usize,
+    pub all_engines_limit: usize,
     /// `[steward] config_bytes`, a megabyte if left out: a new configuration is sent to all instances if that is no more in all, and else to
     /// those only that the store doesn't answer.
     pub config_bytes: usize,
     /// `[repeats] ratio`, `extra` and `window_ms`: how much may be repeated; a tenth and nothing more if left out.
-    pub repeats: budget::Options,
+    pub retry_budget: retry_budget::Options,
     /// `[quotas]`: how quotas of organisations are held.
     pub quotas: Quotas,
     /// `[backend] obey_ms`, 2,000 if left out: within this of its entry a backend server that leaves must get no
     /// more requests.
-    pub obey: Duration,
+    pub leaving_deadline: Duration,
     /// `[stop] grace_ms`, 8,000 if left out: how long a planned stop may take.
     pub grace: Duration,
     /// Connections of callers at once, from `[limits] descriptors`.
@@ -180,15 +180,15 @@
         peers,
         peers_advertised,
         store,
-        apply,
+        config_deadline: apply,
         lease: steward.lease,
         fenced: steward.fenced,
         first_start: steward.first_start,
-        tell_all: steward.tell_all,
+        all_engines_limit: steward.tell_all,
         config_bytes: steward.config_bytes,
-        repeats,
+        retry_budget: repeats,
         quotas,
-        obey: obey.unwrap_or(Duration::from_secs(2)),
+        leaving_deadline: obey.unwrap_or(Duration::from_secs(2)),
         grace: grace.unwrap_or(Duration::from_secs(8)),
         connections: read_connections(&find("limits"), faults),
         log: read_log(&find("log"), faults),
@@ -303,9 +303,9 @@
     }
 }
 
-fn read_repeats(section: &ini_text::Section, faults: &mut fault::List) -> budget::Options {
+fn read_repeats(section: &ini_text::Section, faults: &mut fault::List) -> retry_budget::Options {
     let mut reader = field::Reader::new(section, faults);
-    let repeats = budget::Options {
+    let repeats = retry_budget::Options {
         ratio: reader.optional_number("ratio", RATIO).unwrap_or(0.1),
         extra: reader.optional_number("extra", EXTRA).unwrap_or(0.0),
         window: reader
--- a/crates/fireflywheel/src/fleet/size.rs
+++ b/crates/fireflywheel/src/fleet/size.rs
@@ -30,7 +30,7 @@
     }
 
     /// The steward's count is `count` now.
-    pub fn told(&mut self, now: clock::Instant, count: usize) {
+    pub fn update(&mut self, now: clock::Instant, count: usize) {
         let count = count.max(1);
         while self.counts.back().is_some_and(|(_, last)| *last <= count) {
             self.counts.pop_back();
--- a/crates/fireflywheel/src/fleet/subscription.rs
+++ b/crates/fireflywheel/src/fleet/subscription.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 
 /// An instance takes what it was told of a model for complete until this long after its last request for it.
-pub const LASTS: Duration = Duration::from_secs(30);
+pub const TTL: Duration = Duration::from_secs(30);
 /// The steward goes on telling for longer, so that an instance never relies on what it isn't told any more.
 const KEPT: Duration = Duration::from_secs(60);
 
@@ -31,7 +31,7 @@
 
 impl Registry {
     /// An engine holds these models from now on; the links that are to be told.
-    pub fn changed<'a, I>(&mut self, engine: &SmolStr, models: I) -> BTreeSet<u64>
+    pub fn update_engine<'a, I>(&mut self, engine: &SmolStr, models: I) -> BTreeSet<u64>
     where
         I: IntoIterator<Item = &'a SmolStr>,
     {
@@ -63,7 +63,7 @@
 
     /// The links that are told of an engine.
     #[must_use]
-    pub fn links(&self, engine: &str) -> BTreeSet<u64> {
+    pub fn subscribers(&self, engine: &str) -> BTreeSet<u64> {
         let models = self.held.get(engine).into_iter().flatten();
         models
             .filter_map(|model| self.subscribers.get(model))
@@ -91,7 +91,7 @@
     }
 
     /// A link has ended.
-    pub fn end(&mut self, link: u64) {
+    pub fn remove_link(&mut self, link: u64) {
         for model in self.models.remove(&link).unwrap_or_default() {
             self.drop_link(&model, link);
         }
--- a/crates/fireflywheel/src/fleet/patience.rs
+++ b/crates/fireflywheel/src/fleet/timeout.rs
@@ -26,11 +26,11 @@
 /// The least of an outage that has just begun: most starts are over then.
 const SHORTEST_OUTAGE: Duration = Duration::from_millis(300);
 
-/// How long a queue may be that a request joins which is kept for `patience`. Whoever would wait in vain is better told at
+/// How long a queue may be that a request joins which is kept for `timeout`. Whoever would wait in vain is better told at
 /// once when to come back.
 #[must_use]
-pub fn queueing(patience: Duration) -> Duration {
-    patience.mul_f64(QUEUEING_SHARE)
+pub fn max_queue_wait(timeout: Duration) -> Duration {
+    timeout.mul_f64(QUEUEING_SHARE)
 }
 
 /// How long a caller waits for the first byte of a response.
@@ -40,7 +40,7 @@
     if !route.kind.is_stream() {
         return whole;
     }
-    let pause = route.pause.unwrap_or_default() * PAUSES;
+    let pause = route.max_event_gap.unwrap_or_default() * PAUSES;
     let patience = SHORTEST_STREAM_PATIENCE
         .max(route.objective * OBJECTIVES)
         .max(pause);
@@ -57,6 +57,6 @@
 
 /// How much longer an outage is likely to last that has lasted so long.
 #[must_use]
-pub fn outage(lasted: Duration) -> Duration {
+pub fn remaining_outage(lasted: Duration) -> Duration {
     (lasted * OUTAGE_FACTOR).max(SHORTEST_OUTAGE)
 }
--- a/crates/fireflywheel/src/fleet/track.rs
+++ b/crates/fireflywheel/src/fleet/tracker.rs
@@ -5,7 +5,7 @@
 
 use smol_str::SmolStr;
 
-use super::{frame, plan, server, work};
+use super::{frame, load, plan, server};
 use crate::clock;
 
 /// Reports tell of this long ago.
@@ -25,7 +25,7 @@
 
 /// One engine.
 #[derive(Clone, Debug)]
-pub struct Track {
+pub struct Tracker {
     /// The group that it belongs to.
     pub group: SmolStr,
     /// What it holds, as far as reports and accepted orders tell.
@@ -55,7 +55,7 @@
     /// When the next report is of use.
     report_at: Option<clock::Instant>,
     since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
-    pressure: work::Pressure,
+    pressure: load::Pressure,
     /// When an order was last accepted: reports asked for before tell of the time before it.
     changed: clock::Instant,
     busy_since: Option<clock::Instant>,
@@ -81,7 +81,7 @@
     pub took: Duration,
 }
 
-impl Track {
+impl Tracker {
     /// An engine that hasn't reported yet.
     #[must_use]
     pub fn new(group: SmolStr, server: server::Server) -> Self {
@@ -101,15 +101,15 @@
             asking: false,
             report_at: Some(clock::Instant::default()),
             since: BTreeMap::new(),
-            pressure: work::Pressure::default(),
+            pressure: load::Pressure::default(),
             changed: clock::Instant::default(),
             busy_since: None,
         }
     }
 
     /// Takes in the directory's entry.
-    pub fn follow(&mut self, server: server::Server) {
-        if server.born != self.server.born || server.address != self.server.address {
+    pub fn update_server(&mut self, server: server::Server) {
+        if server.started_ms != self.server.started_ms || server.address != self.server.address {
             *self = Self::new(self.group.clone(), server);
             return;
         }
@@ -119,12 +119,12 @@
     /// What a plan needs of it. An order counts from the moment it is sent: plans are made more often than answers
     /// come, and the next one would send the same load to another engine too. One notices it by loads of one model at
     /// several engines within milliseconds, and by more loads from the weight store than it can run.
-    pub fn site(
+    pub fn engine_state(
         &mut self,
         now: clock::Instant,
         running: BTreeMap<(SmolStr, Option<SmolStr>), u32>,
         unread: u32,
-    ) -> plan::Site {
+    ) -> plan::EngineState {
         let staying = self.server.leaves.is_none_or(|at| at.since(now) > LEAVING);
         let unknown_fetch = self.held.busy
             && self.loading.is_none()
@@ -134,20 +134,21 @@
         let loading = self.loading.as_ref().map(|loading| &loading.model);
         let mut held = self.held.clone();
         if let Some(plan::Step::LoadAdapter { model, adapter, .. }) = &self.sent {
-            held.coming.insert((model.clone(), adapter.clone()));
+            held.loading_adapters
+                .insert((model.clone(), adapter.clone()));
         }
-        plan::Site {
+        plan::EngineState {
             held,
             usable: self.server.ready && staying && !self.silent,
-            ordering: self.sent.is_some() || self.doubt || now < self.rest,
+            order_pending: self.sent.is_some() || self.doubt || now < self.rest,
             loading: loading.or(self.sent_load()).cloned(),
             loading_since: self.loading.as_ref().map(|loading| loading.since),
             fetching: unknown_fetch || self.is_fetching(),
-            room_for: self.sent_room().or(self.room_for.as_ref()).cloned(),
+            making_room_for: self.sent_room().or(self.room_for.as_ref()).cloned(),
             running,
             pressure: self.pressure.update(now, unread),
             limit: None,
-            since: self.since.clone(),
+            held_since: self.since.clone(),
         }
     }
 
@@ -168,14 +169,14 @@
     }
 
     /// An order is on its way.
-    pub fn sent(&mut self, now: clock::Instant, step: plan::Step) {
+    pub fn order_sent(&mut self, now: clock::Instant, step: plan::Step) {
         self.sent = Some(step);
         self.room_for = None;
         self.rest = now;
     }
 
     /// A plan has no order for it. If it could have taken one, what room was made for is not to be loaded any more.
-    pub fn passed_over(&mut self, now: clock::Instant) {
+    pub fn not_planned(&mut self, now: clock::Instant) {
         let free = self.sent.is_none() && !self.doubt && !self.held.busy && now >= self.rest;
         if free {
             self.room_for = None;
@@ -184,7 +185,7 @@
 
     /// An order is being carried out, or was at once. `takes` is how long it should take, `first` how many loads
     /// from the weight store there are with it.
-    pub fn accepted(
+    pub fn order_accepted(
         &mut self,
         now: clock::Instant,
         step: &plan::Step,
@@ -213,7 +214,9 @@
                 self.forget(model);
             }
             plan::Step::LoadAdapter { model, adapter, .. } => {
-                self.held.coming.insert((model.clone(), adapter.clone()));
+                self.held
+                    .loading_adapters
+                    .insert((model.clone(), adapter.clone()));
                 let at = now.after(ADAPTER_TIME + REPORT_LAG);
                 self.report_at = Some(self.report_at.map_or(at, |before| before.min(at)));
             }
@@ -227,14 +230,14 @@
     }
 
     /// An order came while another was carried out, or the engine has accepted more orders than known.
-    pub fn conflicted(&mut self, now: clock::Instant) {
+    pub fn order_conflicted(&mut self, now: clock::Instant) {
         self.sent = None;
         self.rest = now.after(ORDER_PAUSE);
         self.report_at.get_or_insert(now.after(REPORT_LAG));
     }
 
     /// It isn't known whether an order arrived: what it asks for may come, until a report tells.
-    pub fn unanswered(&mut self, now: clock::Instant) {
+    pub fn order_unanswered(&mut self, now: clock::Instant) {
         self.doubt = true;
         self.changed = now;
         self.report_at = Some(now.after(REPORT_LAG));
@@ -253,18 +256,18 @@
 
     /// Whether a report is on its way.
     #[must_use]
-    pub fn is_asked(&self) -> bool {
+    pub fn is_report_pending(&self) -> bool {
         self.asking
     }
 
     /// A report is asked for.
-    pub fn asked(&mut self, now: clock::Instant) {
+    pub fn report_requested(&mut self, now: clock::Instant) {
         self.asking = true;
         self.report_at = Some(now.after(REPORT_PAUSE));
     }
 
     /// A report that was asked for at `asked`; whether there is something to tell.
-    pub fn reported(
+    pub fn report_received(
         &mut self,
         asked: clock::Instant,
         now: clock::Instant,
@@ -305,7 +308,7 @@
         } else {
             self.busy_since.get_or_insert(now);
         }
-        let settled = !self.held.busy && self.held.coming.is_empty();
+        let settled = !self.held.busy && self.held.loading_adapters.is_empty();
         if settled {
             self.report_at = None;
         }
@@ -345,7 +348,7 @@
     }
 
     /// No usable report came, or the engine can't be reached; whether what the directory says of it should be told instead.
-    pub fn unreported(&mut self, now: clock::Instant, reached: bool) -> bool {
+    pub fn report_failed(&mut self, now: clock::Instant, reached: bool) -> bool {
         self.asking = false;
         self.report_at = Some(now.after(REPORT_PAUSE * 3));
         self.silent = !reached;
@@ -354,6 +357,6 @@
 
     fn forget(&mut self, model: &SmolStr) {
         self.since.retain(|(name, _), _| name != model);
-        self.held.coming.retain(|(name, _)| name != model);
+        self.held.loading_adapters.retain(|(name, _)| name != model);
     }
 }
--- a/crates/fireflywheel/tests/fleet/silence.rs
+++ b/crates/fireflywheel/tests/fleet/adaptive_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflywheel::fleet::silence::Usual;
+use fireflywheel::fleet::adaptive_timeout::Estimator;
 
 use crate::cases;
 
@@ -10,11 +10,11 @@
     Duration::from_millis(value)
 }
 
-fn usual<I>(times: I) -> Usual
+fn usual<I>(times: I) -> Estimator
 where
     I: IntoIterator<Item = u64>,
 {
-    let mut usual = Usual::default();
+    let mut usual = Estimator::default();
     for took in times {
         usual.observe(millis(took));
     }
@@ -26,7 +26,7 @@
 where
     I: IntoIterator<Item = u64>,
 {
-    let limit = usual(times).limit().expect("enough were seen");
+    let limit = usual(times).timeout().expect("enough were seen");
     assert!((millis(least)..=millis(most)).contains(&limit), "{limit:?}");
 }
 
@@ -40,7 +40,7 @@
     });
     let mut usual = usual(times.clone().take(200));
     let late = times.skip(200).filter(|took| {
-        let late = usual.limit().is_some_and(|limit| millis(*took) > limit);
+        let late = usual.timeout().is_some_and(|limit| millis(*took) > limit);
         usual.observe(millis(*took));
         late
     });
@@ -50,7 +50,7 @@
 
 cases! {
     /// A second run for each of the first requests would double the load just when a server starts.
-    few_seen => assert_eq!(usual([40; 15]).limit(), None);
+    few_seen => assert_eq!(usual([40; 15]).timeout(), None);
     /// Servers that answer at once.
     steady => limit([40; 100], 200, 200);
     /// Engines that take some hundred milliseconds: an answer that is lost is missed long before its caller leaves.
--- a/crates/fireflywheel/tests/fleet/backoff.rs
+++ b/crates/fireflywheel/tests/fleet/backoff.rs
@@ -34,7 +34,7 @@
         let due = self.refused.iter().filter(|at| **at <= now).count();
         self.refused.retain(|at| *at > now);
         for _ in 0..due {
-            self.backoff.failed(now, MOST, draw);
+            self.backoff.record_failure(now, MOST, draw);
         }
         while self.refused.len() < READERS && self.backoff.claim(now, MOST, draw).is_zero() {
             self.refused.push(now.after(ANSWER));
@@ -54,7 +54,7 @@
         }
         // Nothing comes back until the call's own limit.
         now = now.after(backoff.wait(USUAL_WAIT) + CALL_LIMIT);
-        backoff.failed(now, MOST, *draw);
+        backoff.record_failure(now, MOST, *draw);
     }
     now.0.saturating_sub(silence)
 }
@@ -104,7 +104,7 @@
             let mut now = Instant(1000);
             for _ in 0..u.int_in_range(1..=2000)? {
                 let draw = f64::from(u.arbitrary::<u16>()?) / 65536.0;
-                backoff.failed(now, MOST, draw);
+                backoff.record_failure(now, MOST, draw);
                 let left = backoff.claim(now, MOST, draw);
                 assert!(left <= MOST, "{left:?}");
                 now = now.after(left);
@@ -117,14 +117,14 @@
     one_at_a_time => {
         let mut backoff = Backoff::default();
         assert!(backoff.claim(Instant(0), MOST, 0.5).is_zero());
-        backoff.failed(Instant(0), MOST, 0.5);
+        backoff.record_failure(Instant(0), MOST, 0.5);
         let left = backoff.claim(Instant(0), MOST, 0.5);
         let later = Instant(0).after(left);
         assert!(!left.is_zero());
         assert!(backoff.claim(later, MOST, 0.5).is_zero());
         assert!(!backoff.claim(later, MOST, 0.5).is_zero());
-        assert!(backoff.succeeded());
+        assert!(backoff.record_success());
         assert!(backoff.claim(later, MOST, 0.5).is_zero());
-        assert!(!backoff.succeeded());
+        assert!(!backoff.record_success());
     };
 }
--- a/crates/fireflywheel/tests/fleet/pace.rs
+++ b/crates/fireflywheel/tests/fleet/concurrency.rs
@@ -3,26 +3,26 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use fireflywheel::fleet::plan::pace::Pace;
+use fireflywheel::fleet::plan::concurrency::Estimate;
 
 use crate::cases;
 
 const ALONE: Duration = Duration::from_secs(10);
 
 /// Keeps a store busy that bears so many loads at full speed, until this many have ended.
-fn learn(bears: usize, loads: usize) -> Pace {
-    let mut pace = Pace::default();
+fn learn(bears: usize, loads: usize) -> Estimate {
+    let mut pace = Estimate::default();
     for _ in 0..loads {
-        let at_once = pace.at_once();
+        let at_once = pace.limit();
         let stretch = (at_once as f64 / bears as f64).max(1.0);
-        pace.ended(at_once, at_once, ALONE, ALONE.mul_f64(stretch));
+        pace.observe(at_once, at_once, ALONE, ALONE.mul_f64(stretch));
     }
     pace
 }
 
 /// All that the store bears are sent, and at most half as many again: one more is tried now and then.
 fn learned(bears: usize) {
-    let at_once = learn(bears, 30).at_once();
+    let at_once = learn(bears, 30).limit();
     assert!(
         at_once >= bears && at_once * 2 <= bears * 3,
         "{at_once} of {bears}"
@@ -31,36 +31,36 @@
 
 fn one_slow_load_is_forgotten() {
     let mut pace = learn(4, 30);
-    let before = pace.at_once();
-    pace.ended(before, before, ALONE, ALONE * 3);
+    let before = pace.limit();
+    pace.observe(before, before, ALONE, ALONE * 3);
     for _ in 0..20 {
-        pace.ended(pace.at_once(), pace.at_once(), ALONE, ALONE);
+        pace.observe(pace.limit(), pace.limit(), ALONE, ALONE);
     }
-    assert!(pace.at_once() >= before);
+    assert!(pace.limit() >= before);
 }
 
 fn it_stays_within_reason() {
     arbtest(|u| {
-        let mut pace = Pace::default();
+        let mut pace = Estimate::default();
         for _ in 0..u.int_in_range(1..=100)? {
             let took = Duration::from_millis(u.int_in_range(0..=100_000)?);
             let alone = Duration::from_millis(u.int_in_range(0..=20_000)?);
             let (first, at_once) = (u.int_in_range(0..=8)?, u.int_in_range(0..=8)?);
-            pace.ended(first, at_once, alone, took);
-            assert!((1..=40).contains(&pace.at_once()));
-            assert!(pace.time(ALONE, 1) == ALONE);
+            pace.observe(first, at_once, alone, took);
+            assert!((1..=40).contains(&pace.limit()));
+            assert!(pace.load_time(ALONE, 1) == ALONE);
         }
         Ok(())
     });
 }
 
 fn first_loads_say_nothing_of_more() {
-    let mut pace = Pace::default();
-    let before = pace.at_once();
+    let mut pace = Estimate::default();
+    let before = pace.limit();
     // Four were sent one after the other; these two began alone and among two.
-    pace.ended(1, before, ALONE, ALONE);
-    pace.ended(2, before, ALONE, ALONE);
-    assert_eq!(pace.at_once(), before);
+    pace.observe(1, before, ALONE, ALONE);
+    pace.observe(2, before, ALONE, ALONE);
+    assert_eq!(pace.limit(), before);
 }
 
 cases! {
--- a/crates/fireflywheel/tests/fleet/config.rs
+++ b/crates/fireflywheel/tests/fleet/config.rs
@@ -18,11 +18,11 @@
         kind: Kind::Once,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
-        pause: None,
+        max_event_gap: None,
         rank: 0,
         targets: targets.collect(),
         attempts: 1,
-        open: false,
+        allow_anonymous: false,
     }
 }
 
--- a/crates/fireflywheel/tests/fleet/crowd.rs
+++ b/crates/fireflywheel/tests/fleet/crowd.rs
@@ -6,13 +6,13 @@
 
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::config::{Engine, Model};
-use fireflywheel::fleet::demand::{Board, Count, Demand, Lane, Running};
-use fireflywheel::fleet::patience;
-use fireflywheel::fleet::plan::pace::Pace;
-use fireflywheel::fleet::plan::{self, Site, View};
-use fireflywheel::fleet::routing::{self, Candidate, Seen};
+use fireflywheel::fleet::demand::{Aggregator, Count, Demand, Queue, Running};
+use fireflywheel::fleet::load::{self, Backlog};
+use fireflywheel::fleet::plan::concurrency::Estimate;
+use fireflywheel::fleet::plan::{self, EngineState, View};
+use fireflywheel::fleet::routing::{self, Candidate, Stats};
 use fireflywheel::fleet::server::Held;
-use fireflywheel::fleet::work::{self, Backlog};
+use fireflywheel::fleet::timeout;
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 use smol_str::{SmolStr, format_smolstr};
@@ -59,12 +59,12 @@
 struct World {
     random: StdRng,
     engines: [Batch; ENGINES],
-    seen: Vec<[Seen; ENGINES]>,
+    stats: Vec<[Stats; ENGINES]>,
     backlogs: Vec<[Backlog; ENGINES]>,
     /// Callers that wait at their instance, and since when.
-    lanes: Vec<VecDeque<u64>>,
+    queues: Vec<VecDeque<u64>>,
     finished: Vec<u32>,
-    board: Board,
+    demands: Aggregator,
     expected: Duration,
     outcome: Outcome,
     told: bool,
@@ -75,11 +75,11 @@
         Self {
             random: StdRng::seed_from_u64(seed),
             engines: Default::default(),
-            seen: vec![Default::default(); INSTANCES],
+            stats: vec![Default::default(); INSTANCES],
             backlogs: vec![Default::default(); INSTANCES],
-            lanes: vec![VecDeque::new(); INSTANCES],
+            queues: vec![VecDeque::new(); INSTANCES],
             finished: vec![0; INSTANCES],
-            board: Board::default(),
+            demands: Aggregator::default(),
             expected: Duration::ZERO,
             outcome: Outcome::default(),
             told,
@@ -109,7 +109,7 @@
             let engine = &mut self.engines[place];
             let ended = engine.running.extract_if(.., |(_, end)| *end <= ms);
             for (instance, _) in ended {
-                self.seen[instance][place].in_flight -= 1;
+                self.stats[instance][place].in_flight -= 1;
                 self.finished[instance] += 1;
             }
             while engine.running.len() < SLOTS as usize
@@ -128,9 +128,10 @@
         let now = Instant(ms);
         for instance in 0..INSTANCES {
             let demand = self.demand(instance);
-            self.board.take(now, format_smolstr!("i{instance}"), demand);
+            self.demands
+                .update(now, format_smolstr!("i{instance}"), demand);
         }
-        let loads = work::largest(self.board.loads(), |_| SLOTS, ENGINES);
+        let loads = load::most_loaded(self.demands.loads(), |_| SLOTS, ENGINES);
         let requests: BTreeMap<SmolStr, u32> = loads
             .into_iter()
             .map(|load| (load.server, load.requests))
@@ -138,7 +139,7 @@
         for backlogs in &mut self.backlogs {
             for (place, backlog) in backlogs.iter_mut().enumerate() {
                 let told = requests.get(&engine_name(place)).copied();
-                backlog.heard(now, 0, told.unwrap_or_default());
+                backlog.update_others(now, 0, told.unwrap_or_default());
             }
         }
         self.expected = self.forecast(now);
@@ -146,8 +147,8 @@
 
     /// What the steward expects of the queue, by its plan.
     fn forecast(&self, now: Instant) -> Duration {
-        let running = self.board.running();
-        let site = |place| Site {
+        let running = self.demands.running();
+        let engine = |place| EngineState {
             held: Held {
                 models: BTreeMap::from([("m".into(), BTreeSet::new())]),
                 ..Held::default()
@@ -157,23 +158,23 @@
                 .get(&engine_name(place))
                 .cloned()
                 .unwrap_or_default(),
-            ..Site::default()
+            ..EngineState::default()
         };
-        let sites: Vec<Site> = (0..ENGINES).map(site).collect();
-        let engine = Engine {
+        let engines: Vec<EngineState> = (0..ENGINES).map(engine).collect();
+        let config = Engine {
             slots: SLOTS,
             models: BTreeMap::from([("m".into(), Model::default())]),
             ..Engine::default()
         };
         let view = View {
             now,
-            engine: &engine,
-            sites: &sites,
-            wants: &self.board.wants("g"),
-            rates: &BTreeMap::new(),
-            drains: &self.board.drains(now, "g"),
-            fetches: 1,
-            pace: Pace::default(),
+            config: &config,
+            engines: &engines,
+            pending: &self.demands.pending("g"),
+            arrival_rates: &BTreeMap::new(),
+            drain_rates: &self.demands.drain_rates(now, "g"),
+            max_fetches: 1,
+            concurrency: Estimate::default(),
         };
         let forecasts = plan::forecast(&view).into_iter();
         forecasts.map(|(_, wait)| wait).next().unwrap_or_default()
@@ -182,14 +183,14 @@
     fn demand(&mut self, instance: usize) -> Demand {
         let mut running = Vec::new();
         for place in 0..ENGINES {
-            let count = self.seen[instance][place].in_flight;
-            self.backlogs[instance][place].tell(count);
+            let count = self.stats[instance][place].in_flight;
+            self.backlogs[instance][place].report_own(count);
             running.push(Running {
                 server: engine_name(place),
                 model: "m".into(),
                 adapter: None,
                 count,
-                unread: 0,
+                prefill_tokens: 0,
             });
         }
         let finished = Count {
@@ -197,8 +198,8 @@
             model: "m".into(),
             count: std::mem::take(&mut self.finished[instance]),
         };
-        let waiting = u32::try_from(self.lanes[instance].len()).expect("few wait");
-        let lane = Lane {
+        let waiting = u32::try_from(self.queues[instance].len()).expect("few wait");
+        let queue = Queue {
             group: "g".into(),
             model: "m".into(),
             adapter: None,
@@ -207,7 +208,7 @@
             left_ms: 1000,
         };
         Demand {
-            lanes: if waiting > 0 { vec![lane] } else { Vec::new() },
+            queues: if waiting > 0 { vec![queue] } else { Vec::new() },
             running,
             finished: vec![finished],
             ..Demand::default()
@@ -218,31 +219,31 @@
         if self.send(ms, instance, ms) {
             return;
         }
-        if self.expected > patience::queueing(PATIENCE) {
+        if self.expected > timeout::max_queue_wait(PATIENCE) {
             self.outcome.refused_at_once += 1;
             self.refuse();
         } else {
-            self.lanes[instance].push_back(ms);
+            self.queues[instance].push_back(ms);
         }
     }
 
     fn look_again(&mut self, ms: u64, instance: usize) {
-        let Some(since) = self.lanes[instance].front().copied() else {
+        let Some(since) = self.queues[instance].front().copied() else {
             return;
         };
         if Duration::from_millis(ms - since) > PATIENCE {
-            self.lanes[instance].pop_front();
+            self.queues[instance].pop_front();
             self.outcome.kept_in_vain += 1;
             self.refuse();
         } else if self.send(ms, instance, since) {
-            self.lanes[instance].pop_front();
+            self.queues[instance].pop_front();
         }
     }
 
     /// The caller is told when to come back, while it still can.
     fn refuse(&mut self) {
         let left = Duration::from_secs(8);
-        let again = patience::retry_after(self.expected, left, self.random.random());
+        let again = timeout::retry_after(self.expected, left, self.random.random());
         assert!(again <= left / 3);
     }
 
@@ -252,22 +253,22 @@
         let draw = self.random.random();
         let candidates: Vec<Candidate<'_>> = (0..ENGINES)
             .map(|place| Candidate {
-                seen: &self.seen[instance][place],
+                stats: &self.stats[instance][place],
                 slots: SLOTS,
-                near: true,
-                others: self.backlogs[instance][place].others(now),
-                reading: 0.0,
+                same_domain: true,
+                other_requests: self.backlogs[instance][place].other_requests(now),
+                prefill_ratio: 0.0,
             })
             .collect();
         let Some(place) = routing::pick(now, &candidates, draw) else {
             return false;
         };
         if self.engines[place].waiting.len() >= ENGINE_QUEUE {
-            self.seen[instance][place].full(now);
+            self.stats[instance][place].record_full(now);
             return false;
         }
         self.engines[place].waiting.push_back((instance, since));
-        self.seen[instance][place].in_flight += 1;
+        self.stats[instance][place].in_flight += 1;
         true
     }
 }
--- a/crates/fireflywheel/tests/fleet/demand.rs
+++ b/crates/fireflywheel/tests/fleet/demand.rs
@@ -1,13 +1,13 @@
 //! What instances ask for is joined, and what is forgotten with them.
 
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::demand::{Board, Count, Demand, Lane, Running};
+use fireflywheel::fleet::demand::{Aggregator, Count, Demand, Queue, Running};
 use smol_str::SmolStr;
 
 use crate::cases;
 
-fn lane(model: &str, waiting: u32, waited_ms: u32, left_ms: u32) -> Lane {
-    Lane {
+fn queue(model: &str, waiting: u32, waited_ms: u32, left_ms: u32) -> Queue {
+    Queue {
         group: "g".into(),
         model: model.into(),
         adapter: None,
@@ -17,26 +17,26 @@
     }
 }
 
-fn wants(lanes: Vec<Lane>) -> Demand {
+fn wants(queues: Vec<Queue>) -> Demand {
     Demand {
-        lanes,
+        queues,
         ..Demand::default()
     }
 }
 
 fn same_want_is_joined() {
-    let mut board = Board::default();
-    board.take(
+    let mut demands = Aggregator::default();
+    demands.update(
         Instant(1000),
         "a".into(),
-        wants(vec![lane("m", 2, 100, 5000)]),
+        wants(vec![queue("m", 2, 100, 5000)]),
     );
-    board.take(
+    demands.update(
         Instant(1100),
         "b".into(),
-        wants(vec![lane("m", 1, 300, 900)]),
+        wants(vec![queue("m", 1, 300, 900)]),
     );
-    let joined = board.wants("g");
+    let joined = demands.pending("g");
     assert_eq!(joined.len(), 1);
     assert_eq!(joined[0].waiting, 3);
     assert_eq!(joined[0].since, Instant(800));
@@ -44,14 +44,14 @@
 }
 
 fn longest_waiting_comes_first() {
-    let mut board = Board::default();
-    board.take(
+    let mut demands = Aggregator::default();
+    demands.update(
         Instant(1000),
         "a".into(),
-        wants(vec![lane("m", 1, 100, 1), lane("n", 1, 700, 1)]),
+        wants(vec![queue("m", 1, 100, 1), queue("n", 1, 700, 1)]),
     );
-    let models: Vec<_> = board
-        .wants("g")
+    let models: Vec<_> = demands
+        .pending("g")
         .into_iter()
         .map(|want| want.model)
         .collect();
@@ -59,59 +59,59 @@
 }
 
 fn lost_instance_wants_nothing() {
-    let mut board = Board::default();
-    board.take(
+    let mut demands = Aggregator::default();
+    demands.update(
         Instant(1000),
         "a".into(),
-        wants(vec![lane("m", 1, 0, 1000)]),
+        wants(vec![queue("m", 1, 0, 1000)]),
     );
-    board.forget("a");
-    assert!(board.wants("g").is_empty());
+    demands.remove("a");
+    assert!(demands.pending("g").is_empty());
 }
 
 fn newer_demand_replaces_the_older() {
-    let mut board = Board::default();
-    board.take(
+    let mut demands = Aggregator::default();
+    demands.update(
         Instant(1000),
         "a".into(),
-        wants(vec![lane("m", 1, 0, 1000)]),
+        wants(vec![queue("m", 1, 0, 1000)]),
     );
-    board.take(Instant(1001), "a".into(), Demand::default());
-    assert!(board.wants("g").is_empty());
+    demands.update(Instant(1001), "a".into(), Demand::default());
+    assert!(demands.pending("g").is_empty());
 }
 
 fn running_is_summed() {
-    let mut board = Board::default();
+    let mut demands = Aggregator::default();
     for instance in ["a", "b"] {
         let running = Running {
             server: "s".into(),
             model: "m".into(),
             adapter: None,
             count: 2,
-            unread: 300,
+            prefill_tokens: 300,
         };
         let demand = Demand {
             running: vec![running],
             ..Demand::default()
         };
-        board.take(Instant(1000), instance.into(), demand);
+        demands.update(Instant(1000), instance.into(), demand);
     }
-    let at = |board: &Board, server: &str| {
-        let counts = board.running().get(&SmolStr::new(server)).cloned();
+    let at = |demands: &Aggregator, server: &str| {
+        let counts = demands.running().get(&SmolStr::new(server)).cloned();
         counts.unwrap_or_default().values().sum::<u32>()
     };
-    assert_eq!(at(&board, "s"), 4);
-    let loads: Vec<(u32, u32)> = board
+    assert_eq!(at(&demands, "s"), 4);
+    let loads: Vec<(u32, u32)> = demands
         .loads()
         .into_values()
-        .map(|load| (load.unread, load.requests))
+        .map(|load| (load.prefill_tokens, load.requests))
         .collect();
     assert_eq!(loads, [(600, 4)]);
-    assert_eq!(at(&board, "t"), 0);
+    assert_eq!(at(&demands, "t"), 0);
 }
 
 fn rates_fade() {
-    let mut board = Board::default();
+    let mut demands = Aggregator::default();
     let arrived = Count {
         group: "g".into(),
         model: "m".into(),
@@ -121,15 +121,15 @@
         arrived: vec![arrived],
         ..Demand::default()
     };
-    board.take(Instant(1000), "a".into(), demand);
-    let fresh = board.rate(Instant(1000), "g", "m");
-    let later = board.rate(Instant(11_000), "g", "m");
+    demands.update(Instant(1000), "a".into(), demand);
+    let fresh = demands.arrival_rate(Instant(1000), "g", "m");
+    let later = demands.arrival_rate(Instant(11_000), "g", "m");
     assert!((later / fresh - 0.5).abs() < 0.01, "{fresh} {later}");
-    assert!(board.rate(Instant(1000), "g", "n").abs() < f64::EPSILON);
+    assert!(demands.arrival_rate(Instant(1000), "g", "n").abs() < f64::EPSILON);
 }
 
 fn queue_drains_as_fast_as_requests_end() {
-    let mut board = Board::default();
+    let mut demands = Aggregator::default();
     for second in 1..=20 {
         let finished = Count {
             group: "g".into(),
@@ -140,12 +140,12 @@
             finished: vec![finished],
             ..Demand::default()
         };
-        board.take(Instant(second * 1000), "a".into(), demand);
+        demands.update(Instant(second * 1000), "a".into(), demand);
     }
     // In the middle between two words, as the rate falls from one to the next.
-    let drain = board.drains(Instant(20_500), "g")["m"];
+    let drain = demands.drain_rates(Instant(20_500), "g")["m"];
     assert!((25.0..35.0).contains(&drain), "{drain}");
-    assert!(board.rate(Instant(20_500), "g", "m").abs() < f64::EPSILON);
+    assert!(demands.arrival_rate(Instant(20_500), "g", "m").abs() < f64::EPSILON);
 }
 
 cases! {
--- a/crates/fireflywheel/tests/fleet/lease.rs
+++ b/crates/fireflywheel/tests/fleet/lease.rs
@@ -126,17 +126,17 @@
     let mut log = Log::default();
     let _dead = held("a", false, &mut log, 0);
     let [mut standby, mut other] = ["b", "c"].map(|name| lease(name, false));
-    let named = [standby.me().clone()];
+    let named = [standby.own_record().clone()];
     for lease in [&mut standby, &mut other] {
         lease.observe(at(0), log.read());
-        lease.name_standbys(&named);
+        lease.set_standbys(&named);
     }
     let tries = |lease: &Lease| (0..20_000).find(|now| lease.proposal(at(*now)).is_some());
     assert_eq!(tries(&standby), Some(3000));
     assert_eq!(tries(&other), Some(4500));
-    assert!(!standby.leaves_it_to_standbys(at(100)));
-    assert!(other.leaves_it_to_standbys(at(4499)));
-    assert!(!other.leaves_it_to_standbys(at(4500)));
+    assert!(!standby.defers_to_standbys(at(100)));
+    assert!(other.defers_to_standbys(at(4499)));
+    assert!(!other.defers_to_standbys(at(4500)));
 }
 
 fn gossip_leaves_the_term_as_it_is() {
@@ -145,7 +145,7 @@
     let mut second = lease("b", false);
     second.observe(at(0), log.read());
     for now in (0..3000).step_by(100) {
-        second.pointed_to(at(now), dead.me().clone());
+        second.redirect(at(now), dead.own_record().clone());
         assert_eq!(second.proposal(at(now)), None);
     }
     assert!(second.proposal(at(3000)).is_some());
@@ -166,8 +166,8 @@
     let mut second = lease("b", false);
     second.observe(at(0), log.read());
     act(&mut first, &mut log, 1000);
-    second.heard(at(1010), log.end());
-    second.heard(at(1900), log.end());
+    second.observe_end(at(1010), log.end());
+    second.observe_end(at(1900), log.end());
     second.observe(at(2500), log.read());
     assert_eq!(second.proposal(at(4000)), None);
     assert!(second.proposal(at(4010)).is_some());
@@ -188,15 +188,15 @@
             match u.int_in_range(0..=7)? {
                 6 => {
                     let other = restarted(names[u.choose_index(3)?], 1, ADDRESS);
-                    lease.pointed_to(at(now), other.me().clone());
+                    lease.redirect(at(now), other.own_record().clone());
                 }
                 7 => {
                     let named = u.arbitrary()?;
-                    let standbys: Vec<Record> = Some(lease.me().clone())
+                    let standbys: Vec<Record> = Some(lease.own_record().clone())
                         .filter(|_| named)
                         .into_iter()
                         .collect();
-                    lease.name_standbys(&standbys);
+                    lease.set_standbys(&standbys);
                 }
                 5 => {
                     incarnation += 1;
@@ -211,7 +211,7 @@
                         lease.observe(at(now), log.read());
                     }
                 }
-                2 => lease.heard(at(now), log.end()),
+                2 => lease.observe_end(at(now), log.end()),
                 _ => act(lease, &mut log, now),
             }
             let holders: Vec<u64> = leases
@@ -238,15 +238,15 @@
     act(&mut second, &mut log, 3000);
     first.unanswered(at(3000));
     assert!(first.fencing(at(3100)).is_some());
-    assert!(!first.overtaken(at(3100), before, second.me().clone()));
-    assert!(first.overtaken(at(3200), log.end(), second.me().clone()));
+    assert!(!first.overtaken(at(3100), before, second.own_record().clone()));
+    assert!(first.overtaken(at(3200), log.end(), second.own_record().clone()));
     assert_eq!(first.fencing(at(3200)), None);
     let holder = first.holder().map(|holder| holder.instance.as_str());
     assert_eq!(holder, Some("b"));
 }
 
 fn successor() -> Record {
-    lease("b", true).me().clone()
+    lease("b", true).own_record().clone()
 }
 
 /// The store turns the successor away, so the record names the first one for long.
@@ -298,10 +298,10 @@
     let first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
     second.observe(at(10), log.read());
-    second.name_standbys(&[]);
-    assert!(!second.leaves_it_to_standbys(at(20)));
-    second.name_standbys(&[first.me().clone()]);
-    assert!(second.leaves_it_to_standbys(at(30)));
+    second.set_standbys(&[]);
+    assert!(!second.defers_to_standbys(at(20)));
+    second.set_standbys(&[first.own_record().clone()]);
+    assert!(second.defers_to_standbys(at(30)));
 }
 
 /// It is given the lease back, under a number of its own.
@@ -314,7 +314,7 @@
         first.hand_over(at(10), successor()).expect("it holds it"),
     );
     let back = second
-        .hand_over(at(20), first.me().clone())
+        .hand_over(at(20), first.own_record().clone())
         .expect("it holds it");
     first.receive(at(20), back);
     act(&mut first, &mut log, 30);
@@ -384,7 +384,7 @@
     );
     let mut third = lease("c", true);
     third.observe(at(0), log.read());
-    third.moved(at(11), second.me().clone());
+    third.holder_moved(at(11), second.own_record().clone());
     third.observe(at(13), log.read());
     assert_eq!(
         third.holder().map(|holder| holder.instance.as_str()),
@@ -404,7 +404,7 @@
     let _dead = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
     second.observe(at(100), log.read());
-    second.ended(1);
+    second.holder_ended(1);
     second.observe(at(150), log.read());
     assert!(second.proposal(at(150)).is_some());
     assert_eq!(second.holder(), None);
@@ -416,13 +416,13 @@
         let _dead = held("a", fenced, &mut log, 0);
         let mut second = lease("b", fenced);
         second.observe(at(100), log.read());
-        second.ended(7);
+        second.holder_ended(7);
         assert_eq!(
             second.proposal(at(100)),
             None,
             "another incarnation is meant"
         );
-        second.ended(1);
+        second.holder_ended(1);
         assert_eq!(second.proposal(at(100)).is_some(), fenced);
     }
 }
--- a/crates/fireflywheel/tests/fleet/lease/eras.rs
+++ b/crates/fireflywheel/tests/fleet/lease/eras.rs
@@ -27,9 +27,9 @@
         let copy = log.clone();
         renew(&mut first, &mut log, 1000, 5000);
         log.restore(&copy);
-        first.enter(at(4500), log.era);
+        first.enter_era(at(4500), log.era);
         assert_eq!(first.fencing(at(4500)), None, "nothing stands in this era");
-        assert!(first.needs_reading());
+        assert!(first.needs_read());
         first.observe(at(4510), log.read());
         assert_eq!(first.fencing(at(4510)), None);
         act(&mut first, &mut log, 4520);
@@ -64,7 +64,7 @@
     for now in (0..50_000).step_by(1000) {
         act(&mut second, &mut log, now + 20);
     }
-    let given = second.hand_over(at(50_000), first.me().clone());
+    let given = second.hand_over(at(50_000), first.own_record().clone());
     let seen = given.expect("it holds it").fencing;
     log.restore(&copy);
     let mut third = lease("c", true).with_first_start(false);
@@ -84,10 +84,10 @@
     act(&mut second, &mut log, 3000);
     let number = second.fencing(at(3000));
     log.restore(&copy);
-    first.enter(at(3500), log.era);
+    first.enter_era(at(3500), log.era);
     first.observe(at(3500), log.read());
     assert_eq!(first.proposal(at(3600)), None);
-    second.enter(at(3600), log.era);
+    second.enter_era(at(3600), log.era);
     second.observe(at(3600), log.read());
     act(&mut second, &mut log, 3610);
     assert_eq!(second.fencing(at(3610)), number);
@@ -104,7 +104,7 @@
     act(&mut second, &mut log, 3000);
     first.observe(at(3100), log.read());
     log.restore(&copy);
-    first.enter(at(3200), log.era);
+    first.enter_era(at(3200), log.era);
     act(&mut first, &mut log, 3200);
     act(&mut first, &mut log, 3300);
     assert_eq!(first.fencing(at(3300)), None, "the other one acts");
@@ -134,7 +134,7 @@
     let copy = log.clone();
     log.restore(&copy);
     let place = log.write(end, renewal.clone()).expect("the offset fits");
-    first.enter(at(9000), log.era);
+    first.enter_era(at(9000), log.era);
     first.accepted(at(1500), place, &renewal);
     assert_eq!(first.fencing(at(1600)), None);
     let mut second = lease("b", false).with_first_start(false);
@@ -152,12 +152,12 @@
     let copy = log.clone();
     let mut second = lease("b", true);
     second.observe(at(5), log.read());
-    let given = first.hand_over(at(10), second.me().clone());
+    let given = first.hand_over(at(10), second.own_record().clone());
     log.restore(&copy);
-    second.enter(at(20), log.era);
+    second.enter_era(at(20), log.era);
     second.receive(at(30), given.expect("it holds it"));
     assert_eq!(second.fencing(at(30)), None);
-    assert!(second.needs_reading());
+    assert!(second.needs_read());
     second.observe(at(40), log.read());
     act(&mut second, &mut log, 50);
     assert_eq!(second.fencing(at(50)), Some(1));
@@ -169,10 +169,10 @@
     let mut first = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
     second.observe(at(5), log.read());
-    let given = first.hand_over(at(10), second.me().clone());
+    let given = first.hand_over(at(10), second.own_record().clone());
     let copy = log.clone();
     log.restore(&copy);
-    second.enter(at(8000), log.era);
+    second.enter_era(at(8000), log.era);
     second.receive(at(8010), given.expect("it holds it"));
     second.observe(at(8020), log.read());
     act(&mut second, &mut log, 8030);
@@ -195,12 +195,12 @@
     let mut first = held("a", false, &mut log, 0);
     let copy = log.clone();
     log.restore(&copy);
-    first.enter(at(100), log.era);
+    first.enter_era(at(100), log.era);
     act(&mut first, &mut log, 110);
     act(&mut first, &mut log, 120);
     first.observe(at(130), late);
     assert_eq!(first.fencing(at(130)), Some(0));
-    first.heard(
+    first.observe_end(
         at(140),
         Position {
             era: Era(0),
@@ -246,18 +246,18 @@
             }
             3 => {
                 let to = (place + 1) % leases.len();
-                let successor: Record = leases[to].me().clone();
+                let successor: Record = leases[to].own_record().clone();
                 if let Some(handed) = leases[place].hand_over(at(now), successor) {
                     given.push((to, handed));
                 }
             }
             4 => {
                 // Another instance tells of the era.
-                leases[place].enter(at(now), log.era);
+                leases[place].enter_era(at(now), log.era);
             }
-            5 => leases[place].heard(at(now), log.end()),
+            5 => leases[place].observe_end(at(now), log.end()),
             6 | 7 => {
-                leases[place].enter(at(now), log.era);
+                leases[place].enter_era(at(now), log.era);
                 leases[place].observe(at(now), log.read());
             }
             _ => {
@@ -265,8 +265,8 @@
                     let (_, handed) = given.remove(handed);
                     leases[place].receive(at(now), handed);
                 }
-                if leases[place].needs_reading() {
-                    leases[place].enter(at(now), log.era);
+                if leases[place].needs_read() {
+                    leases[place].enter_era(at(now), log.era);
                     leases[place].observe(at(now), log.read());
                 }
                 act(&mut leases[place], &mut log, now);
--- a/crates/fireflywheel/tests/fleet/lease/rig.rs
+++ b/crates/fireflywheel/tests/fleet/lease/rig.rs
@@ -65,7 +65,7 @@
     match lease.proposal(at(now)) {
         Some((end, record)) => {
             let written = log.write(end, record.clone());
-            lease.enter(at(now), log.era);
+            lease.enter_era(at(now), log.era);
             match written {
                 Some(place) => lease.accepted(at(now), place, &record),
                 None => lease.refused(end),
--- a/crates/fireflywheel/tests/fleet/limit.rs
+++ b/crates/fireflywheel/tests/fleet/limit.rs
@@ -5,8 +5,8 @@
 
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::limit::gate::{Gate, View};
-use fireflywheel::fleet::limit::pacer::{Asker, Pacer};
-use fireflywheel::fleet::limit::{Ask, Notice, Reply};
+use fireflywheel::fleet::limit::pacer::{Pacer, Requester};
+use fireflywheel::fleet::limit::{Notice, Reply, Request};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 use smol_str::SmolStr;
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 enum Message {
     Notice(Notice),
-    Ask(Ask),
+    Request(Request),
     Reply(Reply),
     Limits(Vec<Notice>),
 }
@@ -151,7 +151,7 @@
         for instance in &mut instances {
             let linked = steward && !instance.cut;
             if linked && !instance.linked {
-                instance.gate.linked();
+                instance.gate.link_opened();
             }
             instance.linked = linked;
         }
@@ -159,18 +159,18 @@
         for (_, place, message) in up.extract_if(.., due).collect::<Vec<_>>() {
             match message {
                 Message::Notice(notice) => {
-                    pacer.hear(now, &notice);
+                    pacer.update_limit(now, &notice);
                 }
-                Message::Ask(ask) => {
-                    let reply = pacer.ask(now, Asker::Link(place as u64), &ask);
+                Message::Request(ask) => {
+                    let reply = pacer.request(now, Requester::Link(place as u64), &ask);
                     down.push((ms + delay(&mut random), place, Message::Reply(reply)));
                 }
                 Message::Reply(_) | Message::Limits(_) => {}
             }
         }
         if steward {
-            for (asker, reply) in pacer.due(now) {
-                if let Asker::Link(place) = asker {
+            for (requester, reply) in pacer.grant_due(now) {
+                if let Requester::Link(place) = requester {
                     let at = ms + delay(&mut random);
                     down.push((at, place as usize, Message::Reply(reply)));
                 }
@@ -189,12 +189,12 @@
                 continue;
             }
             match message {
-                Message::Reply(reply) => instance.gate.answered(now, &reply),
+                Message::Reply(reply) => instance.gate.handle_reply(now, &reply),
                 Message::Limits(notices) => {
                     let limit = notices.first().and_then(|notice| notice.per_second);
-                    instance.gate.told(now, limit);
+                    instance.gate.update_from_steward(now, limit);
                 }
-                Message::Notice(_) | Message::Ask(_) => {}
+                Message::Notice(_) | Message::Request(_) => {}
             }
         }
         let answered = |(at, _, _, _): &mut (u64, usize, u64, Option<f64>)| *at <= ms;
@@ -202,11 +202,11 @@
             let instance = &mut instances[place];
             match limit {
                 Some(limit) => {
-                    instance.gate.named(now, limit);
+                    instance.gate.observe_limit(now, limit);
                     instance.told.get_or_insert(ms);
                 }
                 None => {
-                    instance.gate.named_none(Instant(sent));
+                    instance.gate.observe_no_limit(Instant(sent));
                     instance.told = None;
                 }
             }
@@ -229,10 +229,10 @@
             };
             while let Some(from) = instance.waiting.front().copied() {
                 if !instance.gate.is_open(view) {
-                    instance.gate.want(view, PATIENCE - since(&from));
+                    instance.gate.request_permit(view, PATIENCE - since(&from));
                     break;
                 }
-                instance.gate.take(view);
+                instance.gate.use_permit(view);
                 instance.waiting.pop_front();
                 arrivals.push(Arrival {
                     at: ms,
@@ -247,10 +247,10 @@
                 let at = ms + delay(&mut random);
                 up.push((at, place, Message::Notice(notice)));
             }
-            if let Some(ask) = instance.gate.take_ask(now, &server)
+            if let Some(ask) = instance.gate.take_request(now, &server)
                 && instance.linked
             {
-                up.push((ms + delay(&mut random), place, Message::Ask(ask)));
+                up.push((ms + delay(&mut random), place, Message::Request(ask)));
             }
         }
     }
--- a/crates/fireflywheel/tests/fleet/work.rs
+++ b/crates/fireflywheel/tests/fleet/load.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::routing::{self, Candidate, Seen};
-use fireflywheel::fleet::work::{self, Backlog, Load, Prompt};
+use fireflywheel::fleet::load::{self, Backlog, Load, Prompt};
+use fireflywheel::fleet::routing::{self, Candidate, Stats};
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 use smol_str::SmolStr;
@@ -74,26 +74,31 @@
         let now = Instant(ms);
         for (place, engine) in engines.iter_mut().enumerate() {
             read(ms, engine, |done| {
-                backlogs[done.instance][place].read(done.expected);
+                backlogs[done.instance][place].remove_own(done.expected);
                 waits.push(ms - done.since);
             });
         }
         if told && ms % WORD_AGE_MS == 0 {
-            let sums = (0..6).map(|place| backlogs.iter_mut().map(|own| own[place].tell(0)).sum());
+            let sums = (0..6).map(|place| {
+                backlogs
+                    .iter_mut()
+                    .map(|own| own[place].report_own(0))
+                    .sum()
+            });
             words.insert(ms + WORD_AGE_MS, sums.collect());
         }
         if let Some(sums) = words.remove(&ms) {
             for own in &mut backlogs {
                 own.iter_mut()
                     .zip(&sums)
-                    .for_each(|(own, sum)| own.heard(now, *sum, 0));
+                    .for_each(|(own, sum)| own.update_others(now, *sum, 0));
             }
         }
         if random.random_bool(RATE / 1000.0) {
             let instance = random.random_range(0..INSTANCES);
             let part = random.random_range(0..PARTS);
             let (place, expected) = choose(now, &backlogs[instance], part, random.random());
-            backlogs[instance][place].sent(expected);
+            backlogs[instance][place].add_own(expected);
             engines[place].take(ms, instance, part, expected);
         }
     }
@@ -135,7 +140,7 @@
         self.queue.push(Reading {
             instance,
             expected,
-            left: PROMPT.unread(kept),
+            left: PROMPT.prefill_tokens(kept),
             since: ms,
         });
     }
@@ -143,17 +148,19 @@
 
 fn choose(now: Instant, own: &[Backlog; 6], part: usize, draw: u64) -> (usize, u32) {
     let parts = format!("first,{part}");
-    let keeper = work::keeper(PROMPT, &parts, ENGINES.iter().copied());
-    let unread = |place: usize| PROMPT.unread(keeper == Some(ENGINES[place]));
-    let seen = Seen::default();
+    let keeper = load::prefix_cache_server(PROMPT, &parts, ENGINES.iter().copied());
+    let unread = |place: usize| PROMPT.prefill_tokens(keeper == Some(ENGINES[place]));
+    let stats = Stats::default();
     let candidates: Vec<Candidate<'_>> = (0..6)
         .map(|place| Candidate {
-            seen: &seen,
+            stats: &stats,
             slots: 64,
-            near: true,
-            others: 0,
-            reading: work::reading_time(own[place].tokens(now) + f64::from(unread(place)))
-                .div_duration_f64(AIM),
+            same_domain: true,
+            other_requests: 0,
+            prefill_ratio: load::prefill_time(
+                own[place].prefill_tokens(now) + f64::from(unread(place)),
+            )
+            .div_duration_f64(AIM),
         })
         .collect();
     let place = routing::pick(now, &candidates, draw).expect("all have room");
@@ -189,7 +196,7 @@
             } else {
                 format!("first,{part}")
             };
-            let keeper = work::keeper(PROMPT, &parts, ENGINES.iter().copied());
+            let keeper = load::prefix_cache_server(PROMPT, &parts, ENGINES.iter().copied());
             *counts
                 .entry(keeper.expect("there are several"))
                 .or_default() += 1;
@@ -201,14 +208,14 @@
 
 fn own_requests_count_once() {
     let mut backlog = Backlog::default();
-    backlog.sent(1000);
-    let told = backlog.tell(3);
-    backlog.heard(Instant(10), told + 500, 5);
-    assert_eq!(backlog.others(Instant(10)), 2);
-    assert_eq!(backlog.tokens(Instant(10)), 1500.0);
-    backlog.read(1000);
-    assert_eq!(backlog.tokens(Instant(10)), 500.0);
-    assert_eq!(backlog.tokens(Instant(1000)), 0.0);
+    backlog.add_own(1000);
+    let told = backlog.report_own(3);
+    backlog.update_others(Instant(10), told + 500, 5);
+    assert_eq!(backlog.other_requests(Instant(10)), 2);
+    assert_eq!(backlog.prefill_tokens(Instant(10)), 1500.0);
+    backlog.remove_own(1000);
+    assert_eq!(backlog.prefill_tokens(Instant(10)), 500.0);
+    assert_eq!(backlog.prefill_tokens(Instant(1000)), 0.0);
 }
 
 fn busiest_are_named() {
@@ -216,15 +223,15 @@
     let loads = ids.iter().zip([50, 4000, 9000, 2000]);
     let loads = loads.map(|(id, unread)| {
         let load = Load {
-            unread,
+            prefill_tokens: unread,
             ..Load::new(id.clone())
         };
         (id, load)
     });
-    let named = work::largest(loads.collect(), |_| 16, 2);
+    let named = load::most_loaded(loads.collect(), |_| 16, 2);
     let named: Vec<(&str, u32)> = named
         .iter()
-        .map(|load| (load.server.as_str(), load.unread))
+        .map(|load| (load.server.as_str(), load.prefill_tokens))
         .collect();
     assert_eq!(named, [("e2", 4000), ("e3", 9000)]);
 }
@@ -239,7 +246,7 @@
         };
         (id, load)
     });
-    let named = work::largest(loads.collect(), |_| 16, 3);
+    let named = load::most_loaded(loads.collect(), |_| 16, 3);
     let named: Vec<(&str, u32)> = named
         .iter()
         .map(|load| (load.server.as_str(), load.requests))
@@ -249,9 +256,9 @@
 
 fn old_word_of_requests_ends() {
     let mut backlog = Backlog::default();
-    backlog.heard(Instant(10), 0, 24);
-    assert_eq!(backlog.others(Instant(500)), 24);
-    assert_eq!(backlog.others(Instant(2000)), 0);
+    backlog.update_others(Instant(10), 0, 24);
+    assert_eq!(backlog.other_requests(Instant(500)), 24);
+    assert_eq!(backlog.other_requests(Instant(2000)), 0);
 }
 
 cases! {
--- a/crates/fireflywheel/tests/fleet/main.rs
+++ b/crates/fireflywheel/tests/fleet/main.rs
@@ -1,28 +1,28 @@
 //! Serving from a directory: the decisions, one module at a time.
 
+mod adaptive_timeout;
 mod backoff;
-mod budget;
+mod concurrency;
 mod config;
 mod crowd;
 mod demand;
 mod events;
 mod lease;
 mod limit;
+mod link;
+mod load;
 mod organisation;
-mod pace;
-mod patience;
 mod plan;
 mod quota;
 mod rate;
+mod retry_budget;
 mod routing;
 mod settings;
-mod silence;
 mod size;
 mod subscription;
 mod successor;
-mod talk;
-mod track;
-mod work;
+mod timeout;
+mod tracker;
 
 /// Makes a test of each name and the check behind it.
 #[macro_export]
--- a/crates/fireflywheel/tests/fleet/plan.rs
+++ b/crates/fireflywheel/tests/fleet/plan.rs
@@ -13,17 +13,17 @@
 use crate::cases;
 use world::{NOW, World};
 
-fn load(site: usize, model: &str, tier: Tier) -> Step {
+fn load(engine: usize, model: &str, tier: Tier) -> Step {
     Step::Load {
-        site,
+        engine,
         model: model.into(),
         tier,
     }
 }
 
-fn unload(site: usize, model: &str, wanted: &str) -> Step {
+fn unload(engine: usize, model: &str, wanted: &str) -> Step {
     Step::Unload {
-        site,
+        engine,
         model: model.into(),
         wanted: wanted.into(),
     }
@@ -94,17 +94,17 @@
         .holding(1, "m2")
         .wanted("m3");
     let mut resting = world;
-    resting.sites[0].room_for = Some("m3".into());
-    resting.sites[0].ordering = true;
+    resting.engines[0].making_room_for = Some("m3".into());
+    resting.engines[0].order_pending = true;
     assert_eq!(resting.steps(), []);
-    resting.sites[0].ordering = false;
+    resting.engines[0].order_pending = false;
     assert_eq!(resting.steps(), [load(0, "m3", Tier::Disk)]);
 }
 
 fn room_for_a_load_from_the_store_counts_as_one() {
     let mut world = World::new(8).fetching(0, "m0").wanted("m2");
     world.fetches = 2;
-    world.sites[1].room_for = Some("m3".into());
+    world.engines[1].making_room_for = Some("m3".into());
     assert_eq!(world.steps(), [load(1, "m3", Tier::Store)]);
 }
 
@@ -116,12 +116,12 @@
 fn no_second_copy_from_the_store_while_a_model_has_none() {
     let mut world = World::new(3).holding(0, "m0").running(0, "m0", 50);
     let loads_m0 = |step: &&Step| matches!(step, Step::Load { model, .. } if model == "m0");
-    world.engine.slots = 64;
+    world.config.slots = 64;
     assert_eq!(world.steps().iter().filter(loads_m0).count(), 0);
     let for_others = fetched(&world.steps());
     assert!(for_others > 0);
     // More than its engine runs at once: one copy comes, and the rest is for models that have none.
-    world.engine.slots = 8;
+    world.config.slots = 8;
     assert_eq!(world.steps().iter().filter(loads_m0).count(), 1);
     assert_eq!(fetched(&world.steps()), for_others);
 }
@@ -132,7 +132,7 @@
         world.running(0, "m1", 4).pressure(0, millis)
     };
     let copy = Step::Load {
-        site: 1,
+        engine: 1,
         model: "m1".into(),
         tier: Tier::Disk,
     };
@@ -146,7 +146,7 @@
         let mut world = world.pressure(0, millis);
         world.fetches = 1;
         let mut steps = world.steps().into_iter();
-        steps.any(|step| matches!(step, Step::Load { site: 1, model, .. } if model == "m1"))
+        steps.any(|step| matches!(step, Step::Load { engine: 1, model, .. } if model == "m1"))
     };
     assert!(!relieved(600), "models without a copy go first");
     assert!(relieved(2000));
@@ -212,10 +212,10 @@
 fn no_forecast_while_a_copy_comes() {
     let mut world = World::new(2).holding(0, "m0").running(0, "m0", 8).busy(1);
     world.drains.insert("m0".into(), 10.0);
-    world.sites[1].loading = Some("m0".into());
+    world.engines[1].loading = Some("m0".into());
     let mut world = world.wanted("m0");
     assert_eq!(plan::forecast(&world.view()), []);
-    world.sites[1].fetching = true;
+    world.engines[1].fetching = true;
     assert!(
         plan::forecast(&world.view())
             .iter()
@@ -239,14 +239,14 @@
         .wanted("m1")
         .wanted("m2")
         .wanted("m3");
-    let sites: Vec<usize> = world.steps().iter().map(Step::site).collect();
-    assert_eq!(sites.len(), 2);
-    assert_ne!(sites[0], sites[1]);
+    let engines: Vec<usize> = world.steps().iter().map(Step::engine).collect();
+    assert_eq!(engines.len(), 2);
+    assert_ne!(engines[0], engines[1]);
 }
 
 fn unusable_engine_gets_no_order() {
     let mut world = World::new(1).all_on_disk(0).wanted("m1");
-    world.sites[0].usable = false;
+    world.engines[0].usable = false;
     assert_eq!(world.steps(), []);
 }
 
@@ -257,7 +257,7 @@
         .holding(1, "m0")
         .wanted_adapter("m0", Some("a1"));
     let expected = Step::LoadAdapter {
-        site: 1,
+        engine: 1,
         model: "m0".into(),
         adapter: "a1".into(),
     };
@@ -269,16 +269,16 @@
         .all_on_disk(0)
         .holding(0, "m0")
         .wanted_adapter("m0", Some("a3"));
-    let adapters = world.sites[0]
+    let adapters = world.engines[0]
         .held
         .models
         .get_mut("m0")
         .expect("it is held");
     adapters.extend([SmolStr::new("a1"), SmolStr::new("a2")]);
     let key = (SmolStr::new("m0"), Some(SmolStr::new("a1")));
-    world.sites[0].running.insert(key, 1);
+    world.engines[0].running.insert(key, 1);
     let expected = Step::UnloadAdapter {
-        site: 0,
+        engine: 0,
         model: "m0".into(),
         adapter: "a2".into(),
     };
@@ -300,7 +300,7 @@
 
 fn forecast_tells_when_a_running_load_ends() {
     let mut world = World::new(2).fetching(0, "m8").wanted("m8");
-    world.sites[0].loading_since = Some(Instant(NOW.0 - 2000));
+    world.engines[0].loading_since = Some(Instant(NOW.0 - 2000));
     let expected = [(SmolStr::new("m8"), Duration::from_secs(4))];
     assert_eq!(plan::forecast(&world.view()), expected);
 }
@@ -310,32 +310,36 @@
 fn any_plan_is_safe() {
     arbtest(|u| {
         let mut world = World::new(u.int_in_range(1..=5)?);
-        let models: Vec<SmolStr> = world.engine.models.keys().cloned().collect();
-        for site in 0..world.sites.len() {
+        let models: Vec<SmolStr> = world.config.models.keys().cloned().collect();
+        for engine in 0..world.engines.len() {
             for _ in 0..u.int_in_range(0..=2)? {
-                world = world.holding(site, u.choose(&models)?);
+                world = world.holding(engine, u.choose(&models)?);
             }
             if u.ratio(1, 4)? {
-                world = world.fetching(site, u.choose(&models)?);
+                world = world.fetching(engine, u.choose(&models)?);
             }
             for _ in 0..u.int_in_range(0..=4)? {
-                world = world.on_disk(site, u.choose(&models)?);
+                world = world.on_disk(engine, u.choose(&models)?);
             }
             if u.ratio(1, 2)? {
-                world = world.running(site, u.choose(&models)?, u.int_in_range(0..=40)?);
+                world = world.running(engine, u.choose(&models)?, u.int_in_range(0..=40)?);
             }
-            world.sites[site].ordering = u.ratio(1, 5)?;
-            world.sites[site].usable = u.ratio(4, 5)?;
+            world.engines[engine].order_pending = u.ratio(1, 5)?;
+            world.engines[engine].usable = u.ratio(4, 5)?;
         }
         for _ in 0..u.int_in_range(0..=6)? {
             world = world.wanted(u.choose(&models)?);
         }
         let steps = world.steps();
-        let already = world.sites.iter().filter(|site| site.fetching).count();
+        let already = world
+            .engines
+            .iter()
+            .filter(|engine| engine.fetching)
+            .count();
         assert!(fetched(&steps) == 0 || already + fetched(&steps) <= world.fetches);
         let mut ordered = BTreeSet::new();
         for step in &steps {
-            assert!(ordered.insert(step.site()), "two orders for one engine");
+            assert!(ordered.insert(step.engine()), "two orders for one engine");
             check(&world, step);
         }
         Ok(())
@@ -343,16 +347,19 @@
 }
 
 fn check(world: &World, step: &Step) {
-    let site = &world.sites[step.site()];
-    assert!(site.usable && !site.ordering && !site.held.busy, "{step:?}");
+    let engine = &world.engines[step.engine()];
+    assert!(
+        engine.usable && !engine.order_pending && !engine.held.busy,
+        "{step:?}"
+    );
     match step {
         Step::Load { model, .. } => {
-            let used = 40.0 * (site.held.models.len() + 1) as f64;
-            assert!(used <= world.engine.memory_mb, "{step:?}");
-            assert!(!site.held.models.contains_key(model));
+            let used = 40.0 * (engine.held.models.len() + 1) as f64;
+            assert!(used <= world.config.memory_mb, "{step:?}");
+            assert!(!engine.held.models.contains_key(model));
         }
         Step::Unload { model, .. } => {
-            let running = site
+            let running = engine
                 .running
                 .get(&(model.clone(), None))
                 .copied()
--- a/crates/fireflywheel/tests/fleet/plan/world.rs
+++ b/crates/fireflywheel/tests/fleet/plan/world.rs
@@ -5,17 +5,17 @@
 
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::config::{Engine, Model};
-use fireflywheel::fleet::demand::Want;
-use fireflywheel::fleet::plan::{self, Site, Step, View, pace};
+use fireflywheel::fleet::demand::Pending;
+use fireflywheel::fleet::plan::{self, EngineState, Step, View, concurrency};
 use smol_str::{SmolStr, format_smolstr};
 
 pub const NOW: Instant = Instant(100_000);
 
 /// A state from which a plan is made.
 pub struct World {
-    pub engine: Engine,
-    pub sites: Vec<Site>,
-    pub wants: Vec<Want>,
+    pub config: Engine,
+    pub engines: Vec<EngineState>,
+    pub wants: Vec<Pending>,
     pub rates: BTreeMap<SmolStr, f64>,
     pub drains: BTreeMap<SmolStr, f64>,
     pub fetches: usize,
@@ -23,80 +23,82 @@
 
 impl World {
     /// Engines that hold two of ten models of the same size.
-    pub fn new(sites: usize) -> Self {
+    pub fn new(engines: usize) -> Self {
         let model = Model {
             memory_mb: 40.0,
-            fetch: Duration::from_secs(6),
-            from_disk: Duration::from_secs(1),
-            from_host: Duration::from_millis(500),
+            store_load_time: Duration::from_secs(6),
+            disk_load_time: Duration::from_secs(1),
+            host_load_time: Duration::from_millis(500),
             adapter_mb: 1.0,
         };
         let models = (0..10)
             .map(|number| (format_smolstr!("m{number}"), model))
             .collect();
-        let engine = Engine {
+        let config = Engine {
             slots: 8,
             memory_mb: 83.0,
-            adapter_places: 2,
+            adapter_slots: 2,
             loads_per_second: 5.0,
             models,
         };
-        let site = Site {
+        let engine = EngineState {
             usable: true,
-            ..Site::default()
+            ..EngineState::default()
         };
         Self {
-            engine,
-            sites: vec![site; sites],
+            config,
+            engines: vec![engine; engines],
             wants: Vec::new(),
             rates: BTreeMap::new(),
             drains: BTreeMap::new(),
-            fetches: pace::Pace::default().at_once(),
+            fetches: concurrency::Estimate::default().limit(),
         }
     }
 
-    pub fn holding(mut self, site: usize, model: &str) -> Self {
-        let held = &mut self.sites[site].held;
+    pub fn holding(mut self, engine: usize, model: &str) -> Self {
+        let held = &mut self.engines[engine].held;
         held.models.insert(model.into(), BTreeSet::new());
         held.on_disk.insert(model.into());
         self
     }
 
-    pub fn on_disk(mut self, site: usize, model: &str) -> Self {
-        self.sites[site].held.on_disk.insert(model.into());
+    pub fn on_disk(mut self, engine: usize, model: &str) -> Self {
+        self.engines[engine].held.on_disk.insert(model.into());
         self
     }
 
-    pub fn all_on_disk(mut self, site: usize) -> Self {
-        let models = self.engine.models.keys().cloned();
-        self.sites[site].held.on_disk.extend(models);
+    pub fn all_on_disk(mut self, engine: usize) -> Self {
+        let models = self.config.models.keys().cloned();
+        self.engines[engine].held.on_disk.extend(models);
         self
     }
 
-    pub fn running(mut self, site: usize, model: &str, count: u32) -> Self {
-        self.sites[site].running.insert((model.into(), None), count);
+    pub fn running(mut self, engine: usize, model: &str, count: u32) -> Self {
+        self.engines[engine]
+            .running
+            .insert((model.into(), None), count);
         self
     }
 
-    pub fn pressure(mut self, site: usize, millis: u64) -> Self {
-        self.sites[site].pressure = Duration::from_millis(millis);
+    pub fn pressure(mut self, engine: usize, millis: u64) -> Self {
+        self.engines[engine].pressure = Duration::from_millis(millis);
         self
     }
 
-    pub fn busy(mut self, site: usize) -> Self {
-        self.sites[site].held.busy = true;
+    pub fn busy(mut self, engine: usize) -> Self {
+        self.engines[engine].held.busy = true;
         self
     }
 
-    pub fn limited(mut self, site: usize, per_second: f64) -> Self {
-        self.sites[site].limit = Some(per_second);
+    pub fn limited(mut self, engine: usize, per_second: f64) -> Self {
+        self.engines[engine].limit = Some(per_second);
         self
     }
 
-    pub fn fetching(mut self, site: usize, model: &str) -> Self {
-        self.sites[site].loading = Some(model.into());
-        self.sites[site].fetching = true;
-        self.busy(site)
+    pub fn fetching(mut self, engine: usize, model: &str) -> Self {
+        self.engines[engine].loading = Some(model.into());
+        self.engines[engine].fetching = true;
+        self.busy(engine)
     }
 
     pub fn rate(mut self, model: &str, rate: f64) -> Self {
@@ -109,7 +111,7 @@
     }
 
     pub fn wanted_adapter(mut self, model: &str, adapter: Option<&str>) -> Self {
-        self.wants.push(Want {
+        self.wants.push(Pending {
             model: model.into(),
             adapter: adapter.map(SmolStr::new),
             waiting: 1,
@@ -122,13 +124,13 @@
     pub fn view(&self) -> View<'_> {
         View {
             now: NOW,
-            engine: &self.engine,
-            sites: &self.sites,
-            wants: &self.wants,
-            rates: &self.rates,
-            drains: &self.drains,
-            fetches: self.fetches,
-            pace: pace::Pace::default(),
+            config: &self.config,
+            engines: &self.engines,
+            pending: &self.wants,
+            arrival_rates: &self.rates,
+            drain_rates: &self.drains,
+            max_fetches: self.fetches,
+            concurrency: concurrency::Estimate::default(),
         }
     }
 
--- a/crates/fireflywheel/tests/fleet/quota/fleet.rs
+++ b/crates/fireflywheel/tests/fleet/quota/fleet.rs
@@ -4,7 +4,7 @@
 
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::organisation::{Credential, Organisation, Registry};
-use fireflywheel::fleet::quota::gate::{Gate, SHARES_STAND, View};
+use fireflywheel::fleet::quota::gate::{Gate, SHARES_TTL, View};
 use fireflywheel::fleet::quota::meter::Meter;
 use fireflywheel::fleet::quota::{Quota, Share, Unit};
 use rand::rngs::SmallRng;
@@ -200,7 +200,7 @@
         let unnoticed = steward && was && instance.linked;
         if !reaches && !unnoticed {
             if instance.linked && steward {
-                meter.left(Instant(now), &instance.name);
+                meter.link_closed(Instant(now), &instance.name);
             }
             instance.linked = false;
             instance.arriving.clear();
@@ -209,18 +209,20 @@
             return;
         }
         if !instance.linked {
-            instance.gate.linked();
+            instance.gate.link_opened();
         }
         instance.linked = true;
         let offset = place as u64 * 7 % report_every;
         if (now + offset) % report_every < STEP {
             let usage = instance.gate.take_usage(Instant(now), &"desk".into());
-            meter.hear(Instant(now), &instance.name, &Vec::from_iter(usage));
+            meter.record_usage(Instant(now), &instance.name, &Vec::from_iter(usage));
         }
         while instance.arriving.first().is_some_and(|(at, ..)| *at <= now) {
             let (_, shares, sent) = instance.arriving.remove(0);
-            instance.gate.learn(Instant(now), shares.into_iter().next());
-            instance.told_until = Instant(sent).after(SHARES_STAND);
+            instance
+                .gate
+                .update_share(Instant(now), shares.into_iter().next());
+            instance.told_until = Instant(sent).after(SHARES_TTL);
             instance.ever_told = true;
         }
     }
@@ -253,7 +255,7 @@
                 } else {
                     300.max(self.instances)
                 },
-                told_stands: self.coordinated && Instant(now) < instance.told_until,
+                shares_valid: self.coordinated && Instant(now) < instance.told_until,
             };
             let cost = f64::from(self.cost);
             let admitted = instance.gate.admit(view, &quota_now, cost).is_ok();
--- a/crates/fireflywheel/tests/fleet/rate.rs
+++ b/crates/fireflywheel/tests/fleet/rate.rs
@@ -2,16 +2,16 @@
 
 use arbtest::arbtest;
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::rate::Limit;
+use fireflywheel::fleet::rate::Limiter;
 
 use crate::cases;
 
-fn taken(limit: &mut Limit, times: impl Iterator<Item = u64>) -> usize {
-    times.filter(|at| limit.take(Instant(*at))).count()
+fn taken(limit: &mut Limiter, times: impl Iterator<Item = u64>) -> usize {
+    times.filter(|at| limit.try_acquire(Instant(*at))).count()
 }
 
 fn flood() {
-    let mut limit = Limit::new(100);
+    let mut limit = Limiter::new(100);
     // Ten seconds, with 100 in each millisecond.
     let times = (5_000..15_000).flat_map(|at| [at; 100]);
     let taken = taken(&mut limit, times);
@@ -19,12 +19,12 @@
 }
 
 fn start() {
-    let mut limit = Limit::new(100);
+    let mut limit = Limiter::new(100);
     assert_eq!(taken(&mut limit, [0; 50].into_iter()), 50);
 }
 
 fn within() {
-    let mut limit = Limit::new(100);
+    let mut limit = Limiter::new(100);
     let taken = taken(&mut limit, (5_000..15_000).step_by(10));
     assert_eq!(taken, 1_000);
 }
@@ -33,11 +33,11 @@
 fn any_times() {
     arbtest(|u| {
         let per_second = u.int_in_range(1..=5_000_u32)?;
-        let mut limit = Limit::new(per_second);
+        let mut limit = Limiter::new(per_second);
         let (mut now, mut taken) = (2_000, Vec::new());
         for _ in 0..300 {
             now += u.int_in_range(0..=20_u64)?;
-            if limit.take(Instant(now)) {
+            if limit.try_acquire(Instant(now)) {
                 taken.push(now);
             }
         }
--- a/crates/fireflywheel/tests/fleet/budget.rs
+++ b/crates/fireflywheel/tests/fleet/retry_budget.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbtest;
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::budget::{Budget, Options};
+use fireflywheel::fleet::retry_budget::{Budget, Options};
 
 use crate::cases;
 
@@ -16,15 +16,17 @@
 
 fn repeats_end_after_an_outage() {
     let mut budget = Budget::new(OPTIONS);
-    let allowed = (0..1000).filter(|_| budget.repeat(Instant(0), 10)).count();
+    let allowed = (0..1000)
+        .filter(|_| budget.try_retry(Instant(0), 10))
+        .count();
     assert!((1..=10).contains(&allowed), "{allowed}");
 }
 
 fn repeats_come_back() {
     let mut budget = Budget::new(OPTIONS);
-    while budget.repeat(Instant(0), 10) {}
-    assert!(!budget.repeat(Instant(9_000), 10));
-    assert!(budget.repeat(Instant(12_000), 10));
+    while budget.try_retry(Instant(0), 10) {}
+    assert!(!budget.try_retry(Instant(9_000), 10));
+    assert!(budget.try_retry(Instant(12_000), 10));
 }
 
 /// Requests and repeats at any times. In no window may an instance send more repeats than its part.
@@ -36,9 +38,9 @@
         for _ in 0..200 {
             now += u.int_in_range(0..=400)?;
             if u.ratio(1, 2)? {
-                budget.first(Instant(now));
+                budget.record_request(Instant(now));
                 first.push(now);
-            } else if budget.repeat(Instant(now), instances) {
+            } else if budget.try_retry(Instant(now), instances) {
                 repeats.push(now);
             }
         }
--- a/crates/fireflywheel/tests/fleet/routing.rs
+++ b/crates/fireflywheel/tests/fleet/routing.rs
@@ -1,19 +1,19 @@
 //! Requests go to the least loaded server that answers as it should.
 
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::routing::{self, Candidate, Report, Seen};
+use fireflywheel::fleet::routing::{self, Candidate, Report, Stats};
 
 use crate::cases;
 
 const NOW: Instant = Instant(100_000);
 
-fn candidate(seen: &Seen) -> Candidate<'_> {
+fn candidate(stats: &Stats) -> Candidate<'_> {
     Candidate {
-        seen,
+        stats,
         slots: 8,
-        near: true,
-        others: 0,
-        reading: 0.0,
+        same_domain: true,
+        other_requests: 0,
+        prefill_ratio: 0.0,
     }
 }
 
@@ -27,67 +27,67 @@
     shares
 }
 
-fn loaded(in_flight: u32) -> Seen {
-    let mut seen = Seen::default();
-    seen.in_flight = in_flight;
-    seen
+fn loaded(in_flight: u32) -> Stats {
+    let mut stats = Stats::default();
+    stats.in_flight = in_flight;
+    stats
 }
 
 fn equals_share() {
-    let seen = Seen::default();
-    assert_eq!(shares(candidate(&seen), candidate(&seen)), [50, 50]);
+    let stats = Stats::default();
+    assert_eq!(shares(candidate(&stats), candidate(&stats)), [50, 50]);
 }
 
 fn less_loaded_wins() {
-    let (idle, busy) = (Seen::default(), loaded(3));
+    let (idle, busy) = (Stats::default(), loaded(3));
     assert_eq!(shares(candidate(&busy), candidate(&idle)), [0, 100]);
 }
 
 fn report_of_others_counts() {
-    let (idle, mut busy) = (loaded(1), Seen::default());
+    let (idle, mut busy) = (loaded(1), Stats::default());
     let report = Report {
         running: 6,
         waiting: 2,
         slots: 8,
     };
-    busy.reported(NOW, report);
+    busy.record_report(NOW, report);
     assert_eq!(shares(candidate(&busy), candidate(&idle)), [0, 100]);
 }
 
 fn old_report_is_forgotten() {
-    let (loaded, mut seen) = (loaded(1), Seen::default());
+    let (loaded, mut stats) = (loaded(1), Stats::default());
     let report = Report {
         running: 8,
         waiting: 9,
         slots: 8,
     };
-    seen.reported(Instant(NOW.0 - 5000), report);
-    assert_eq!(shares(candidate(&seen), candidate(&loaded)), [100, 0]);
+    stats.record_report(Instant(NOW.0 - 5000), report);
+    assert_eq!(shares(candidate(&stats), candidate(&loaded)), [100, 0]);
 }
 
 fn failing_server_is_left_alone() {
-    let (mut failing, busy) = (Seen::default(), loaded(4));
-    failing.failed(NOW);
-    failing.failed(NOW);
+    let (mut failing, busy) = (Stats::default(), loaded(4));
+    failing.record_failure(NOW);
+    failing.record_failure(NOW);
     assert_eq!(shares(candidate(&failing), candidate(&busy)), [0, 100]);
 }
 
 fn failing_server_gets_another_chance() {
-    let (mut failing, busy) = (Seen::default(), loaded(2));
-    failing.failed(Instant(NOW.0 - 15_000));
+    let (mut failing, busy) = (Stats::default(), loaded(2));
+    failing.record_failure(Instant(NOW.0 - 15_000));
     assert_eq!(shares(candidate(&failing), candidate(&busy)), [100, 0]);
 }
 
 fn unreachable_server_comes_last() {
-    let (mut down, full) = (Seen::default(), loaded(40));
-    down.unreachable(NOW);
+    let (mut down, full) = (Stats::default(), loaded(40));
+    down.record_unreachable(NOW);
     assert_eq!(shares(candidate(&down), candidate(&full)), [0, 100]);
     assert_eq!(routing::pick(NOW, &[candidate(&down)], 0), Some(0));
 }
 
 fn full_server_is_not_asked_again_at_once() {
-    let mut full = Seen::default();
-    full.full(NOW);
+    let mut full = Stats::default();
+    full.record_full(NOW);
     assert_eq!(routing::pick(NOW, &[candidate(&full)], 0), None);
     assert_eq!(
         routing::pick(Instant(NOW.0 + 100), &[candidate(&full)], 0),
@@ -96,27 +96,30 @@
 }
 
 /// A server with so much of the time of a first event to read.
-fn reading(seen: &Seen, reading: f64) -> Candidate<'_> {
+fn reading(stats: &Stats, reading: f64) -> Candidate<'_> {
     Candidate {
-        reading,
-        ..candidate(seen)
+        prefill_ratio: reading,
+        ..candidate(stats)
     }
 }
 
 fn server_that_keeps_the_prompt_wins_until_it_is_loaded() {
-    let (seen, busy) = (Seen::default(), loaded(3));
+    let (stats, busy) = (Stats::default(), loaded(3));
     let (kept, anew) = (0.1, 0.3);
     let shares_of = |keeper, other| shares(reading(other, anew), reading(keeper, kept));
-    assert_eq!(shares_of(&seen, &seen), [0, 100]);
-    assert_eq!(shares_of(&busy, &seen), [100, 0]);
-    assert_eq!(shares(reading(&seen, anew), reading(&seen, 0.4)), [100, 0]);
+    assert_eq!(shares_of(&stats, &stats), [0, 100]);
+    assert_eq!(shares_of(&busy, &stats), [100, 0]);
+    assert_eq!(
+        shares(reading(&stats, anew), reading(&stats, 0.4)),
+        [100, 0]
+    );
 }
 
 fn engine_that_others_fill_is_left_alone() {
-    let seen = Seen::default();
+    let stats = Stats::default();
     let others = |others| Candidate {
-        others,
-        ..candidate(&seen)
+        other_requests: others,
+        ..candidate(&stats)
     };
     assert_eq!(shares(others(6), others(2)), [50, 50]);
     assert_eq!(shares(others(12), others(6)), [0, 100]);
--- a/crates/fireflywheel/tests/fleet/size.rs
+++ b/crates/fireflywheel/tests/fleet/size.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbtest;
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::budget::{Budget, Options};
+use fireflywheel::fleet::retry_budget::{Budget, Options};
 use fireflywheel::fleet::size::Size;
 
 use crate::cases;
@@ -20,7 +20,7 @@
 /// Repeats of an instance that may send as many as its budget allows.
 fn repeats(size: &Size, now: Instant) -> usize {
     let mut budget = Budget::new(OPTIONS);
-    std::iter::repeat_with(|| budget.repeat(now, size.count()))
+    std::iter::repeat_with(|| budget.try_retry(now, size.count()))
         .take_while(|allowed| *allowed)
         .count()
 }
@@ -28,7 +28,7 @@
 fn fleet() -> Vec<Size> {
     let mut sizes = vec![Size::new(Instant(0), WINDOW, 24); FLEET];
     for size in &mut sizes {
-        size.told(Instant(20_000), FLEET);
+        size.update(Instant(20_000), FLEET);
     }
     sizes
 }
@@ -40,7 +40,7 @@
 fn new_steward_with_few_links() {
     let mut sizes = fleet();
     for (place, size) in sizes.iter_mut().take(20).enumerate() {
-        size.told(Instant(21_000), place + 1);
+        size.update(Instant(21_000), place + 1);
     }
     let all = together(&sizes, Instant(21_000));
     assert!(all as f64 <= OPTIONS.extra, "{all}");
@@ -50,8 +50,8 @@
     let mut all = 0;
     for place in 0..FLEET {
         let mut size = Size::new(Instant(0), WINDOW, 24);
-        size.told(Instant(place as u64 * 5), place + 1);
-        size.told(Instant(1_000), FLEET);
+        size.update(Instant(place as u64 * 5), place + 1);
+        size.update(Instant(1_000), FLEET);
         all += repeats(&size, Instant(1_000));
     }
     assert!(all as f64 <= OPTIONS.extra, "{all}");
@@ -59,16 +59,16 @@
 
 fn smaller_fleet_is_believed_in_the_end() {
     let mut size = Size::new(Instant(0), WINDOW, 24);
-    size.told(Instant(1_000), 100);
+    size.update(Instant(1_000), 100);
     for beat in 1..=40 {
-        size.told(Instant(1_000 + beat * 300), 3);
+        size.update(Instant(1_000 + beat * 300), 3);
     }
     assert_eq!(size.count(), 3);
 }
 
 fn count_stays_without_a_steward() {
     let mut size = Size::new(Instant(0), WINDOW, 24);
-    size.told(Instant(20_000), 7);
+    size.update(Instant(20_000), 7);
     assert_eq!(size.count(), 7);
 }
 
@@ -81,7 +81,7 @@
         for _ in 0..u.int_in_range(1..=60)? {
             now += u.int_in_range(0..=4_000_u64)?;
             let count = u.int_in_range(0..=200_usize)?;
-            size.told(Instant(now), count);
+            size.update(Instant(now), count);
             told.push((now, count.max(1)));
             let recent = told.iter().filter(|(at, _)| now - at <= 10_000);
             let most = recent.map(|(_, count)| *count).max();
--- a/crates/fireflywheel/tests/fleet/subscription.rs
+++ b/crates/fireflywheel/tests/fleet/subscription.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::subscription::{LASTS, Registry};
+use fireflywheel::fleet::subscription::{Registry, TTL};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 use smol_str::{SmolStr, format_smolstr};
@@ -17,7 +17,7 @@
 }
 
 fn links(registry: &mut Registry, engine: &str, models: &[&str]) -> Vec<u64> {
-    let told = registry.changed(&engine.into(), &names(models));
+    let told = registry.update_engine(&engine.into(), &names(models));
     told.into_iter().collect()
 }
 
@@ -42,7 +42,7 @@
     for link in [7, 8] {
         registry.subscribe(Instant(0), link, &"m1".into());
     }
-    let later = Instant(0).after(LASTS * 3);
+    let later = Instant(0).after(TTL * 3);
     registry.renew(later, 8, "m1");
     registry.prune(later);
     assert_eq!(links(&mut registry, "e1", &["m1"]), [8]);
@@ -51,14 +51,14 @@
 fn outlasts_the_instance() {
     let mut registry = Registry::default();
     registry.subscribe(Instant(0), 7, &"m1".into());
-    registry.prune(Instant(0).after(LASTS));
+    registry.prune(Instant(0).after(TTL));
     assert_eq!(links(&mut registry, "e1", &["m1"]), [7]);
 }
 
 fn ended_link() {
     let mut registry = Registry::default();
     registry.subscribe(Instant(0), 7, &"m1".into());
-    registry.end(7);
+    registry.remove_link(7);
     assert_eq!(links(&mut registry, "e1", &["m1"]), [0; 0]);
 }
 
@@ -74,7 +74,7 @@
         let link = rng.random_range(0..4);
         match rng.random_range(0..10) {
             0 => {
-                registry.end(link);
+                registry.remove_link(link);
                 asked.remove(&link);
                 told.retain(|(of, _), _| *of != link);
             }
@@ -96,7 +96,7 @@
                 let models: BTreeSet<SmolStr> = (0..rng.random_range(0..3))
                     .map(|_| format_smolstr!("m{}", rng.random_range(0..8)))
                     .collect();
-                for link in registry.changed(&engine, &models) {
+                for link in registry.update_engine(&engine, &models) {
                     told.insert((link, engine.clone()), models.clone());
                 }
                 held.insert(engine, models);
--- a/crates/fireflywheel/tests/fleet/patience.rs
+++ b/crates/fireflywheel/tests/fleet/timeout.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fireflywheel::fleet::config::{Kind, Route};
-use fireflywheel::fleet::patience;
+use fireflywheel::fleet::timeout;
 
 use crate::cases;
 
@@ -19,36 +19,36 @@
         kind,
         timeout: millis(20_000),
         objective: millis(objective),
-        pause: pause.map(millis),
+        max_event_gap: pause.map(millis),
         rank: 0,
         targets: Vec::new(),
         attempts: 1,
-        open: false,
+        allow_anonymous: false,
     }
 }
 
 fn first_byte(kind: Kind, objective: u64, pause: Option<u64>, deadline: u64, expected: u64) {
     let route = route(kind, objective, pause);
     assert_eq!(
-        patience::first_byte(&route, millis(deadline)),
+        timeout::first_byte(&route, millis(deadline)),
         millis(expected)
     );
 }
 
 fn retry_after(wait: u64, left: u64, expected: u64) {
     assert_eq!(
-        patience::retry_after(millis(wait), millis(left), 0.0),
+        timeout::retry_after(millis(wait), millis(left), 0.0),
         millis(expected)
     );
 }
 
 fn callers_are_spread() {
-    let waits = [0.0, 0.5, 1.0].map(|draw| patience::retry_after(millis(1000), millis(9000), draw));
+    let waits = [0.0, 0.5, 1.0].map(|draw| timeout::retry_after(millis(1000), millis(9000), draw));
     assert_eq!(waits, [millis(1000), millis(1125), millis(1250)]);
 }
 
 fn outage(lasted: u64, expected: u64) {
-    assert_eq!(patience::outage(millis(lasted)), millis(expected));
+    assert_eq!(timeout::remaining_outage(millis(lasted)), millis(expected));
 }
 
 cases! {
--- a/crates/fireflywheel/tests/fleet/track.rs
+++ b/crates/fireflywheel/tests/fleet/tracker.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use fireflywheel::clock::Instant;
-use fireflywheel::fleet::plan::{Site, Step, Tier};
+use fireflywheel::fleet::plan::{EngineState, Step, Tier};
 use fireflywheel::fleet::server::{Held, Report, Server};
-use fireflywheel::fleet::track::Track;
+use fireflywheel::fleet::tracker::Tracker;
 
 use crate::cases;
 
@@ -21,8 +21,8 @@
         slots: 16,
         ready: true,
         leaves: None,
-        born: 1,
-        count: 0,
+        started_ms: 1,
+        revision: 0,
         held: Held::default(),
     }
 }
@@ -31,21 +31,21 @@
     NOW.after(Duration::from_millis(millis))
 }
 
-fn site(track: &mut Track, now: Instant) -> Site {
-    track.site(now, std::collections::BTreeMap::new(), 0)
+fn state(tracker: &mut Tracker, now: Instant) -> EngineState {
+    tracker.engine_state(now, std::collections::BTreeMap::new(), 0)
 }
 
 /// An engine that has reported that it holds nothing.
-fn reported() -> Track {
-    let mut track = Track::new("engines".into(), server());
-    track.asked(NOW);
-    track.reported(NOW, NOW, Report::default());
-    track
+fn reported() -> Tracker {
+    let mut tracker = Tracker::new("engines".into(), server());
+    tracker.report_requested(NOW);
+    tracker.report_received(NOW, NOW, Report::default());
+    tracker
 }
 
 fn fetch(model: &str) -> Step {
     Step::Load {
-        site: 0,
+        engine: 0,
         model: model.into(),
         tier: Tier::Store,
     }
@@ -53,72 +53,78 @@
 
 fn unload(model: &str, wanted: &str) -> Step {
     Step::Unload {
-        site: 0,
+        engine: 0,
         model: model.into(),
         wanted: wanted.into(),
     }
 }
 
 fn order_counts_from_its_sending() {
-    let mut track = reported();
-    track.sent(later(1), fetch("m1"));
-    let site = site(&mut track, later(2));
-    assert_eq!(site.loading.as_deref(), Some("m1"));
-    assert!(site.fetching);
-    assert!(site.ordering);
+    let mut tracker = reported();
+    tracker.order_sent(later(1), fetch("m1"));
+    let state = state(&mut tracker, later(2));
+    assert_eq!(state.loading.as_deref(), Some("m1"));
+    assert!(state.fetching);
+    assert!(state.order_pending);
 }
 
 fn refused_order_counts_no_more() {
-    let mut track = reported();
-    track.sent(later(1), fetch("m1"));
-    track.conflicted(later(3));
-    let site = site(&mut track, later(4));
-    assert_eq!(site.loading, None);
-    assert!(!site.fetching);
+    let mut tracker = reported();
+    tracker.order_sent(later(1), fetch("m1"));
+    tracker.order_conflicted(later(3));
+    let state = state(&mut tracker, later(4));
+    assert_eq!(state.loading, None);
+    assert!(!state.fetching);
 }
 
 fn unanswered_order_counts_until_a_report() {
-    let mut track = reported();
-    track.sent(later(1), fetch("m1"));
-    track.unanswered(later(700));
-    assert!(site(&mut track, later(701)).fetching);
-    track.asked(later(1000));
-    track.reported(later(1000), later(1001), Report::default());
-    let site = site(&mut track, later(1002));
-    assert!(!site.fetching);
-    assert!(!site.ordering);
+    let mut tracker = reported();
+    tracker.order_sent(later(1), fetch("m1"));
+    tracker.order_unanswered(later(700));
+    assert!(state(&mut tracker, later(701)).fetching);
+    tracker.report_requested(later(1000));
+    tracker.report_received(later(1000), later(1001), Report::default());
+    let state = state(&mut tracker, later(1002));
+    assert!(!state.fetching);
+    assert!(!state.order_pending);
 }
 
 fn adapter_counts_from_its_sending() {
-    let mut track = reported();
+    let mut tracker = reported();
     let step = Step::LoadAdapter {
-        site: 0,
+        engine: 0,
         model: "m1".into(),
         adapter: "a1".into(),
     };
-    track.sent(later(1), step);
-    let coming = site(&mut track, later(2)).held.coming;
+    tracker.order_sent(later(1), step);
+    let coming = state(&mut tracker, later(2)).held.loading_adapters;
     assert_eq!(coming, BTreeSet::from([("m1".into(), "a1".into())]));
 }
 
 fn room_is_kept_for_its_model() {
-    let mut track = reported();
+    let mut tracker = reported();
     let step = unload("m1", "m2");
-    track.sent(later(1), step.clone());
-    assert_eq!(site(&mut track, later(2)).room_for.as_deref(), Some("m2"));
-    track.accepted(later(3), &step, Duration::ZERO, 1);
+    tracker.order_sent(later(1), step.clone());
+    assert_eq!(
+        state(&mut tracker, later(2)).making_room_for.as_deref(),
+        Some("m2")
+    );
+    tracker.order_accepted(later(3), &step, Duration::ZERO, 1);
     // No order goes to it yet, so that a plan without one says nothing.
-    track.passed_over(later(4));
-    assert_eq!(site(&mut track, later(5)).room_for.as_deref(), Some("m2"));
+    tracker.not_planned(later(4));
+    assert_eq!(
+        state(&mut tracker, later(5)).making_room_for.as_deref(),
+        Some("m2")
+    );
 }
 
 fn room_is_given_up_when_a_plan_does_otherwise() {
-    let mut track = reported();
+    let mut tracker = reported();
     let step = unload("m1", "m2");
-    track.sent(later(1), step.clone());
-    track.accepted(later(3), &step, Duration::ZERO, 1);
-    track.passed_over(later(500));
-    assert_eq!(site(&mut track, later(501)).room_for, None);
+    tracker.order_sent(later(1), step.clone());
+    tracker.order_accepted(later(3), &step, Duration::ZERO, 1);
+    tracker.not_planned(later(500));
+    assert_eq!(state(&mut tracker, later(501)).making_room_for, None);
 }
 
 cases! {
--- a/crates/fireflywheel_daemon/src/fleet/access.rs
+++ b/crates/fireflywheel_daemon/src/fleet/access.rs
@@ -2,7 +2,7 @@
 
 use fireflywheel::fleet::config;
 use fireflywheel::fleet::organisation;
-use fireflywheel::fleet::patience;
+use fireflywheel::fleet::timeout;
 use hyper::StatusCode;
 use smol_str::format_smolstr;
 
@@ -32,7 +32,7 @@
         if let Some(key) = found {
             return Ok(Some(registry.get(key)));
         }
-        if route.open {
+        if route.allow_anonymous {
             return Ok(None);
         }
         match call.identity {
@@ -50,12 +50,12 @@
     /// A key that isn't known here may be new if the configuration wasn't read for longer than one may take to be in force.
     fn unknown_key(&self, call: &platform::Call) -> errors::Problem {
         let age = self.node.config_age();
-        if age <= self.node.settings.apply {
+        if age <= self.node.settings.config_deadline {
             return unauthorized("unknown_key", "no organisation has this key");
         }
         let left = call.deadline.unwrap_or(age);
         unavailable("stale", "the key may be newer than the configuration")
-            .with_retry_after(come_back(patience::outage(age), left))
+            .with_retry_after(come_back(timeout::remaining_outage(age), left))
     }
 
     /// Counts a request against its organisation's quota.
--- a/crates/fireflywheel_daemon/src/fleet/attempt.rs
+++ b/crates/fireflywheel_daemon/src/fleet/attempt.rs
@@ -37,7 +37,7 @@
     /// The route that it takes.
     pub route: config::Route,
     /// Where it waits.
-    pub lane: node::LaneKey,
+    pub queue: node::QueueKey,
     /// Whose request it is, if the configuration names organisations.
     pub organisation: Option<SmolStr>,
     /// 0 is the most urgent.
@@ -50,7 +50,7 @@
 
 /// A response that has begun.
 #[derive(Debug)]
-pub struct Begun<P>
+pub struct Response<P>
 where
     P: platform::Platform,
 {
@@ -75,22 +75,22 @@
     P: platform::Platform,
 {
     /// A backend server answers.
-    Begun(Box<Begun<P>>),
+    Response(Box<Response<P>>),
     /// It has not run there and won't.
     NotRun(&'static str),
     /// It may have run.
     Lost(&'static str),
     /// Its time is over; it may have run.
-    Late,
+    TimedOut,
 }
 
 /// What an attempt may do when its server is silent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Silence {
+pub enum OnTimeout {
     /// End, since another may follow.
-    Ends,
+    Abandon,
     /// Wait on as long as the caller does: the request may run once, or this is its last run.
-    Waits,
+    KeepWaiting,
 }
 
 /// Sends a request to a server, going on after `last_event` if the caller has had that already.
@@ -99,7 +99,7 @@
     job: &Job,
     chosen: &node::Chosen,
     last_event: Option<u64>,
-    silence: Silence,
+    on_timeout: OnTimeout,
 ) -> Outcome<P>
 where
     P: platform::Platform,
@@ -110,25 +110,25 @@
         return Outcome::NotRun("no time left");
     }
     let server = &chosen.server;
-    let mut in_flight = node.begin(chosen, &job.lane);
+    let mut in_flight = node.register_in_flight(chosen, &job.queue);
     let request = outgoing(&node.platform, job, chosen, left, last_event);
     let sending = node
         .pool
         .send(now, chosen.address, chosen.connections, request);
     tokio::pin!(sending);
-    let limit = node.silence(&job.route.name).unwrap_or(left);
+    let limit = node.response_timeout(&job.route.name).unwrap_or(left);
     let in_time = time::timeout(left.min(limit), &mut sending).await;
     let sent = match in_time {
         Ok(sent) => sent,
-        Err(_) if limit >= left => return Outcome::Late,
+        Err(_) if limit >= left => return Outcome::TimedOut,
         Err(_) => {
-            node.judge(server, node::Verdict::Failed);
-            if silence == Silence::Ends {
+            node.record_outcome(server, node::ServerOutcome::Failed);
+            if on_timeout == OnTimeout::Abandon {
                 return Outcome::Lost("silent");
             }
             match time::timeout(left - limit, sending).await {
                 Ok(sent) => sent,
-                Err(_) => return Outcome::Late,
+                Err(_) => return Outcome::TimedOut,
             }
         }
     };
@@ -139,30 +139,30 @@
     let (head, body) = response.into_parts();
     let reply = node.platform.read_reply(&head);
     if let Some(load) = reply.load {
-        node.reported(server, load);
+        node.record_load_report(server, load);
     }
     let limit = node::Answer {
         per_second: reply.limit,
         sent: now,
-        sealed: reply.sealed,
+        authentic: reply.authentic,
     };
-    node.limited(server, limit);
+    node.observe_limit(server, limit);
     if reply.not_run {
         return refused(node, job, server, head.status, &reply);
     }
     let named = reply.id.as_ref().is_none_or(|id| *id == job.call.id);
-    if !named || !reply.sealed {
+    if !named || !reply.authentic {
         // It answers another request, or no backend server made it. Whether ours has run is not known.
-        node.judge(server, node::Verdict::Failed);
+        node.record_outcome(server, node::ServerOutcome::Failed);
         return Outcome::Lost(if named {
             "response without proof"
         } else {
             "response of another request"
         });
     }
-    node.answered_after(&job.route.name, node.now().since(now));
-    in_flight.read();
-    Outcome::Begun(Box::new(Begun {
+    node.observe_response_time(&job.route.name, node.now().since(now));
+    in_flight.prefill_done();
+    Outcome::Response(Box::new(Response {
         head,
         reply,
         body,
@@ -177,10 +177,10 @@
 /// # Errors
 ///
 /// Nothing more than that it broke off, or took until the deadline.
-pub async fn whole<P>(
+pub async fn collect<P>(
     node: &Arc<node::Node<P>>,
     job: &Job,
-    begun: Begun<P>,
+    begun: Response<P>,
 ) -> Result<(Parts, Bytes), Outcome<P>>
 where
     P: platform::Platform,
@@ -188,23 +188,23 @@
     let left = job.deadline.since(node.now());
     let collecting = Limited::new(begun.body, WHOLE_LIMIT).collect();
     let Ok(collected) = time::timeout(left, collecting).await else {
-        return Err(Outcome::Late);
+        return Err(Outcome::TimedOut);
     };
     let Ok(collected) = collected else {
-        node.judge(&begun.server, node::Verdict::Failed);
+        node.record_outcome(&begun.server, node::ServerOutcome::Failed);
         return Err(Outcome::Lost("response broke off"));
     };
     let good = !begun.head.status.is_server_error();
-    node.judge(
+    node.record_outcome(
         &begun.server,
         if good {
-            node::Verdict::Good
+            node::ServerOutcome::Good
         } else {
-            node::Verdict::Failed
+            node::ServerOutcome::Failed
         },
     );
     node.pool
-        .keep(node.now(), begun.connection, begun.reply.keep);
+        .keep(node.now(), begun.connection, begun.reply.keep_alive);
     Ok((begun.head, collected.to_bytes()))
 }
 
@@ -232,7 +232,7 @@
         last_event,
         organisation: job.organisation.as_deref(),
     };
-    platform.address(request.headers_mut(), &attempt);
+    platform.add_attempt_headers(request.headers_mut(), &attempt);
     request
 }
 
@@ -242,16 +242,16 @@
 {
     match fault {
         pool::Fault::Unreachable => {
-            node.judge(server, node::Verdict::Unreachable);
+            node.record_outcome(server, node::ServerOutcome::Unreachable);
             Outcome::NotRun(fault.as_str())
         }
         pool::Fault::Full => {
-            node.judge(server, node::Verdict::Full);
+            node.record_outcome(server, node::ServerOutcome::Full);
             Outcome::NotRun(fault.as_str())
         }
         pool::Fault::Unsent => Outcome::NotRun(fault.as_str()),
         pool::Fault::Lost => {
-            node.judge(server, node::Verdict::Failed);
+            node.record_outcome(server, node::ServerOutcome::Failed);
             Outcome::Lost(fault.as_str())
         }
     }
@@ -268,13 +268,13 @@
     P: platform::Platform,
 {
     if reply.server.as_ref().is_some_and(|other| other != server) {
-        node.judge(server, node::Verdict::Replaced);
+        node.record_outcome(server, node::ServerOutcome::Replaced);
         return Outcome::NotRun("another server has its address");
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        node.denied(server, &job.lane);
+        node.report_missing_model(server, &job.queue);
         return Outcome::NotRun("not held there");
     }
-    node.judge(server, node::Verdict::Full);
+    node.record_outcome(server, node::ServerOutcome::Full);
     Outcome::NotRun("refused by the server")
 }
--- a/crates/fireflywheel_daemon/src/fleet/daemon.rs
+++ b/crates/fireflywheel_daemon/src/fleet/daemon.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-use super::door::Ready;
+use super::health::Endpoint;
 use super::metrics;
 use super::node;
 use super::platform;
@@ -96,7 +96,7 @@
         callers.spawn(door::Door::new(callers_at, limits, stop.subscribe()).serve(relay));
         let mut tasks = JoinSet::new();
         // The address that says "not ready" must answer until the end.
-        let ready = Arc::new(Ready::new(Arc::clone(&node)));
+        let ready = Arc::new(Endpoint::new(Arc::clone(&node)));
         tasks.spawn(async move {
             let (_never, open) = watch::channel(false);
             door::Door::new(ready_at, limits, open).serve(ready).await;
--- a/crates/fireflywheel_daemon/src/fleet/door.rs
+++ b/crates/fireflywheel_daemon/src/fleet/health.rs
@@ -18,11 +18,11 @@
 
 /// Answers the platform and scrapers.
 #[derive(Debug)]
-pub struct Ready<P> {
+pub struct Endpoint<P> {
     node: Arc<node::Node<P>>,
 }
 
-impl<P> Ready<P> {
+impl<P> Endpoint<P> {
     /// Tells of `node`.
     #[must_use]
     pub fn new(node: Arc<node::Node<P>>) -> Self {
@@ -30,7 +30,7 @@
     }
 }
 
-impl<P> door::Service for Ready<P>
+impl<P> door::Service for Endpoint<P>
 where
     P: platform::Platform,
 {
@@ -55,7 +55,7 @@
 where
     P: platform::Platform,
 {
-    node.metrics.set_config_age(node.edition().age);
+    node.metrics.set_config_age(node.config_status().age);
     node.metrics
         .set_era(node.platform.era().unwrap_or_default());
     match node.metrics.text() {
