--- a/crates/fireflywheel_daemon/src/fleet/links.rs
+++ b/crates/fireflywheel_daemon/src/fleet/links.rs
@@ -10,7 +10,7 @@
 use fireflywheel::fleet::era::{Era, Position};
 use fireflywheel::fleet::frame;
 use fireflywheel::fleet::lease;
-use fireflywheel::fleet::talk;
+use fireflywheel::fleet::link;
 use futures_util::{SinkExt as _, StreamExt as _};
 use smol_str::SmolStr;
 use tokio::net::{TcpListener, TcpStream};
@@ -23,7 +23,7 @@
 use super::platform;
 use super::steward;
 
-/// A link without a frame for this long is dead: three beats.
+/// A link without a frame for this long is dead: three heartbeats.
 const SILENCE: Duration = Duration::from_millis(900);
 /// How long a link may take to open.
 const OPEN: Duration = Duration::from_millis(600);
@@ -73,34 +73,34 @@
 where
     P: platform::Platform,
 {
-    let mut tries = talk::Tries::default();
+    let mut retry = link::Retry::default();
     loop {
-        if steward.acts() {
-            let demand = steward.demand_of_own();
-            steward.hear_own(&demand);
-            steward.demand(&steward.node.settings.instance, demand);
-            let mut due = talk::Due::new(steward.node.now(), steward::BEAT);
+        if steward.is_active() {
+            let demand = steward.own_demand();
+            steward.handle_own_demand(&demand);
+            steward.update_demand(&steward.node.settings.instance, demand);
+            let mut due = link::Timer::new(steward.node.now(), steward::HEARTBEAT_INTERVAL);
             wait_until(&mut due, &steward).await;
-            if let Some(other) = steward.suspect() {
+            if let Some(other) = steward.instance_to_query() {
                 let result = connect(&steward, &other, OPEN).await;
                 let why = result.err().map(|error| error.to_string());
                 log::debug!(instance = other.instance.as_str(), why = why.unwrap_or_default().as_str(); "asked who is steward");
-                if !steward.acts() {
+                if !steward.is_active() {
                     lose(&steward);
                 }
             }
             continue;
         }
-        if let Some(holder) = steward.other() {
-            let result = connect(&steward, &holder, tries.patience(OPEN)).await;
+        if let Some(holder) = steward.remote_steward() {
+            let result = connect(&steward, &holder, retry.connect_timeout(OPEN)).await;
             let why = result
                 .err()
                 .map_or_else(|| "ended".to_owned(), |error| error.to_string());
-            let moved = steward.other().is_none_or(|other| other != holder);
+            let moved = steward.remote_steward().is_none_or(|other| other != holder);
             if moved || steward.is_linked() {
-                tries.succeeded();
+                retry.record_success();
             } else {
-                tries.failed();
+                retry.record_failure();
             }
             lose(&steward);
             log::info!(steward = holder.instance.as_str(), why = why.as_str(); "no link to the steward");
@@ -113,7 +113,7 @@
             lose(&steward);
         }
         let pause = pause(steward.node.instances());
-        time::sleep(tries.pause(pause, rand::random())).await;
+        time::sleep(retry.delay(pause, rand::random())).await;
     }
 }
 
@@ -123,7 +123,7 @@
     P: platform::Platform,
 {
     steward.set_linked(false);
-    steward.node.set_told(false);
+    steward.node.set_steward_link(false);
 }
 
 fn pause(instances: usize) -> Duration {
@@ -132,20 +132,20 @@
 }
 
 /// Waits until a demand is due; what is wanted is told soon, what is used when it is convenient.
-async fn wait_until<P>(due: &mut talk::Due, steward: &steward::Steward<P>)
+async fn wait_until<P>(due: &mut link::Timer, steward: &steward::Steward<P>)
 where
     P: platform::Platform,
 {
     let node = &steward.node;
     loop {
-        let left = due.left(node.now());
+        let left = due.remaining(node.now());
         if left.is_zero() {
-            *due = talk::Due::new(node.now(), steward::BEAT);
+            *due = link::Timer::new(node.now(), steward::HEARTBEAT_INTERVAL);
             return;
         }
         tokio::select! {
-            () = node.wanted.notified() => due.within(node.now(), GATHER),
-            () = node.used.notified() => due.within(node.now(), lazily(node.instances())),
+            () = node.demand_changed.notified() => due.expire_within(node.now(), GATHER),
+            () = node.usage_changed.notified() => due.expire_within(node.now(), lazily(node.instances())),
             () = time::sleep(left) => {}
         }
     }
@@ -154,7 +154,7 @@
 /// Use of engines is told this much later: a steward with many instances would do nothing but listen.
 fn lazily(instances: usize) -> Duration {
     let pause = LAZY_AN_INSTANCE * u32::try_from(instances).unwrap_or(u32::MAX);
-    pause.clamp(GATHER, steward::BEAT)
+    pause.clamp(GATHER, steward::HEARTBEAT_INTERVAL)
 }
 
 /// The steward's end of a link.
@@ -182,7 +182,7 @@
         released: false,
         era: None,
     };
-    let mut frames = steward.link(number, peer, cpu_share);
+    let mut frames = steward.open_link(number, peer, cpu_share);
     let mut heard = steward.node.now();
     let why = loop {
         let silence = heard.after(SILENCE).since(steward.node.now());
@@ -194,11 +194,11 @@
                 match frame {
                     Ok(frame::Frame::Demand(demand)) => {
                         learn_era(steward, demand.era);
-                        steward.hear(number, &demand);
-                        steward.demand(&key, demand);
+                        steward.handle_demand(number, &demand);
+                        steward.update_demand(&key, demand);
                     }
                     Ok(frame::Frame::Configuration(config)) => {
-                        steward.node.configure(config, node::Reader::Linked);
+                        steward.node.apply_config(config, node::ConfigSource::Peer);
                         steward.wake.notify_one();
                     }
                     Ok(_) => {}
@@ -214,7 +214,7 @@
             () = time::sleep(silence) => break "silent",
         }
     };
-    steward.unlink(number, &key, &instance);
+    steward.close_link(number, &key, &instance);
     log::info!(instance = instance.as_str(), why = why; "link ended");
 }
 
@@ -248,24 +248,24 @@
         cpu_share: steward.node.settings.cpu_share,
     };
     send(&mut socket, &hello).await?;
-    steward.node.linked();
-    send(&mut socket, &frame::Frame::Demand(steward.demand_of_own())).await?;
+    steward.node.link_opened();
+    send(&mut socket, &frame::Frame::Demand(steward.own_demand())).await?;
     let mut heard = steward.node.now();
-    let mut due = talk::Due::new(heard, steward::BEAT);
+    let mut due = link::Timer::new(heard, steward::HEARTBEAT_INTERVAL);
     let mut sent = 0;
     loop {
         let silence = heard.after(SILENCE).since(steward.node.now());
         tokio::select! {
             biased;
             () = wait_until(&mut due, steward) => {
-                send(&mut socket, &frame::Frame::Demand(steward.demand_of_own())).await?;
+                send(&mut socket, &frame::Frame::Demand(steward.own_demand())).await?;
             }
             frame = receive(&mut socket) => {
                 let frame = frame?;
-                let beat = matches!(frame, frame::Frame::Beat { .. });
+                let heartbeat = matches!(frame, frame::Frame::Heartbeat { .. });
                 take(steward, holder, frame)?;
                 heard = steward.node.now();
-                if beat
+                if heartbeat
                     && let Some(config) = steward.node.config_ahead(sent)
                     && rand::random_bool(told_by(steward.node.instances()))
                 {
@@ -287,7 +287,7 @@
     }
 }
 
-/// The chance with which an instance tells the steward of a later configuration after a beat: most of them have it at the same time.
+/// The chance with which an instance tells the steward of a later configuration after a heartbeat: most of them have it at the same time.
 fn told_by(instances: usize) -> f64 {
     (TELLERS / instances.max(1) as f64).min(1.0)
 }
@@ -301,26 +301,28 @@
     P: platform::Platform,
 {
     match frame {
-        frame::Frame::Beat {
-            incarnation, acts, ..
+        frame::Frame::Heartbeat {
+            incarnation,
+            active: acts,
+            ..
         } if incarnation != holder.incarnation => {
-            steward.ended(holder.incarnation);
+            steward.holder_ended(holder.incarnation);
             if acts {
-                steward.pointed_to(lease::Record {
+                steward.redirect(lease::Record {
                     incarnation,
                     ..holder.clone()
                 });
             }
             anyhow::bail!("another process answers in its place");
         }
-        frame::Frame::Beat { acts: false, .. } => anyhow::bail!("it doesn't act as steward"),
-        frame::Frame::Beat {
+        frame::Frame::Heartbeat { active: false, .. } => anyhow::bail!("it doesn't act as steward"),
+        frame::Frame::Heartbeat {
             instances,
             lease_end,
             lease_era,
             era,
             config_version,
-            read_ms,
+            read_age_ms: read_ms,
             stamp_ms,
             standbys_read,
             ..
@@ -330,15 +332,15 @@
                 era: lease_era,
                 offset: lease_end,
             };
-            if steward.acts() && !steward.is_overtaken(holder, end) {
+            if steward.is_active() && !steward.is_overtaken(holder, end) {
                 anyhow::bail!("this instance has the lease");
             }
-            steward.found(holder);
-            steward.heard(end);
+            steward.observe_steward(holder);
+            steward.observe_lease_end(end);
             if standbys_read && steward.node.is_standby() {
-                steward.node.relayed.send_replace(node::Relayed {
+                steward.node.steward_reads.send_replace(node::StewardReads {
                     version: config_version,
-                    ..node::Relayed::default()
+                    ..node::StewardReads::default()
                 });
             } else {
                 relayed(steward, config_version, read_ms, stamp_ms);
@@ -346,34 +348,36 @@
             steward.node.extend_shares(clock::Instant(stamp_ms));
             steward.node.learn_instances(instances as usize);
             steward.set_linked(true);
-            steward.node.set_told(true);
+            steward.node.set_steward_link(true);
         }
         frame::Frame::Held(holdings) => steward.node.learn_holdings(holdings),
-        frame::Frame::Whole(whole) => steward.node.set_whole(whole),
+        frame::Frame::AllEngines(whole) => steward.node.set_all_engines(whole),
         frame::Frame::Limits(notices) => steward.node.learn_limits(&notices),
         frame::Frame::Permits(replies) => steward.node.learn_permits(&replies),
         frame::Frame::Shares(shares) => steward.node.learn_shares(shares),
         frame::Frame::Load(loads) => steward.node.learn_load(&loads),
         frame::Frame::Forecast(forecasts) => steward.node.learn_forecasts(forecasts),
         frame::Frame::HandOver(given) => {
-            steward.receive(given);
+            steward.accept_hand_over(given);
             anyhow::bail!("it handed the lease over");
         }
         frame::Frame::Moved(holder) => {
-            steward.moved(holder);
+            steward.holder_moved(holder);
             anyhow::bail!("another instance is steward");
         }
         frame::Frame::Steward(holder) => {
-            if steward.acts() {
-                steward.hear_of_rival(holder);
+            if steward.is_active() {
+                steward.record_rival(holder);
             } else {
-                steward.pointed_to(holder);
+                steward.redirect(holder);
             }
             anyhow::bail!("another instance is steward");
         }
-        frame::Frame::Standbys(standbys) => steward.name_standbys(standbys),
+        frame::Frame::Standbys(standbys) => steward.set_standbys(standbys),
         frame::Frame::Configuration(config) => {
-            steward.node.configure(config, node::Reader::Steward);
+            steward
+                .node
+                .apply_config(config, node::ConfigSource::Steward);
         }
         frame::Frame::Directory(changes) => steward.node.learn_entries(changes),
         frame::Frame::Hello { .. } | frame::Frame::Demand(_) => {}
@@ -389,21 +393,21 @@
     let settings = &steward.node.settings;
     let asked = clock::Instant(stamp_ms);
     let read_age = Duration::from_millis(read_ms.into());
-    let until = talk::stands_until(
+    let until = link::reads_valid_until(
         steward.node.now(),
         asked,
         read_age,
-        settings.obey.min(settings.apply),
+        settings.leaving_deadline.min(settings.config_deadline),
     );
     if until.is_some() {
-        steward.node.store_is_back();
+        steward.node.record_store_recovery();
     }
-    let relayed = node::Relayed {
+    let relayed = node::StewardReads {
         until,
         read: Some(asked.before(read_age)),
         version,
     };
-    steward.node.relayed.send_replace(relayed);
+    steward.node.steward_reads.send_replace(relayed);
 }
 
 async fn send(socket: &mut Socket, frame: &frame::Frame) -> anyhow::Result<()> {
--- a/crates/fireflywheel_daemon/src/fleet/journal.rs
+++ b/crates/fireflywheel_daemon/src/fleet/log_output.rs
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 struct Writer {
     clock: clock::Clock,
-    limit: Mutex<rate::Limit>,
+    limit: Mutex<rate::Limiter>,
     queue: SyncSender<Item>,
     lost: Arc<AtomicU64>,
 }
@@ -87,7 +87,7 @@
 impl Writer {
     fn allows(&self) -> bool {
         let mut limit = self.limit.lock().expect("no panic while it was held");
-        limit.take(self.clock.now())
+        limit.try_acquire(self.clock.now())
     }
 }
 
@@ -102,7 +102,7 @@
     let lost = Arc::new(AtomicU64::new(0));
     let writer = Writer {
         clock: clock::Clock::new(),
-        limit: Mutex::new(rate::Limit::new(settings.lines_per_second)),
+        limit: Mutex::new(rate::Limiter::new(settings.lines_per_second)),
         queue: sender,
         lost: Arc::clone(&lost),
     };
--- a/crates/fireflywheel_daemon/src/fleet/metrics.rs
+++ b/crates/fireflywheel_daemon/src/fleet/metrics.rs
@@ -107,7 +107,7 @@
     }
 
     /// A response of a backend server is handed on.
-    pub fn answered(&self, route: &str, status: u16, took: Duration) {
+    pub fn count_answer(&self, route: &str, status: u16, took: Duration) {
         let status = status.to_string();
         let labels = [route, status.as_str()];
         self.answered
@@ -116,7 +116,7 @@
     }
 
     /// A request got an answer of this instance's own.
-    pub fn refused(&self, code: &str, status: u16) {
+    pub fn count_refusal(&self, code: &str, status: u16) {
         let status = status.to_string();
         self.refused
             .with_label_values(&[code, status.as_str()])
@@ -124,23 +124,23 @@
     }
 
     /// An attempt had no whole response.
-    pub fn attempt_failed(&self, route: &str, why: &str) {
+    pub fn count_failed_attempt(&self, route: &str, why: &str) {
         self.failed.with_label_values(&[route, why]).inc();
     }
 
     /// An order was answered, or not.
-    pub fn ordered(&self, kind: &str, result: &str) {
+    pub fn count_order(&self, kind: &str, result: &str) {
         self.orders.with_label_values(&[kind, result]).inc();
     }
 
     /// The platform's store was called.
-    pub fn store_called(&self, call: &str, good: bool) {
+    pub fn count_store_call(&self, call: &str, good: bool) {
         let result = if good { "ok" } else { "fault" };
         self.store_calls.with_label_values(&[call, result]).inc();
     }
 
     /// A request was counted against its organisation's quota, or refused by it.
-    pub fn charged(&self, organisation: &str, admitted: bool, cost: f64) {
+    pub fn count_charge(&self, organisation: &str, admitted: bool, cost: f64) {
         let mut labels = self.labels.lock().expect("no panic while it was held");
         let known = labels.contains(organisation);
         if !known && labels.len() < ORGANISATIONS {
@@ -174,12 +174,12 @@
     }
 
     /// So many backend servers name a limit.
-    pub fn set_limited(&self, servers: usize) {
+    pub fn set_limited_servers(&self, servers: usize) {
         self.limited.set(i64::try_from(servers).unwrap_or(i64::MAX));
     }
 
     /// The steward has decided on a request to a server that names a limit.
-    pub fn decided(&self, outcome: limit::Outcome) {
+    pub fn count_permit(&self, outcome: limit::Outcome) {
         let outcome = match outcome {
             limit::Outcome::Granted => "granted",
             limit::Outcome::Queued(_) => "queued",
--- a/crates/fireflywheel_daemon/src/fleet/mod.rs
+++ b/crates/fireflywheel_daemon/src/fleet/mod.rs
@@ -16,16 +16,16 @@
 //! | [`watch`] | following the configuration and the directory |
 //! | [`steward`] | holding the lease, planning and sending orders |
 //! | [`links`] | links between instances and the steward |
-//! | [`door`] | the address that tells whether the instance is ready, and its metrics |
+//! | [`health`] | the address that tells whether the instance is ready, and its metrics |
 //! | [`metrics`] | counters and histograms |
-//! | [`journal`] | log lines to standard output that never hold up a request |
+//! | [`log_output`] | log lines to standard output that never hold up a request |
 
 mod access;
 pub mod attempt;
 pub mod daemon;
-pub mod door;
-pub mod journal;
+pub mod health;
 pub mod links;
+pub mod log_output;
 pub mod metrics;
 pub mod node;
 pub mod platform;
--- a/crates/fireflywheel_daemon/src/fleet/node.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node.rs
@@ -19,7 +19,7 @@
 use smol_str::SmolStr;
 use tokio::sync::{Notify, watch};
 
-pub use choice::{Choice, Chosen, Query, Verdict};
+pub use choice::{Choice, Chosen, Query, ServerOutcome};
 pub use guard::{InFlight, Waiter};
 pub use limit::Answer;
 pub use quota::Charge;
@@ -49,19 +49,19 @@
     /// Changes when a request that waits may find something else.
     pub changed: watch::Sender<u64>,
     /// Told when more, or something else, is wanted of the steward.
-    pub wanted: Notify,
+    pub demand_changed: Notify,
     /// Told when requests in progress begin or end.
-    pub used: Notify,
+    pub usage_changed: Notify,
     /// Told when the store answers again after calls that failed.
-    pub store_back: Notify,
+    pub store_recovered: Notify,
     /// What the steward says of its own reads of the store.
-    pub relayed: watch::Sender<Relayed>,
+    pub steward_reads: watch::Sender<StewardReads>,
     state: Mutex<State>,
 }
 
 /// What the steward says of its own reads of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Relayed {
+pub struct StewardReads {
     /// Until then its reads stand for reads of this instance's own.
     pub until: Option<Instant>,
     /// When it read the store last, or later.
@@ -72,44 +72,44 @@
 
 /// The configuration that an instance decides by, and how sure it is that there is no later one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Edition {
+pub struct ConfigStatus {
     /// The version; 0 for none.
     pub version: u64,
     /// How long ago the store was read last; none if it never was.
     pub age: Option<Duration>,
     /// Who read it.
-    pub reader: Reader,
+    pub source: ConfigSource,
 }
 
 /// Who has read the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reader {
+pub enum ConfigSource {
     /// Nobody yet.
-    Nobody,
+    Unknown,
     /// The instance itself.
     Own,
     /// The steward, which told it.
     Steward,
     /// An instance that has a link to this one.
-    Linked,
+    Peer,
 }
 
-impl Reader {
+impl ConfigSource {
     /// Its name in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Nobody => "nobody",
+            Self::Unknown => "nobody",
             Self::Own => "own",
             Self::Steward => "steward",
-            Self::Linked => "linked",
+            Self::Peer => "linked",
         }
     }
 }
 
 /// Where requests wait for the same thing.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct LaneKey {
+pub struct QueueKey {
     /// The group.
     pub group: SmolStr,
     /// The model, for engines.
@@ -127,7 +127,7 @@
     pub fn new(platform: P, settings: settings::Settings, metrics: metrics::Metrics) -> Self {
         let clock = Clock::new();
         let started = clock.now();
-        let state = State::new(started, settings.repeats.window);
+        let state = State::new(started, settings.retry_budget.window);
         Self {
             platform,
             settings,
@@ -137,10 +137,10 @@
             metrics,
             incarnation: rand::random(),
             changed: watch::Sender::new(0),
-            wanted: Notify::new(),
-            used: Notify::new(),
-            store_back: Notify::new(),
-            relayed: watch::Sender::new(Relayed::default()),
+            demand_changed: Notify::new(),
+            usage_changed: Notify::new(),
+            store_recovered: Notify::new(),
+            steward_reads: watch::Sender::new(StewardReads::default()),
             state: Mutex::new(state),
         }
     }
@@ -158,38 +158,38 @@
     }
 
     /// Puts a configuration in force, unless that one or a later one is.
-    pub fn configure(&self, config: Arc<config::Config>, reader: Reader) {
+    pub fn apply_config(&self, config: Arc<config::Config>, source: ConfigSource) {
         let (version, routes) = (config.version, config.routes.len() as u64);
         let taken = self.lock().configure(config);
         if taken {
             self.metrics.set_version(version);
             self.wake();
         }
-        log::info!(version = version, routes = routes, taken = taken, reader = reader.as_str(); "configuration read");
+        log::info!(version = version, routes = routes, taken = taken, reader = source.as_str(); "configuration read");
     }
 
     /// The configuration was read at this time.
-    pub fn read_config(&self, asked: Instant) {
+    pub fn record_config_read(&self, asked: Instant) {
         let mut state = self.lock();
         state.config_read = Some(asked);
         state.needs_config = false;
     }
 
     /// The store didn't answer a read of the configuration: the steward is to send it.
-    pub fn config_unread(&self) {
+    pub fn config_read_failed(&self) {
         self.lock().needs_config = true;
-        self.wanted.notify_one();
+        self.demand_changed.notify_one();
     }
 
     /// The configuration in force, if it is later than the steward's and than `sent`.
     #[must_use]
     pub fn config_ahead(&self, sent: u64) -> Option<Arc<config::Config>> {
-        let known = self.relayed.borrow().version.max(sent);
+        let known = self.steward_reads.borrow().version.max(sent);
         self.config().filter(|config| config.version > known)
     }
 
     /// The directory was read at this time, in this era of the store.
-    pub fn read_directory(&self, asked: Instant, era: Era) {
+    pub fn record_directory_read(&self, asked: Instant, era: Era) {
         let mut state = self.lock();
         state.directory_read = Some(asked);
         state.era = era;
@@ -205,7 +205,7 @@
     /// How long ago the configuration was read; zero while the steward reads it for this instance.
     #[must_use]
     pub fn config_age(&self) -> Duration {
-        if self.is_relayed() {
+        if self.steward_reads_valid() {
             return Duration::ZERO;
         }
         let read = self.lock().config_read;
@@ -214,38 +214,38 @@
 
     /// The configuration in force, and the last read of the store behind it.
     #[must_use]
-    pub fn edition(&self) -> Edition {
+    pub fn config_status(&self) -> ConfigStatus {
         let now = self.now();
-        let told = self.relayed.borrow().read;
+        let told = self.steward_reads.borrow().read;
         let state = self.lock();
         let read = told.max(state.config_read);
-        let reader = match read {
-            None => Reader::Nobody,
-            Some(_) if told > state.config_read => Reader::Steward,
-            Some(_) => Reader::Own,
+        let source = match read {
+            None => ConfigSource::Unknown,
+            Some(_) if told > state.config_read => ConfigSource::Steward,
+            Some(_) => ConfigSource::Own,
         };
-        Edition {
+        ConfigStatus {
             version: state.config.as_ref().map_or(0, |config| config.version),
             age: read.map(|at| now.since(at)),
-            reader,
+            source,
         }
     }
 
     /// Whether the steward's reads of the store stand for this instance's own.
     #[must_use]
-    pub fn is_relayed(&self) -> bool {
-        let until = self.relayed.borrow().until;
+    pub fn steward_reads_valid(&self) -> bool {
+        let until = self.steward_reads.borrow().until;
         until.is_some_and(|until| self.now() < until)
     }
 
     /// Whether this instance's reads stand for those of others.
     #[must_use]
-    pub fn is_relaying(&self) -> bool {
+    pub fn is_acting_steward(&self) -> bool {
         self.lock().relaying
     }
 
     /// This instance is steward from now on, or no more.
-    pub fn set_relaying(&self, relaying: bool) {
+    pub fn set_acting_steward(&self, relaying: bool) {
         let mut state = self.lock();
         state.relaying = relaying;
         if relaying {
@@ -283,14 +283,14 @@
 
     /// When a planned stop will be over, once one has begun.
     #[must_use]
-    pub fn stops(&self) -> Option<Instant> {
+    pub fn stop_deadline(&self) -> Option<Instant> {
         self.lock().stops
     }
 
     /// Whether a planned stop has begun.
     #[must_use]
     pub fn is_draining(&self) -> bool {
-        self.stops().is_some()
+        self.stop_deadline().is_some()
     }
 
     fn wake(&self) {
--- a/crates/fireflywheel_daemon/src/fleet/node/choice.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/choice.rs
@@ -7,13 +7,13 @@
 use fireflywheel::clock;
 use fireflywheel::fleet::config;
 use fireflywheel::fleet::limit::gate as limit;
+use fireflywheel::fleet::load;
 use fireflywheel::fleet::routing;
-use fireflywheel::fleet::work;
 use smol_str::SmolStr;
 
 use super::guard;
 use super::state;
-use super::{LaneKey, Node};
+use super::{Node, QueueKey};
 use crate::fleet::platform;
 
 /// A route's objective counts as this long at least, so that one of zero divides nothing.
@@ -29,7 +29,7 @@
     /// Connections that this instance may have to it.
     pub connections: usize,
     /// Tokens of the prompt that it has to read, as far as known.
-    pub unread: u32,
+    pub prefill_tokens: u32,
 }
 
 /// What there is for a request now.
@@ -42,13 +42,13 @@
     /// Those that can run it name a limit, and its turn hasn't come; the wait is what the steward expects.
     Limited(Option<Duration>),
     /// Those that can run it couldn't be reached a moment ago.
-    Down,
+    Unreachable,
     /// None holds its model; the wait is what the steward expects.
-    Absent(Option<Duration>),
+    NotLoaded(Option<Duration>),
     /// The steward is asked which engines hold its model.
-    Asked,
+    Subscribing,
     /// The group has no server.
-    Nobody,
+    NoServer,
 }
 
 /// A request that is to go somewhere.
@@ -57,7 +57,7 @@
     /// Its route.
     pub route: &'a config::Route,
     /// Where it waits.
-    pub lane: &'a LaneKey,
+    pub queue: &'a QueueKey,
     /// What it says.
     pub call: &'a platform::Call,
     /// Servers that it was sent to already; left out if there are others.
@@ -76,7 +76,7 @@
 
 /// What became of an attempt, as far as its server is concerned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ServerOutcome {
     /// It did as it should.
     Good,
     /// It failed a request.
@@ -96,39 +96,39 @@
     /// Where a request can go now.
     #[must_use]
     pub fn choose(&self, query: Query<'_>) -> Choice {
-        let Query { lane, tried, .. } = query;
+        let Query { queue, tried, .. } = query;
         let now = self.now();
         let mut state = self.lock();
         let Some(config) = state.config.clone() else {
-            return Choice::Nobody;
+            return Choice::NoServer;
         };
-        let Some(group) = config.groups.get(&lane.group) else {
-            return Choice::Nobody;
+        let Some(group) = config.groups.get(&queue.group) else {
+            return Choice::NoServer;
         };
-        if let Some(model) = &lane.model
+        if let Some(model) = &queue.model
             && !state.knows_model(now, model)
         {
             drop(state);
-            self.wanted.notify_one();
-            return Choice::Asked;
+            self.demand_changed.notify_one();
+            return Choice::Subscribing;
         }
-        let mut servers: Vec<&state::Known> = state.usable(now, lane).collect();
+        let mut servers: Vec<&state::Known> = state.usable(now, queue).collect();
         if servers.is_empty() {
             // Of engines only those are known that hold what this instance is asked for.
-            let is_told = state.live.is_some() && lane.model.is_some();
+            let is_told = state.live.is_some() && queue.model.is_some();
             return match is_told {
-                true => Choice::Absent(expected(&state, lane, now)),
-                false => Choice::Nobody,
+                true => Choice::NotLoaded(expected(&state, queue, now)),
+                false => Choice::NoServer,
             };
         }
-        if let (Some(_), Some(model)) = (&group.engine, &lane.model) {
+        if let (Some(_), Some(model)) = (&group.engine, &queue.model) {
             let told_stands = state.told_stands(now);
             servers.retain(|known| {
                 let held = known.held(told_stands);
-                held.holds(model, lane.adapter.as_deref())
+                held.holds(model, queue.adapter.as_deref())
             });
             if servers.is_empty() {
-                return Choice::Absent(expected(&state, lane, now));
+                return Choice::NotLoaded(expected(&state, queue, now));
             }
         }
         if servers
@@ -153,9 +153,9 @@
         let Some(picked) = picked else {
             let full = !open.is_empty() || !permitted.is_empty();
             let limited: Vec<SmolStr> = ids(&limited).cloned().collect();
-            let expected = expected(&state, lane, now);
+            let expected = expected(&state, queue, now);
             if state.want_permit(view, query.left, &limited) {
-                self.wanted.notify_one();
+                self.demand_changed.notify_one();
             }
             return match full {
                 true => Choice::Full(expected),
@@ -166,14 +166,14 @@
             server: picked.known.server.id.clone(),
             address: picked.known.server.address,
             connections: (group.connections / state.instances.count()).max(1),
-            unread: picked.unread,
+            prefill_tokens: picked.unread,
         };
-        let down = lane.model.is_some() && picked.known.seen.is_down(now);
+        let down = queue.model.is_some() && picked.known.stats.is_down(now);
         if let Some(known) = state.servers.get_mut(&chosen.server) {
-            if down && !known.seen.probe(now) {
-                return Choice::Down;
+            if down && !known.stats.try_probe(now) {
+                return Choice::Unreachable;
             }
-            known.limit.take(view);
+            known.limit.use_permit(view);
         }
         Choice::Server(chosen)
     }
@@ -188,16 +188,17 @@
         let Query { route, call, .. } = query;
         let prompt = prompt(call);
         let parts = call.shared.as_ref().map_or("", |shared| &shared.parts);
-        let keeper = work::keeper(prompt, parts, ids(servers).map(SmolStr::as_str));
-        let unread = |known: &state::Known| prompt.unread(keeper == Some(known.server.id.as_str()));
+        let keeper = load::prefix_cache_server(prompt, parts, ids(servers).map(SmolStr::as_str));
+        let unread =
+            |known: &state::Known| prompt.prefill_tokens(keeper == Some(known.server.id.as_str()));
         let candidates: Vec<routing::Candidate<'_>> = servers
             .iter()
             .map(|known| routing::Candidate {
-                seen: &known.seen,
+                stats: &known.stats,
                 slots: known.server.slots,
-                near: known.server.domain == self.settings.domain,
-                others: known.backlog.others(now),
-                reading: reading(now, route, known, unread(known)),
+                same_domain: known.server.domain == self.settings.domain,
+                other_requests: known.backlog.other_requests(now),
+                prefill_ratio: reading(now, route, known, unread(known)),
             })
             .collect();
         let place = routing::pick(now, &candidates, rand::random())?;
@@ -219,44 +220,51 @@
 
     /// How long callers of a model will wait, as far as the steward tells.
     #[must_use]
-    pub fn expected(&self, lane: &LaneKey) -> Option<Duration> {
+    pub fn expected_wait(&self, queue: &QueueKey) -> Option<Duration> {
         let now = self.now();
-        expected(&self.lock(), lane, now)
+        expected(&self.lock(), queue, now)
     }
 
     /// Counts a request at a server from now on.
     #[must_use]
-    pub fn begin(self: &Arc<Self>, chosen: &Chosen, lane: &LaneKey) -> guard::InFlight<P> {
+    pub fn register_in_flight(
+        self: &Arc<Self>,
+        chosen: &Chosen,
+        queue: &QueueKey,
+    ) -> guard::InFlight<P> {
         let server = &chosen.server;
-        let key = (lane.model.clone().unwrap_or_default(), lane.adapter.clone());
+        let key = (
+            queue.model.clone().unwrap_or_default(),
+            queue.adapter.clone(),
+        );
         let mut state = self.lock();
         let mut born = 0;
         if let Some(known) = state.servers.get_mut(server) {
-            known.seen.in_flight += 1;
-            known.backlog.sent(chosen.unread);
+            known.stats.in_flight += 1;
+            known.backlog.add_own(chosen.prefill_tokens);
             let running = known.running.entry(key.clone()).or_default();
             running.count += 1;
-            running.unread += chosen.unread;
-            born = known.server.born;
+            running.unread += chosen.prefill_tokens;
+            born = known.server.started_ms;
         }
         drop(state);
-        self.used.notify_one();
+        self.usage_changed.notify_one();
         guard::InFlight {
             node: Arc::clone(self),
             server: server.clone(),
             born,
             key,
-            unread: chosen.unread,
+            unread: chosen.prefill_tokens,
             ran: false,
-            group: lane.group.clone(),
+            group: queue.group.clone(),
         }
     }
 
     /// Counts a request as waiting from now on.
     #[must_use]
-    pub fn wait(
+    pub fn register_waiting(
         self: &Arc<Self>,
-        lane: &LaneKey,
+        queue: &QueueKey,
         since: clock::Instant,
         until: clock::Instant,
     ) -> guard::Waiter<P> {
@@ -265,32 +273,36 @@
         let number = state.next_waiting;
         let waiting = state::Waiting { since, until };
         state
-            .lanes
-            .entry(lane.clone())
+            .queues
+            .entry(queue.clone())
             .or_default()
             .insert(number, waiting);
         drop(state);
-        self.wanted.notify_one();
+        self.demand_changed.notify_one();
         guard::Waiter {
             node: Arc::clone(self),
-            lane: lane.clone(),
+            queue: queue.clone(),
             number,
         }
     }
 
     /// A request is sent for the first time.
-    pub fn count_first(&self, group: &SmolStr) {
+    pub fn record_first_attempt(&self, group: &SmolStr) {
         let now = self.now();
-        self.lock().budget(group, &self.settings).first(now);
+        self.lock()
+            .budget(group, &self.settings)
+            .record_request(now);
     }
 
     /// Takes one repeat out of the group's budget.
     #[must_use]
-    pub fn may_repeat(&self, group: &SmolStr) -> bool {
+    pub fn try_retry(&self, group: &SmolStr) -> bool {
         let now = self.now();
         let mut state = self.lock();
         let instances = state.instances.count();
-        state.budget(group, &self.settings).repeat(now, instances)
+        state
+            .budget(group, &self.settings)
+            .try_retry(now, instances)
     }
 }
 
@@ -298,14 +310,14 @@
     servers.iter().map(|known| &known.server.id)
 }
 
-fn expected(state: &state::State, lane: &LaneKey, now: clock::Instant) -> Option<Duration> {
-    let key = (lane.group.clone(), lane.model.clone()?);
+fn expected(state: &state::State, queue: &QueueKey, now: clock::Instant) -> Option<Duration> {
+    let key = (queue.group.clone(), queue.model.clone()?);
     Some(state.forecasts.get(&key)?.since(now))
 }
 
-fn prompt(call: &platform::Call) -> work::Prompt {
+fn prompt(call: &platform::Call) -> load::Prompt {
     let shared = call.shared.as_ref().map_or(0, |shared| shared.tokens);
-    work::Prompt {
+    load::Prompt {
         tokens: call.prompt_tokens.max(shared),
         shared,
     }
@@ -316,7 +328,7 @@
     if unread == 0 {
         return 0.0;
     }
-    let tokens = known.backlog.tokens(now) + f64::from(unread);
+    let tokens = known.backlog.prefill_tokens(now) + f64::from(unread);
     let objective = route.objective.max(SHORTEST_OBJECTIVE);
-    work::reading_time(tokens).div_duration_f64(objective)
+    load::prefill_time(tokens).div_duration_f64(objective)
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/demand.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/demand.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 use super::state;
-use super::{LaneKey, Node};
+use super::{Node, QueueKey};
 
 impl<P> Node<P>
 where
@@ -51,17 +51,17 @@
         let (mut limits, mut permits) = (Vec::new(), Vec::new());
         for (id, known) in &mut state.servers {
             limits.extend(known.limit.take_notice(now, id));
-            permits.extend(known.limit.take_ask(now, id));
+            permits.extend(known.limit.take_request(now, id));
         }
         let gates = state.gates.iter_mut();
         let usage = gates
             .filter_map(|(organisation, gate)| gate.take_usage(now, organisation))
             .collect();
         demand::Demand {
-            lanes: state
-                .lanes
+            queues: state
+                .queues
                 .iter()
-                .filter_map(|(key, lane)| lane_demand(now, key, lane))
+                .filter_map(|(key, queue)| queue_demand(now, key, queue))
                 .collect(),
             running: state.servers.values_mut().flat_map(running).collect(),
             arrived: counts(arrived),
@@ -73,15 +73,15 @@
             era,
             limits,
             permits,
-            asks,
+            subscriptions: asks,
             config_version: Some(state.config.as_ref().map_or(0, |config| config.version)),
             needs_config: state.needs_config,
-            read_ms: frame::millis(state.read_age(now)),
+            read_age_ms: frame::millis(state.read_age(now)),
         }
     }
 
     /// A request for a model came.
-    pub fn arrived(&self, group: &SmolStr, model: &SmolStr) {
+    pub fn count_arrival(&self, group: &SmolStr, model: &SmolStr) {
         let mut state = self.lock();
         *state
             .arrived
@@ -101,26 +101,26 @@
         .collect()
 }
 
-fn lane_demand(
+fn queue_demand(
     now: clock::Instant,
-    key: &LaneKey,
-    lane: &BTreeMap<u64, state::Waiting>,
-) -> Option<demand::Lane> {
+    key: &QueueKey,
+    queue: &BTreeMap<u64, state::Waiting>,
+) -> Option<demand::Queue> {
     let model = key.model.clone()?;
-    let since = lane.values().map(|waiting| waiting.since).min()?;
-    let until = lane.values().map(|waiting| waiting.until).max()?;
-    Some(demand::Lane {
+    let since = queue.values().map(|waiting| waiting.since).min()?;
+    let until = queue.values().map(|waiting| waiting.until).max()?;
+    Some(demand::Queue {
         group: key.group.clone(),
         model,
         adapter: key.adapter.clone(),
-        waiting: u32::try_from(lane.len()).unwrap_or(u32::MAX),
+        waiting: u32::try_from(queue.len()).unwrap_or(u32::MAX),
         waited_ms: frame::millis(now.since(since)),
         left_ms: frame::millis(until.since(now)),
     })
 }
 
 fn running(known: &mut state::Known) -> impl Iterator<Item = demand::Running> {
-    known.backlog.tell(known.seen.in_flight);
+    known.backlog.report_own(known.stats.in_flight);
     let server = &known.server.id;
     let running = known.running.iter();
     running.map(|((model, adapter), running)| demand::Running {
@@ -128,6 +128,6 @@
         model: model.clone(),
         adapter: adapter.clone(),
         count: running.count,
-        unread: running.unread,
+        prefill_tokens: running.unread,
     })
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/guard.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/guard.rs
@@ -4,7 +4,7 @@
 
 use smol_str::SmolStr;
 
-use super::{LaneKey, Node};
+use super::{Node, QueueKey};
 
 /// A request in progress at a server, counted as long as this lives.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     P: Send + Sync,
 {
     pub(super) node: Arc<Node<P>>,
-    pub(super) lane: LaneKey,
+    pub(super) queue: QueueKey,
     pub(super) number: u64,
 }
 
@@ -39,7 +39,7 @@
     P: Send + Sync,
 {
     /// The server has read its prompt, and runs it.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         self.ran = true;
         self.count_as_read();
     }
@@ -51,12 +51,12 @@
         }
         let mut state = self.node.lock();
         if let Some(known) = state.servers.get_mut(&self.server)
-            && known.server.born == self.born
+            && known.server.started_ms == self.born
         {
             known.read(&self.key, unread);
         }
         drop(state);
-        self.node.used.notify_one();
+        self.node.usage_changed.notify_one();
     }
 }
 
@@ -74,10 +74,10 @@
         let Some(known) = state.servers.get_mut(&self.server) else {
             return;
         };
-        if known.server.born != self.born {
+        if known.server.started_ms != self.born {
             return;
         }
-        known.seen.in_flight = known.seen.in_flight.saturating_sub(1);
+        known.stats.in_flight = known.stats.in_flight.saturating_sub(1);
         if let Some(running) = known.running.get_mut(&self.key) {
             running.count = running.count.saturating_sub(1);
             if running.count == 0 {
@@ -85,7 +85,7 @@
             }
         }
         drop(state);
-        self.node.used.notify_one();
+        self.node.usage_changed.notify_one();
     }
 }
 
@@ -95,13 +95,13 @@
 {
     fn drop(&mut self) {
         let mut state = self.node.lock();
-        if let Some(lane) = state.lanes.get_mut(&self.lane) {
-            lane.remove(&self.number);
-            if lane.is_empty() {
-                state.lanes.remove(&self.lane);
+        if let Some(queue) = state.queues.get_mut(&self.queue) {
+            queue.remove(&self.number);
+            if queue.is_empty() {
+                state.queues.remove(&self.queue);
             }
         }
         drop(state);
-        self.node.wanted.notify_one();
+        self.node.demand_changed.notify_one();
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/knowledge.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/knowledge.rs
@@ -3,15 +3,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use fireflywheel::fleet::adaptive_timeout;
 use fireflywheel::fleet::frame;
+use fireflywheel::fleet::load;
 use fireflywheel::fleet::routing;
 use fireflywheel::fleet::server;
-use fireflywheel::fleet::silence;
-use fireflywheel::fleet::work;
 use smol_str::SmolStr;
 
 use super::state;
-use super::{LaneKey, Node, Verdict};
+use super::{Node, QueueKey, ServerOutcome};
 use crate::fleet::platform;
 
 impl<P> Node<P>
@@ -20,11 +20,11 @@
 {
     /// Takes in news of the directory. Entries that are gone are kept for `patience`, in case they lapsed
     /// only because the store was away.
-    pub fn learn(&self, news: platform::News, patience: Duration) {
+    pub fn update_directory(&self, news: platform::DirectoryUpdate, patience: Duration) {
         let now = self.now();
         let mut state = self.lock();
         match news {
-            platform::News::All(servers) => {
+            platform::DirectoryUpdate::Full(servers) => {
                 for known in state.servers.values_mut() {
                     if servers.iter().all(|server| server.id != known.server.id) {
                         known.missing.get_or_insert(now);
@@ -34,7 +34,7 @@
                     state.enter(server);
                 }
             }
-            platform::News::Some(changes) => {
+            platform::DirectoryUpdate::Partial(changes) => {
                 for (id, server) in changes {
                     match server {
                         Some(server) => state.enter(server),
@@ -68,7 +68,7 @@
         let named: BTreeSet<&SmolStr> = changes.entries.iter().map(|entry| &entry.id).collect();
         let unnamed = state.servers.values().filter(|known| {
             let server = &known.server;
-            changes.all_of.contains(&server.group) && !named.contains(&server.id)
+            changes.complete_groups.contains(&server.group) && !named.contains(&server.id)
         });
         let mut gone: Vec<SmolStr> = unnamed.map(|known| known.server.id.clone()).collect();
         drop(state);
@@ -76,8 +76,8 @@
         let servers = changes.entries.into_iter().map(|entry| entry.server(now));
         let changed = servers.map(|server| (server.id.clone(), Some(server)));
         let gone = gone.into_iter().map(|id| (id, None));
-        let news = platform::News::Some(changed.chain(gone).collect());
-        self.learn(news, Duration::ZERO);
+        let news = platform::DirectoryUpdate::Partial(changed.chain(gone).collect());
+        self.update_directory(news, Duration::ZERO);
     }
 
     /// Whether the steward has told of entries since this was asked last: they may be older than own reads.
@@ -108,7 +108,7 @@
     pub fn learn_held(&self, holding: frame::Holding) {
         let mut state = self.lock();
         if let Some(known) = state.servers.get_mut(&holding.entry.id)
-            && known.server.born == holding.entry.born
+            && known.server.started_ms == holding.entry.started_ms
         {
             known.told = Some(server::Held {
                 models: holding.models,
@@ -120,22 +120,22 @@
     }
 
     /// A link to the steward was made. What it was asked before is asked anew.
-    pub fn linked(&self) {
+    pub fn link_opened(&self) {
         let mut state = self.lock();
         state.whole = false;
         for ask in state.asks.values_mut() {
             ask.sent = false;
         }
         for gate in state.gates.values_mut() {
-            gate.linked();
+            gate.link_opened();
         }
         for known in state.servers.values_mut() {
-            known.limit.linked();
+            known.limit.link_opened();
         }
     }
 
     /// The steward tells of all engines from now on, or of those that hold what it is asked for.
-    pub fn set_whole(&self, whole: bool) {
+    pub fn set_all_engines(&self, whole: bool) {
         let mut state = self.lock();
         state.whole = whole;
         state.live = (!whole).then(BTreeMap::new);
@@ -145,7 +145,7 @@
     }
 
     /// The steward tells what engines hold from now on, or doesn't any more.
-    pub fn set_told(&self, told: bool) {
+    pub fn set_steward_link(&self, told: bool) {
         let until = self.now().after(state::TOLD);
         let mut state = self.lock();
         state.steward = told;
@@ -183,74 +183,77 @@
     }
 
     /// The steward says what engines have to do, in the order of their ids.
-    pub fn learn_load(&self, loads: &[work::Load]) {
+    pub fn learn_load(&self, loads: &[load::Load]) {
         let now = self.now();
         let mut state = self.lock();
         for known in state.servers.values_mut() {
             let place = loads.binary_search_by(|load| load.server.cmp(&known.server.id));
-            let (unread, requests) =
-                place.map_or((0, 0), |place| (loads[place].unread, loads[place].requests));
-            known.backlog.heard(now, unread, requests);
+            let (unread, requests) = place.map_or((0, 0), |place| {
+                (loads[place].prefill_tokens, loads[place].requests)
+            });
+            known.backlog.update_others(now, unread, requests);
         }
     }
 
     /// How many instances the steward counts.
     pub fn learn_instances(&self, instances: usize) {
         let now = self.now();
-        self.lock().instances.told(now, instances);
+        self.lock().instances.update(now, instances);
     }
 
     /// A response to a request of a route began after `took`.
-    pub fn answered_after(&self, route: &SmolStr, took: Duration) {
+    pub fn observe_response_time(&self, route: &SmolStr, took: Duration) {
         let mut state = self.lock();
-        if !state.usual.contains_key(route) {
-            state.usual.insert(route.clone(), silence::Usual::default());
+        if !state.response_times.contains_key(route) {
+            state
+                .response_times
+                .insert(route.clone(), adaptive_timeout::Estimator::default());
         }
-        if let Some(usual) = state.usual.get_mut(route) {
-            usual.observe(took);
+        if let Some(response_times) = state.response_times.get_mut(route) {
+            response_times.observe(took);
         }
     }
 
     /// After so long without a response to a request of a route it is lost, as far as known.
     #[must_use]
-    pub fn silence(&self, route: &str) -> Option<Duration> {
-        self.lock().usual.get(route)?.limit()
+    pub fn response_timeout(&self, route: &str) -> Option<Duration> {
+        self.lock().response_times.get(route)?.timeout()
     }
 
     /// Remembers how a server did.
-    pub fn judge(&self, id: &str, verdict: Verdict) {
+    pub fn record_outcome(&self, id: &str, verdict: ServerOutcome) {
         let now = self.now();
         let mut state = self.lock();
         let Some(known) = state.servers.get_mut(id) else {
             return;
         };
         match verdict {
-            Verdict::Good => known.seen.succeeded(now),
-            Verdict::Failed => known.seen.failed(now),
-            Verdict::Unreachable => {
-                known.seen.unreachable(now);
+            ServerOutcome::Good => known.stats.record_success(now),
+            ServerOutcome::Failed => known.stats.record_failure(now),
+            ServerOutcome::Unreachable => {
+                known.stats.record_unreachable(now);
                 // The steward asks it, and has its models loaded elsewhere if it doesn't answer.
                 state.denied.insert(id.into());
                 drop(state);
-                self.wanted.notify_one();
+                self.demand_changed.notify_one();
             }
-            Verdict::Full => known.seen.full(now),
-            Verdict::Replaced => known.seen.replaced(now),
+            ServerOutcome::Full => known.stats.record_full(now),
+            ServerOutcome::Replaced => known.stats.record_replaced(now),
         }
     }
 
     /// A server reported its load.
-    pub fn reported(&self, id: &str, report: routing::Report) {
+    pub fn record_load_report(&self, id: &str, report: routing::Report) {
         let now = self.now();
         if let Some(known) = self.lock().servers.get_mut(id) {
-            known.seen.reported(now, report);
+            known.stats.record_report(now, report);
         }
     }
 
     /// A server said that it doesn't hold a model which it was thought to hold. The steward is told: somebody else
     /// may have ordered the server, and all instances would go on to send it requests that it refuses.
-    pub fn denied(&self, id: &str, lane: &LaneKey) {
-        let Some(model) = &lane.model else {
+    pub fn report_missing_model(&self, id: &str, queue: &QueueKey) {
+        let Some(model) = &queue.model else {
             return;
         };
         let mut state = self.lock();
@@ -258,7 +261,7 @@
         if let Some(known) = state.servers.get_mut(id) {
             let told = known.told.iter_mut();
             for held in told.chain([&mut known.server.held]) {
-                match &lane.adapter {
+                match &queue.adapter {
                     None => {
                         held.models.remove(model);
                     }
@@ -271,6 +274,6 @@
             }
         }
         drop(state);
-        self.wanted.notify_one();
+        self.demand_changed.notify_one();
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/limit.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/limit.rs
@@ -18,7 +18,7 @@
     /// When the request was sent.
     pub sent: clock::Instant,
     /// The server made the answer itself, and would have named its limit.
-    pub sealed: bool,
+    pub authentic: bool,
 }
 
 impl<P> Node<P>
@@ -26,15 +26,15 @@
     P: Send + Sync,
 {
     /// A server has answered.
-    pub fn limited(&self, id: &str, answer: Answer) {
+    pub fn observe_limit(&self, id: &str, answer: Answer) {
         let now = self.now();
         let mut state = self.lock();
         let Some(known) = state.servers.get_mut(id) else {
             return;
         };
         let news = match answer.per_second {
-            Some(per_second) => known.limit.named(now, per_second),
-            None => answer.sealed && known.limit.named_none(answer.sent),
+            Some(per_second) => known.limit.observe_limit(now, per_second),
+            None => answer.authentic && known.limit.observe_no_limit(answer.sent),
         };
         if !news {
             return;
@@ -42,10 +42,10 @@
         let per_second = known.limit.per_second();
         let limited = limited(&state);
         drop(state);
-        self.metrics.set_limited(limited);
+        self.metrics.set_limited_servers(limited);
         log_limit(id, per_second, "own");
         self.wake();
-        self.wanted.notify_one();
+        self.demand_changed.notify_one();
     }
 
     /// The steward tells the limits of all servers that name one.
@@ -58,7 +58,7 @@
         let mut state = self.lock();
         let mut news = Vec::new();
         for (id, known) in &mut state.servers {
-            if known.limit.told(now, told.get(id).copied()) {
+            if known.limit.update_from_steward(now, told.get(id).copied()) {
                 news.push((id.clone(), known.limit.per_second()));
             }
         }
@@ -67,14 +67,14 @@
         if news.is_empty() {
             return;
         }
-        self.metrics.set_limited(limited);
+        self.metrics.set_limited_servers(limited);
         for (id, per_second) in news {
             log_limit(&id, per_second, "steward");
         }
         self.wake();
     }
 
-    /// The steward answers asks for permits.
+    /// The steward answers permit requests.
     pub fn learn_permits(&self, replies: &[limit::Reply]) {
         if replies.is_empty() {
             return;
@@ -83,7 +83,7 @@
         let mut state = self.lock();
         for reply in replies {
             if let Some(known) = state.servers.get_mut(&reply.server) {
-                known.limit.answered(now, reply);
+                known.limit.handle_reply(now, reply);
             }
         }
         drop(state);
@@ -100,13 +100,13 @@
         left: Duration,
         servers: &[SmolStr],
     ) -> bool {
-        let waits = |gate: &gate::Gate| gate.awaits_turn(view.now);
+        let waits = |gate: &gate::Gate| gate.is_waiting(view.now);
         if servers.is_empty() || self.gates_of(servers).any(waits) {
             return false;
         }
         let id = &servers[rand::random_range(0..servers.len())];
         let known = self.servers.get_mut(id);
-        known.is_some_and(|known| known.limit.want(view, left))
+        known.is_some_and(|known| known.limit.request_permit(view, left))
     }
 
     /// When a request can go to one of some servers that name a limit, as far as the steward tells.
@@ -116,7 +116,7 @@
         servers: &[SmolStr],
     ) -> Option<Duration> {
         let turns = self.gates_of(servers);
-        turns.filter_map(|gate| gate.expected(now)).min()
+        turns.filter_map(|gate| gate.expected_wait(now)).min()
     }
 
     fn gates_of(&self, servers: &[SmolStr]) -> impl Iterator<Item = &gate::Gate> {
--- a/crates/fireflywheel_daemon/src/fleet/node/quota.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/quota.rs
@@ -46,16 +46,16 @@
             now,
             window: self.settings.quotas.window,
             instances: state.instances.count().max(least),
-            told_stands: (state.relaying && self.settings.quotas.shared)
+            shares_valid: (state.relaying && self.settings.quotas.shared)
                 || told.is_some_and(|until| now < until),
         };
         let fresh = || gate::Gate::new(rand::random());
         let gate = state.gates.entry(organisation.name.clone());
         let admitted = gate.or_insert_with(fresh).admit(view, quota, cost);
         drop(state);
-        self.used.notify_one();
+        self.usage_changed.notify_one();
         self.metrics
-            .charged(&organisation.name, admitted.is_ok(), cost);
+            .count_charge(&organisation.name, admitted.is_ok(), cost);
         admitted.map(|()| {
             Some(Charge {
                 organisation: organisation.name.clone(),
@@ -65,10 +65,10 @@
     }
 
     /// A request that was counted has not run and won't.
-    pub fn give_back(&self, charge: &Charge) {
+    pub fn refund(&self, charge: &Charge) {
         let now = self.now();
         if let Some(gate) = self.lock().gates.get_mut(&charge.organisation) {
-            gate.give_back(now, charge.cost);
+            gate.refund(now, charge.cost);
         }
     }
 
@@ -77,17 +77,17 @@
         let now = self.now();
         let mut state = self.lock();
         for gate in state.gates.values_mut() {
-            gate.learn(now, None);
+            gate.update_share(now, None);
         }
         for share in shares {
             let fresh = || gate::Gate::new(rand::random());
             let gate = state.gates.entry(share.organisation.clone());
-            gate.or_insert_with(fresh).learn(now, Some(share));
+            gate.or_insert_with(fresh).update_share(now, Some(share));
         }
     }
 
     /// The steward has heard what this instance said at `asked`: its shares are followed until it should have heard again.
     pub fn extend_shares(&self, asked: clock::Instant) {
-        self.lock().shares_until = Some(asked.after(gate::SHARES_STAND));
+        self.lock().shares_until = Some(asked.after(gate::SHARES_TTL));
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/state.rs
@@ -5,24 +5,24 @@
 use std::time::Duration;
 
 use fireflywheel::clock;
+use fireflywheel::fleet::adaptive_timeout;
 use fireflywheel::fleet::backoff;
-use fireflywheel::fleet::budget;
 use fireflywheel::fleet::config;
 use fireflywheel::fleet::era::Era;
 use fireflywheel::fleet::frame;
 use fireflywheel::fleet::limit::gate as limit;
+use fireflywheel::fleet::load;
 use fireflywheel::fleet::organisation;
 use fireflywheel::fleet::quota::gate;
+use fireflywheel::fleet::retry_budget;
 use fireflywheel::fleet::routing;
 use fireflywheel::fleet::server;
 use fireflywheel::fleet::settings;
-use fireflywheel::fleet::silence;
 use fireflywheel::fleet::size;
 use fireflywheel::fleet::subscription;
-use fireflywheel::fleet::work;
 use smol_str::SmolStr;
 
-use super::LaneKey;
+use super::QueueKey;
 
 /// Instances that share limits while it isn't known how many there are: too many only makes parts small.
 pub(super) const UNKNOWN_INSTANCES: usize = 24;
@@ -46,13 +46,13 @@
     pub(super) servers: BTreeMap<SmolStr, Known>,
     /// Servers whose entries are gone: an older copy of the directory may name them again.
     pub(super) gone: BTreeMap<SmolStr, Gone>,
-    pub(super) lanes: BTreeMap<LaneKey, BTreeMap<u64, Waiting>>,
+    pub(super) queues: BTreeMap<QueueKey, BTreeMap<u64, Waiting>>,
     pub(super) arrived: BTreeMap<(SmolStr, SmolStr), u32>,
     /// Requests that an engine has run and that ended since the last demand, by group and model.
     pub(super) finished: BTreeMap<(SmolStr, SmolStr), u32>,
     pub(super) denied: BTreeSet<SmolStr>,
     pub(super) forecasts: BTreeMap<(SmolStr, SmolStr), clock::Instant>,
-    pub(super) budgets: BTreeMap<SmolStr, budget::Budget>,
+    pub(super) budgets: BTreeMap<SmolStr, retry_budget::Budget>,
     pub(super) instances: size::Size,
     /// Quotas, by organisation.
     pub(super) gates: BTreeMap<SmolStr, gate::Gate>,
@@ -68,7 +68,7 @@
     /// Rises with each change of the directory.
     pub(super) directory_version: u64,
     /// How long responses take until they begin, by route.
-    pub(super) usual: BTreeMap<SmolStr, silence::Usual>,
+    pub(super) response_times: BTreeMap<SmolStr, adaptive_timeout::Estimator>,
     /// There is a link to a steward, or this instance is steward.
     pub(super) steward: bool,
     /// This instance is one of those that take over from the steward.
@@ -96,8 +96,8 @@
     pub(super) server: server::Server,
     /// What the steward said that it holds.
     pub(super) told: Option<server::Held>,
-    pub(super) seen: routing::Seen,
-    pub(super) backlog: work::Backlog,
+    pub(super) stats: routing::Stats,
+    pub(super) backlog: load::Backlog,
     /// How many requests a second it takes from all instances together.
     pub(super) limit: limit::Gate,
     pub(super) running: BTreeMap<(SmolStr, Option<SmolStr>), Running>,
@@ -140,7 +140,7 @@
 impl Known {
     /// The server has read so many tokens of this instance's own requests.
     pub(super) fn read(&mut self, key: &(SmolStr, Option<SmolStr>), tokens: u32) {
-        self.backlog.read(tokens);
+        self.backlog.remove_own(tokens);
         if let Some(running) = self.running.get_mut(key) {
             running.unread = running.unread.saturating_sub(tokens);
         }
@@ -162,7 +162,7 @@
             config: None,
             servers: BTreeMap::new(),
             gone: BTreeMap::new(),
-            lanes: BTreeMap::new(),
+            queues: BTreeMap::new(),
             arrived: BTreeMap::new(),
             finished: BTreeMap::new(),
             denied: BTreeSet::new(),
@@ -172,7 +172,7 @@
             gates: BTreeMap::new(),
             shares_until: None,
             live: None,
-            usual: BTreeMap::new(),
+            response_times: BTreeMap::new(),
             asks: BTreeMap::new(),
             whole: false,
             directory_version: 0,
@@ -196,7 +196,7 @@
         let known = self.servers.get_mut(&server.id);
         if let Some(known) = known.filter(|known| {
             let last = &known.server;
-            server.is_older(last.born, last.count)
+            server.is_older(last.started_ms, last.revision)
         }) {
             known.missing = None;
             return;
@@ -212,18 +212,18 @@
         let fresh = Known {
             server: server.clone(),
             told: None,
-            seen: routing::Seen::default(),
-            backlog: work::Backlog::default(),
+            stats: routing::Stats::default(),
+            backlog: load::Backlog::default(),
             limit: limit::Gate::default(),
             running: BTreeMap::new(),
             missing: None,
         };
         let known = self.servers.entry(server.id.clone()).or_insert(fresh);
         known.missing = None;
-        if known.server.born != server.born || known.server.address != server.address {
+        if known.server.started_ms != server.started_ms || known.server.address != server.address {
             // Another process: nothing that was seen of the one before holds for it.
-            known.seen = routing::Seen::default();
-            known.backlog = work::Backlog::default();
+            known.stats = routing::Stats::default();
+            known.backlog = load::Backlog::default();
             known.limit = limit::Gate::default();
             known.running.clear();
             known.told = None;
@@ -263,7 +263,7 @@
             }
         }
         if let Some(live) = &mut self.live {
-            live.retain(|_, used| now.since(*used) < subscription::LASTS);
+            live.retain(|_, used| now.since(*used) < subscription::TTL);
             live.insert(model.clone(), now);
         }
     }
@@ -271,7 +271,7 @@
     /// Engines that this instance was told of over an earlier link may be gone.
     pub(super) fn forget_unused_engines(&mut self) {
         self.servers
-            .retain(|_, known| known.told.is_none() || known.seen.in_flight > 0);
+            .retain(|_, known| known.told.is_none() || known.stats.in_flight > 0);
     }
 
     /// Takes a configuration, unless that one or a later one is in force.
@@ -319,8 +319,8 @@
             if !stays {
                 log::info!(server = id.as_str(), group = known.server.group.as_str(); "backend server gone");
                 let last = Gone {
-                    born: known.server.born,
-                    count: known.server.count,
+                    born: known.server.started_ms,
+                    count: known.server.revision,
                     since: now,
                     era,
                 };
@@ -340,7 +340,7 @@
             return true;
         };
         if let Some(used) = live.get_mut(model)
-            && now.since(*used) < subscription::LASTS
+            && now.since(*used) < subscription::TTL
         {
             *used = now;
             return true;
@@ -356,7 +356,7 @@
     pub(super) fn usable<'a>(
         &'a self,
         now: clock::Instant,
-        lane: &'a LaneKey,
+        queue: &'a QueueKey,
     ) -> impl Iterator<Item = &'a Known> {
         let in_time = move |known: &&Known| {
             let leaves = known.server.leaves;
@@ -364,7 +364,7 @@
         };
         self.servers
             .values()
-            .filter(|known| known.server.group == lane.group && known.server.ready)
+            .filter(|known| known.server.group == queue.group && known.server.ready)
             .filter(in_time)
     }
 
@@ -379,8 +379,8 @@
         &mut self,
         group: &SmolStr,
         settings: &settings::Settings,
-    ) -> &mut budget::Budget {
-        let fresh = || budget::Budget::new(settings.repeats);
+    ) -> &mut retry_budget::Budget {
+        let fresh = || retry_budget::Budget::new(settings.retry_budget);
         self.budgets.entry(group.clone()).or_insert_with(fresh)
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/store.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/store.rs
@@ -17,9 +17,9 @@
     P: Send + Sync,
 {
     /// Waits until this instance may call the store.
-    pub async fn store_turn(&self) {
+    pub async fn wait_for_store(&self) {
         loop {
-            let back = self.store_back.notified();
+            let back = self.store_recovered.notified();
             tokio::pin!(back);
             // From here on a success elsewhere isn't missed.
             back.as_mut().enable();
@@ -53,28 +53,28 @@
 
     /// How long a read may wait at the store for news that usually waits for `usual`.
     #[must_use]
-    pub fn store_wait(&self, usual: Duration) -> Duration {
-        self.lock().store.wait(usual)
+    pub fn store_wait(&self, response_times: Duration) -> Duration {
+        self.lock().store.wait(response_times)
     }
 
     /// The store answered a call, or there was no usable answer.
-    pub fn store_called(&self, call: &str, answered: bool) {
-        self.metrics.store_called(call, answered);
+    pub fn record_store_call(&self, call: &str, answered: bool) {
+        self.metrics.count_store_call(call, answered);
         let now = self.now();
         let most = self.longest_pause();
         let mut state = self.lock();
         if !answered {
-            state.store.failed(now, most, rand::random());
-        } else if state.store.succeeded() {
+            state.store.record_failure(now, most, rand::random());
+        } else if state.store.record_success() {
             drop(state);
-            self.store_back.notify_waiters();
+            self.store_recovered.notify_waiters();
         }
     }
 
     /// The steward reads the store, so it is back, whatever this instance's last call met.
-    pub fn store_is_back(&self) {
-        if self.lock().store.succeeded() {
-            self.store_back.notify_waiters();
+    pub fn record_store_recovery(&self) {
+        if self.lock().store.record_success() {
+            self.store_recovered.notify_waiters();
         }
     }
 
@@ -85,10 +85,13 @@
     }
 
     fn longest_pause(&self) -> Duration {
-        if self.is_relaying() || self.lock().standby {
+        if self.is_acting_steward() || self.lock().standby {
             STEWARD_PAUSE
         } else {
-            self.settings.obey.min(self.settings.apply) / TRIES
+            self.settings
+                .leaving_deadline
+                .min(self.settings.config_deadline)
+                / TRIES
         }
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/platform.rs
+++ b/crates/fireflywheel_daemon/src/fleet/platform.rs
@@ -84,7 +84,7 @@
     /// The id of the server that answers, if it says so.
     pub server: Option<SmolStr>,
     /// It carries the proof that a backend server made it.
-    pub sealed: bool,
+    pub authentic: bool,
     /// It states that the request hasn't run and won't.
     pub not_run: bool,
     /// The load of the server.
@@ -92,7 +92,7 @@
     /// Requests a second that the server takes from all instances together.
     pub limit: Option<f64>,
     /// How long the server keeps the connection open unused.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
 }
 
 /// An order to an engine.
@@ -123,20 +123,20 @@
 
 /// News of the directory.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum DirectoryUpdate {
     /// All entries: what isn't among them isn't in the directory.
-    All(Vec<server::Server>),
+    Full(Vec<server::Server>),
     /// Entries that changed, by id; none for one that was removed or names no server.
-    Some(Vec<(SmolStr, Option<server::Server>)>),
+    Partial(Vec<(SmolStr, Option<server::Server>)>),
 }
 
 /// What became of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It stands at this place.
-    At(Position),
+    Stored(Position),
     /// Somebody else wrote before.
-    Late,
+    Conflict,
 }
 
 /// Why a call to the platform's store has no result.
@@ -174,16 +174,16 @@
     fn read_call(&self, head: &request::Parts) -> Result<Call, errors::Problem>;
 
     /// Takes out of a caller's headers what only this system may set.
-    fn clean(&self, headers: &mut HeaderMap);
+    fn strip_reserved_headers(&self, headers: &mut HeaderMap);
 
     /// Adds what a backend server is told with an attempt.
-    fn address(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
     /// Reads the head of a backend server's response.
     fn read_reply(&self, head: &response::Parts) -> Reply;
 
     /// Adds the request's id, and when to come back, to an answer of this instance's own.
-    fn sign(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
+    fn add_answer_headers(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
 
     /// The path at which the platform asks whether the instance is ready.
     fn ready_path(&self) -> &'static str;
@@ -221,7 +221,7 @@
         cursor: &mut Self::DirectoryCursor,
         now: clock::Instant,
         pause: F,
-    ) -> impl Future<Output = Result<News, Fault>> + Send
+    ) -> impl Future<Output = Result<DirectoryUpdate, Fault>> + Send
     where
         F: Fn() -> Duration + Send + Sync;
 
@@ -233,5 +233,5 @@
         &self,
         end: Position,
         record: &lease::Record,
-    ) -> impl Future<Output = Result<Written, Fault>> + Send;
+    ) -> impl Future<Output = Result<WriteOutcome, Fault>> + Send;
 }
--- a/crates/fireflywheel_daemon/src/fleet/relay.rs
+++ b/crates/fireflywheel_daemon/src/fleet/relay.rs
@@ -5,7 +5,7 @@
 
 use fireflywheel::clock;
 use fireflywheel::fleet::config;
-use fireflywheel::fleet::patience;
+use fireflywheel::fleet::timeout;
 use fireflywheel::settings;
 use fireflywheel::verdict;
 use hyper::body::Incoming;
@@ -95,7 +95,7 @@
         check_framing(&head)?;
         *call = self.node.platform.read_call(&head)?;
         let Some(config) = self.node.config() else {
-            let wait = patience::outage(arrived.since(self.node.started));
+            let wait = timeout::remaining_outage(arrived.since(self.node.started));
             let left = call.deadline.unwrap_or(wait);
             let problem = unavailable("starting", "no configuration yet");
             return Err(problem.with_retry_after(come_back(wait, left)));
@@ -109,16 +109,16 @@
         };
         let organisation = self.organisation(&config, route, call)?;
         let body = intake::read(body, &body_limits(&config.limits)).await?;
-        let lane = lane(&config, route, call);
-        if let Some(model) = &lane.model {
-            self.node.arrived(&lane.group, model);
+        let queue = queue(&config, route, call);
+        if let Some(model) = &queue.model {
+            self.node.count_arrival(&queue.group, model);
         }
         let mut headers = backend::passed_on(&head.headers);
         headers.remove(HOST);
         if config.organisations.is_some() {
             headers.remove(AUTHORIZATION);
         }
-        self.node.platform.clean(&mut headers);
+        self.node.platform.strip_reserved_headers(&mut headers);
         let charge = match organisation {
             Some(organisation) => self.charge(organisation, call)?,
             None => None,
@@ -133,7 +133,7 @@
             headers,
             body,
             route: route.clone(),
-            lane,
+            queue,
             organisation: organisation.map(|organisation| organisation.name.clone()),
             rank: organisation
                 .and_then(|organisation| organisation.rank)
@@ -145,7 +145,7 @@
         if let (Err(problem), Some(charge)) = (&result, &charge)
             && problem.verdict == verdict::Verdict::NotRun
         {
-            self.node.give_back(charge);
+            self.node.refund(charge);
         }
         result
     }
@@ -166,8 +166,8 @@
                 Err(_) => return Err(failure),
             };
             if sending == 0 {
-                self.node.count_first(&job.lane.group);
-            } else if !self.node.may_repeat(&job.lane.group) {
+                self.node.record_first_attempt(&job.queue.group);
+            } else if !self.node.try_retry(&job.queue.group) {
                 return Err(failure);
             }
             tried.push(chosen.server.clone());
@@ -179,7 +179,7 @@
                 attempt::Outcome::NotRun(why) => {
                     self.note(&job, &chosen, "not run", why);
                     if may_have_run == 0 {
-                        let wait = self.node.expected(&job.lane).unwrap_or(NO_ROOM);
+                        let wait = self.node.expected_wait(&job.queue).unwrap_or(NO_ROOM);
                         let left = job.deadline.since(self.node.now());
                         failure =
                             unavailable("not_run", why).with_retry_after(come_back(wait, left));
@@ -190,11 +190,11 @@
                     may_have_run += 1;
                     failure = errors::Problem::new(StatusCode::BAD_GATEWAY, "lost", why)
                         .with_verdict(verdict::Verdict::MayHaveRun);
-                    if !job.route.kind.may_repeat() || may_have_run >= job.route.attempts {
+                    if !job.route.kind.is_retryable() || may_have_run >= job.route.attempts {
                         return Err(failure);
                     }
                 }
-                attempt::Outcome::Late | attempt::Outcome::Begun(_) => {
+                attempt::Outcome::TimedOut | attempt::Outcome::Response(_) => {
                     return Err(errors::Problem::new(
                         StatusCode::GATEWAY_TIMEOUT,
                         "timeout",
@@ -221,14 +221,14 @@
             waited_ms = clock::millis(self.node.now().since(job.arrived));
             "request sent"
         );
-        let again = job.route.kind.may_repeat() && may_have_run + 1 < job.route.attempts;
-        let silence = if again {
-            attempt::Silence::Ends
+        let again = job.route.kind.is_retryable() && may_have_run + 1 < job.route.attempts;
+        let on_timeout = if again {
+            attempt::OnTimeout::Abandon
         } else {
-            attempt::Silence::Waits
+            attempt::OnTimeout::KeepWaiting
         };
-        match attempt::send(&self.node, job, chosen, job.call.last_event, silence).await {
-            attempt::Outcome::Begun(begun) => self.finish(job, *begun, may_have_run).await,
+        match attempt::send(&self.node, job, chosen, job.call.last_event, on_timeout).await {
+            attempt::Outcome::Response(begun) => self.finish(job, *begun, may_have_run).await,
             other => Err(other),
         }
     }
@@ -237,7 +237,7 @@
     async fn finish(
         &self,
         job: &Arc<attempt::Job>,
-        begun: attempt::Begun<P>,
+        begun: attempt::Response<P>,
         may_have_run: u32,
     ) -> Result<Response<door::Body>, attempt::Outcome<P>> {
         let status = begun.head.status;
@@ -246,8 +246,8 @@
             return Ok(stream::answer(&self.node, Arc::clone(job), begun));
         }
         let server = begun.server.clone();
-        let (head, body) = attempt::whole(&self.node, job, begun).await?;
-        let again = job.route.kind.may_repeat() && may_have_run + 1 < job.route.attempts;
+        let (head, body) = attempt::collect(&self.node, job, begun).await?;
+        let again = job.route.kind.is_retryable() && may_have_run + 1 < job.route.attempts;
         if status.is_server_error() && again {
             return Err(attempt::Outcome::Lost("failed by the server"));
         }
@@ -262,20 +262,20 @@
         let took = self.node.now().since(job.arrived);
         self.node
             .metrics
-            .answered(&job.route.name, status.as_u16(), took);
+            .count_answer(&job.route.name, status.as_u16(), took);
         log::info!(
             request = job.call.id.as_str(), route = job.route.name.as_str(), server = server,
-            model = job.lane.model.as_deref().unwrap_or_default(), status = u64::from(status.as_u16()),
+            model = job.queue.model.as_deref().unwrap_or_default(), status = u64::from(status.as_u16()),
             took_ms = clock::millis(took);
             "answered"
         );
     }
 
     fn note(&self, job: &attempt::Job, chosen: &node::Chosen, verdict: &str, why: &str) {
-        self.node.metrics.attempt_failed(&job.route.name, why);
+        self.node.metrics.count_failed_attempt(&job.route.name, why);
         log::info!(
             request = job.call.id.as_str(), server = chosen.server.as_str(), verdict = verdict, why = why,
-            model = job.lane.model.as_deref().unwrap_or_default(),
+            model = job.queue.model.as_deref().unwrap_or_default(),
             waited_ms = clock::millis(self.node.now().since(job.arrived));
             "attempt failed"
         );
@@ -291,15 +291,15 @@
         let took = self.node.now().since(arrived);
         self.node
             .metrics
-            .refused(problem.code, problem.status.as_u16());
-        let edition = self.node.edition();
+            .count_refusal(problem.code, problem.status.as_u16());
+        let config_status = self.node.config_status();
         log::info!(
             request = call.id.as_str(), status = u64::from(problem.status.as_u16()), code = problem.code,
             why = problem.message.as_str(), verdict = problem.verdict.as_str(), took_ms = clock::millis(took),
             model = call.model.as_deref().unwrap_or_default(),
             retry_after_ms = problem.retry_after.map_or(0, clock::millis),
-            config_version = edition.version, config_reader = edition.reader.as_str(),
-            config_age_ms = edition.age.map_or(0, clock::millis);
+            config_version = config_status.version, config_reader = config_status.source.as_str(),
+            config_age_ms = config_status.age.map_or(0, clock::millis);
             "refused"
         );
         let mut response = problem.answer();
@@ -307,9 +307,11 @@
             let scheme = HeaderValue::from_static("Bearer");
             response.headers_mut().insert(WWW_AUTHENTICATE, scheme);
         }
-        self.node
-            .platform
-            .sign(response.headers_mut(), &call.id, problem.retry_after);
+        self.node.platform.add_answer_headers(
+            response.headers_mut(),
+            &call.id,
+            problem.retry_after,
+        );
         response
     }
 }
@@ -328,41 +330,41 @@
     P: platform::Platform,
 {
     let whole = job.deadline.since(job.arrived);
-    let patience = patience::first_byte(&job.route, whole).mul_f64(PATIENCE_USED);
+    let patience = timeout::first_byte(&job.route, whole).mul_f64(PATIENCE_USED);
     let patient_until = job.deadline.min(job.arrived.after(patience));
     let mut changed = node.changed.subscribe();
     let mut waiter = None;
     loop {
         let now = node.now();
         let left = job.deadline.since(now);
-        let give_up = node.stops().map_or(patient_until, |stops| {
+        let give_up = node.stop_deadline().map_or(patient_until, |stops| {
             patient_until.min(stops.before(LAST_REFUSAL))
         });
         let query = node::Query {
             route: &job.route,
-            lane: &job.lane,
+            queue: &job.queue,
             call: &job.call,
             tried,
             left: give_up.since(now),
         };
         let look_again = match node.choose(query) {
             node::Choice::Server(chosen) => return Ok(chosen),
-            node::Choice::Nobody => {
+            node::Choice::NoServer => {
                 let wait = if node.knows_servers() {
                     NO_SERVER
                 } else {
-                    patience::outage(now.since(node.started))
+                    timeout::remaining_outage(now.since(node.started))
                 };
                 return Err(unavailable("no_server", "no server of the group is there")
                     .with_retry_after(come_back(wait, left)));
             }
-            node::Choice::Absent(Some(expected)) if now.after(expected) > give_up => {
+            node::Choice::NotLoaded(Some(expected)) if now.after(expected) > give_up => {
                 return Err(unavailable("cold", "the model can't be loaded in time")
                     .with_retry_after(come_back(expected, left)));
             }
             // It is told once, when it comes: those that wait already are ahead of what is expected now.
             node::Choice::Full(Some(expected))
-                if waiter.is_none() && expected > patience::queueing(give_up.since(now)) =>
+                if waiter.is_none() && expected > timeout::max_queue_wait(give_up.since(now)) =>
             {
                 return Err(
                     unavailable("crowded", "too many wait for engines of the model")
@@ -377,7 +379,7 @@
                         .with_retry_after(come_back(turn, left)),
                 );
             }
-            node::Choice::Asked => {
+            node::Choice::Subscribing => {
                 // It doesn't count as waiting: the steward would load another copy for it.
                 tokio::select! {
                     _ = changed.changed() => {}
@@ -385,15 +387,17 @@
                 }
                 continue;
             }
-            node::Choice::Absent(_) => give_up.since(now),
-            node::Choice::Full(_) | node::Choice::Limited(_) | node::Choice::Down => LOOK_AGAIN,
+            node::Choice::NotLoaded(_) => give_up.since(now),
+            node::Choice::Full(_) | node::Choice::Limited(_) | node::Choice::Unreachable => {
+                LOOK_AGAIN
+            }
         };
         if now >= give_up {
             return Err(unavailable("no_room", "no server had room in time")
                 .with_retry_after(come_back(NO_ROOM, left)));
         }
         if waiter.is_none() {
-            waiter = Some(node.wait(&job.lane, job.arrived, give_up));
+            waiter = Some(node.register_waiting(&job.queue, job.arrived, give_up));
         }
         let pause = look_again
             .min(give_up.since(now))
@@ -406,11 +410,11 @@
 }
 
 fn may_spread(job: &attempt::Job, now: clock::Instant) -> bool {
-    job.lane.model.is_some() && now.since(job.arrived) < SPREAD
+    job.queue.model.is_some() && now.since(job.arrived) < SPREAD
 }
 
 pub(super) fn come_back(wait: Duration, left: Duration) -> Duration {
-    patience::retry_after(wait, left, rand::random())
+    timeout::retry_after(wait, left, rand::random())
 }
 
 pub(super) fn unavailable(code: &'static str, message: &'static str) -> errors::Problem {
@@ -431,14 +435,14 @@
     Ok(())
 }
 
-fn lane(config: &config::Config, route: &config::Route, call: &platform::Call) -> node::LaneKey {
+fn queue(config: &config::Config, route: &config::Route, call: &platform::Call) -> node::QueueKey {
     let draw = xxh3::xxh3_64(call.id.as_bytes()) as f64 / u64::MAX as f64;
     let group = route.group(draw).cloned().unwrap_or_default();
     let engine = config
         .groups
         .get(&group)
         .is_some_and(|group| group.engine.is_some());
-    node::LaneKey {
+    node::QueueKey {
         group,
         model: call.model.clone().filter(|_| engine),
         adapter: call.adapter.clone().filter(|_| engine),
--- a/crates/fireflywheel_daemon/src/fleet/steward.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward.rs
@@ -25,14 +25,14 @@
 use fireflywheel::fleet::quota::meter;
 use fireflywheel::fleet::subscription;
 use fireflywheel::fleet::successor;
-use fireflywheel::fleet::track::Track;
+use fireflywheel::fleet::tracker::Tracker;
 use smol_str::SmolStr;
 use tokio::sync::{Notify, mpsc};
 use tokio::time;
 
 use super::node;
 use super::platform;
-use link::{Link, Word};
+use link::{Heartbeat, Link};
 use state::{Due, State};
 use tell::ENGINES_A_FRAME;
 
@@ -48,8 +48,8 @@
 /// A steward rests for so many times as long as a look took: with thousands of engines it would do nothing else.
 const REST: u32 = 2;
 
-/// Time between two beats to the instances that are linked.
-pub(super) const BEAT: Duration = Duration::from_millis(300);
+/// Time between two heartbeats to the instances that are linked.
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Instances that are named as standbys: some may be dead or cut off with the steward, and each more costs calls to the
 /// store at each takeover.
@@ -91,22 +91,22 @@
             lease,
             linked: false,
             lease_known: false,
-            board: demand::Board::default(),
-            tracks: BTreeMap::new(),
+            demands: demand::Aggregator::default(),
+            trackers: BTreeMap::new(),
             links: BTreeMap::new(),
             subscriptions: subscription::Registry::default(),
             groups: BTreeSet::new(),
             engines: BTreeSet::new(),
             followed: (0, 0),
             telling_all: true,
-            tell_all: settings.tell_all,
+            tell_all: settings.all_engines_limit,
             fetches: VecDeque::new(),
-            pace: plan::pace::Pace::default(),
+            pace: plan::concurrency::Estimate::default(),
             standbys: Vec::new(),
             rival: None,
             acting: None,
             turned: clock::Instant::default(),
-            beat: None,
+            last_heartbeat: None,
             told_version: 0,
             config: None,
             config_bytes: settings.config_bytes,
@@ -133,14 +133,14 @@
 
     /// Whether this instance may order engines now.
     #[must_use]
-    pub fn acts(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         let now = self.node.now();
         self.lock().lease.fencing(now).is_some()
     }
 
     /// The steward to link to, if it is another instance.
     #[must_use]
-    pub fn other(&self) -> Option<Record> {
+    pub fn remote_steward(&self) -> Option<Record> {
         self.lock().lease.holder().cloned()
     }
 
@@ -166,49 +166,49 @@
 
     /// What this instance wants, and what it knows of the store.
     #[must_use]
-    pub fn demand_of_own(&self) -> demand::Demand {
+    pub fn own_demand(&self) -> demand::Demand {
         self.node.demand(self.node.platform.era())
     }
 
     /// The steward says where the lease's record ends.
-    pub fn heard(&self, lease_end: Position) {
+    pub fn observe_lease_end(&self, lease_end: Position) {
         let now = self.node.now();
-        self.lock().lease.heard(now, lease_end);
+        self.lock().lease.observe_end(now, lease_end);
     }
 
     /// An instance says what it wants.
-    pub fn demand(&self, instance: &SmolStr, demand: demand::Demand) {
+    pub fn update_demand(&self, instance: &SmolStr, demand: demand::Demand) {
         let now = self.node.now();
         let mut state = self.lock();
         for server in &demand.denied {
-            if let Some(track) = state.tracks.get_mut(server) {
-                track.denied(now);
+            if let Some(tracker) = state.trackers.get_mut(server) {
+                tracker.denied(now);
             }
         }
-        state.board.take(now, instance.clone(), demand);
+        state.demands.update(now, instance.clone(), demand);
         drop(state);
         self.wake.notify_one();
     }
 
     /// An instance is linked from now on; it is told all there is.
     #[must_use]
-    pub fn link(&self, number: u64, peer: Record, cpu_share: f64) -> mpsc::Receiver<Bytes> {
+    pub fn open_link(&self, number: u64, peer: Record, cpu_share: f64) -> mpsc::Receiver<Bytes> {
         let now = self.node.now();
         let mut state = self.lock();
-        let capacity = QUEUE + state.tracks.len() / ENGINES_A_FRAME;
+        let capacity = QUEUE + state.trackers.len() / ENGINES_A_FRAME;
         let (sender, receiver) = mpsc::channel(capacity);
-        let word = self.word(&state, now);
-        // Last: from its first beat on, an instance relies on what it was told. One that isn't steward knows no
+        let heartbeat = self.heartbeat(&state, now);
+        // Last: from its first heartbeat on, an instance relies on what it was told. One that isn't steward knows no
         // more than the other, and must not take its knowledge away.
-        let whole = word.acts && state.tells_all(state.links.len() + 1);
-        let mut frames = if word.acts {
+        let whole = heartbeat.active && state.tells_all(state.links.len() + 1);
+        let mut frames = if heartbeat.active {
             state.first_frames(now, whole)
         } else {
             Vec::new()
         };
         let known = state.lease.holder().filter(|_| state.linked);
         frames.extend(known.cloned().map(frame::Frame::Steward));
-        frames.push(word.frame(0));
+        frames.push(heartbeat.frame(0));
         for frame in frames {
             // The queue was made large enough.
             let _ = sender.try_send(frame.encode());
@@ -231,23 +231,23 @@
     }
 
     /// What this instance itself was asked for and admitted, and what it asks for.
-    pub fn hear_own(&self, demand: &demand::Demand) {
+    pub fn handle_own_demand(&self, demand: &demand::Demand) {
         let now = self.node.now();
         let instance = &self.node.settings.instance;
         let mut state = self.lock();
-        state.meter.hear(now, instance, &demand.usage);
+        state.meter.record_usage(now, instance, &demand.usage);
         state.hear_limits(now, &demand.limits);
-        let replies = state.answer_asks(now, pacer::Asker::Own, &demand.permits);
+        let replies = state.answer_asks(now, pacer::Requester::Own, &demand.permits);
         drop(state);
         self.count_permits(&replies);
         self.node.learn_permits(&replies);
     }
 
     /// What a demand says of its sender.
-    pub fn hear(&self, number: u64, demand: &demand::Demand) {
+    pub fn handle_demand(&self, number: u64, demand: &demand::Demand) {
         let now = self.node.now();
         let mut state = self.lock();
-        let word = self.word(&state, now);
+        let heartbeat = self.heartbeat(&state, now);
         let State {
             links,
             meter,
@@ -264,36 +264,36 @@
                 let _ = link.send(&frame::Frame::Limits(pacer.notices()));
             }
             // Before the version is named, at which the instance would read the store.
-            if word.acts && link.needs_config && !link.send_config(config.as_ref()) {
+            if heartbeat.active && link.needs_config && !link.send_config(config.as_ref()) {
                 links.remove(&number);
                 return;
             }
             // What the steward tells stands only once it has answered a demand.
-            if link.stamp_ms == 0 && !link.send(&word.frame(demand.stamp_ms)) {
+            if link.stamp_ms == 0 && !link.send(&heartbeat.frame(demand.stamp_ms)) {
                 links.remove(&number);
                 return;
             }
-            meter.hear(now, &link.peer.instance, &demand.usage);
+            meter.record_usage(now, &link.peer.instance, &demand.usage);
             link.leaving = demand.leaving;
             link.stamp_ms = demand.stamp_ms;
-            link.read_age = Duration::from_millis(demand.read_ms.into());
-            link.waits = !demand.lanes.is_empty();
+            link.read_age = Duration::from_millis(demand.read_age_ms.into());
+            link.waits = !demand.queues.is_empty();
         }
-        if word.acts {
+        if heartbeat.active {
             state.hear_limits(now, &demand.limits);
-            let replies = state.answer_asks(now, pacer::Asker::Link(number), &demand.permits);
+            let replies = state.answer_asks(now, pacer::Requester::Link(number), &demand.permits);
             self.count_permits(&replies);
             state.tell_permits(number, replies);
         }
         let arrived = demand.arrived.iter().map(|count| &count.model);
-        for model in arrived.chain(demand.lanes.iter().map(|lane| &lane.model)) {
+        for model in arrived.chain(demand.queues.iter().map(|queue| &queue.model)) {
             state.subscriptions.renew(now, number, model);
         }
-        state.answer(now, number, &demand.asks);
+        state.answer(now, number, &demand.subscriptions);
     }
 
     /// The steward hands the lease over to this instance.
-    pub fn receive(&self, given: HandOver) {
+    pub fn accept_hand_over(&self, given: HandOver) {
         let now = self.node.now();
         let mut state = self.lock();
         state.lease.receive(now, given);
@@ -305,35 +305,35 @@
     }
 
     /// Another process answers at the address of the one that held the lease.
-    pub fn ended(&self, incarnation: u64) {
-        self.lock().lease.ended(incarnation);
+    pub fn holder_ended(&self, incarnation: u64) {
+        self.lock().lease.holder_ended(incarnation);
         self.lease_wake.notify_one();
     }
 
     /// The steward says that another instance has the lease now.
-    pub fn moved(&self, holder: Record) {
+    pub fn holder_moved(&self, holder: Record) {
         let now = self.node.now();
-        self.lock().lease.moved(now, holder);
+        self.lock().lease.holder_moved(now, holder);
     }
 
     /// Another instance has a link to this steward.
-    pub fn pointed_to(&self, holder: Record) {
+    pub fn redirect(&self, holder: Record) {
         let now = self.node.now();
-        self.lock().lease.pointed_to(now, holder);
+        self.lock().lease.redirect(now, holder);
     }
 
     /// This instance has a link to a steward, which may be another than it knew of.
-    pub fn found(&self, holder: &Record) {
-        let known = self.other().map(|known| known.incarnation);
+    pub fn observe_steward(&self, holder: &Record) {
+        let known = self.remote_steward().map(|known| known.incarnation);
         if known != Some(holder.incarnation) {
-            self.pointed_to(holder.clone());
+            self.redirect(holder.clone());
         }
     }
 
     /// The steward names its standbys.
-    pub fn name_standbys(&self, standbys: Vec<Record>) {
+    pub fn set_standbys(&self, standbys: Vec<Record>) {
         let mut state = self.lock();
-        state.lease.name_standbys(&standbys);
+        state.lease.set_standbys(&standbys);
         state.standbys = standbys;
         let standby = state.lease.is_standby();
         drop(state);
@@ -342,7 +342,7 @@
 
     /// The instance to ask whether another one is steward: this one acts, but nobody has a link to it and the store doesn't answer.
     #[must_use]
-    pub fn suspect(&self) -> Option<Record> {
+    pub fn instance_to_query(&self) -> Option<Record> {
         let mut state = self.lock();
         if !state.links.is_empty() || !self.node.store_fails() {
             return None;
@@ -365,7 +365,7 @@
     }
 
     /// Another instance has a link to this steward, which this one doesn't know of.
-    pub fn hear_of_rival(&self, rival: Record) {
+    pub fn record_rival(&self, rival: Record) {
         self.lock().rival = Some(rival);
     }
 
@@ -381,11 +381,11 @@
     }
 
     /// An instance's link has ended.
-    pub fn unlink(&self, number: u64, process: &str, instance: &SmolStr) {
+    pub fn close_link(&self, number: u64, process: &str, instance: &SmolStr) {
         let now = self.node.now();
         let mut state = self.lock();
         state.remove_link(now, number, instance);
-        state.board.forget(process);
+        state.demands.remove(process);
         drop(state);
         self.wake.notify_one();
     }
@@ -416,14 +416,16 @@
         if acting != state.acting {
             state.turn(now, acting);
             self.node.metrics.set_steward(acting.is_some());
-            self.node.set_relaying(acting.is_some());
-            self.node.set_told(acting.is_some());
-            self.node.relayed.send_replace(node::Relayed::default());
+            self.node.set_acting_steward(acting.is_some());
+            self.node.set_steward_link(acting.is_some());
+            self.node
+                .steward_reads
+                .send_replace(node::StewardReads::default());
             log::info!(acts = acting.is_some(), fencing = acting.unwrap_or_default(); "stewardship changed");
         }
-        let word = self.word(&state, now);
+        let heartbeat = self.heartbeat(&state, now);
         let Some(fencing) = acting else {
-            state.beat(now, &word);
+            state.send_heartbeat(now, &heartbeat);
             return;
         };
         if self.pass_on(now, &mut state) {
@@ -454,7 +456,7 @@
             state.tell_directory(self.node.entries());
         }
         state.tell_config(&config);
-        state.beat(now, &word);
+        state.send_heartbeat(now, &heartbeat);
         state.tell_waiting(now);
         let notices = state.tell_limits(now);
         let permits = state.grant_due(now);
@@ -483,11 +485,11 @@
         }
     }
 
-    fn word(&self, state: &State, now: clock::Instant) -> Word {
+    fn heartbeat(&self, state: &State, now: clock::Instant) -> Heartbeat {
         let version = self.node.config().map_or(0, |config| config.version);
-        Word {
+        Heartbeat {
             incarnation: self.node.incarnation,
-            acts: state.lease.fencing(now).is_some(),
+            active: state.lease.fencing(now).is_some(),
             instances: state.links.len() + 1,
             lease_end: state.lease.end().unwrap_or_default(),
             era: self.node.platform.era(),
@@ -499,14 +501,14 @@
 
     fn count_permits(&self, replies: &[limit::Reply]) {
         for reply in replies {
-            self.node.metrics.decided(reply.outcome);
+            self.node.metrics.count_permit(reply.outcome);
         }
     }
 
     fn is_busy(&self) -> bool {
         let state = self.lock();
-        let awaited = state.pacer.is_awaited() || state.limits_changed;
-        state.acting.is_some() && (awaited || state.tracks.values().any(Track::is_busy))
+        let awaited = state.pacer.has_waiting() || state.limits_changed;
+        state.acting.is_some() && (awaited || state.trackers.values().any(Tracker::is_busy))
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/fireflywheel_daemon/src/fleet/steward/lease.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/lease.rs
@@ -72,7 +72,7 @@
     pub async fn keep_lease(self: Arc<Self>) {
         loop {
             if !matches!(self.lease_task(), Task::Nothing) {
-                self.node.store_turn().await;
+                self.node.wait_for_store().await;
             }
             // Another instance may have become steward meanwhile.
             match self.lease_task() {
@@ -110,7 +110,7 @@
         self.lock().lease.lost();
         self.wake.notify_one();
         let result = self.node.platform.write_lease(end, &record).await;
-        log::info!(end = end.offset, given_up = matches!(result, Ok(platform::Written::At(_))); "lease released");
+        log::info!(end = end.offset, given_up = matches!(result, Ok(platform::WriteOutcome::Stored(_))); "lease released");
     }
 
     /// The store may be away, and reading it takes time; a link is there.
@@ -133,7 +133,7 @@
         }
         let own = self.own();
         let settings = &self.node.settings;
-        let obey = settings.obey.min(settings.apply);
+        let obey = settings.leaving_deadline.min(settings.config_deadline);
         let (numbers, peers) = peers(state);
         let successor = successor::of_staying(own, &peers, obey).map(|place| numbers[place]);
         successor.is_some_and(|number| hand_over_to(now, state, number))
@@ -164,9 +164,9 @@
     fn lease_task(&self) -> Task {
         let now = self.node.now();
         let state = self.lock();
-        let known = state.lease_known && !state.lease.needs_reading();
+        let known = state.lease_known && !state.lease.needs_read();
         let holds = state.lease.release().is_some();
-        let left = state.lease.leaves_it_to_standbys(now);
+        let left = state.lease.defers_to_standbys(now);
         if self.node.is_draining() || (state.linked && !holds) || left {
             return Task::Nothing;
         }
@@ -191,7 +191,7 @@
             return;
         };
         let acted = state.lease.fencing(now).is_some();
-        if !state.lease.enter(now, era) {
+        if !state.lease.enter_era(now, era) {
             return;
         }
         state.lease_known = false;
@@ -202,7 +202,7 @@
     async fn read_lease(&self) {
         let asked = self.node.now();
         let result = self.node.platform.read_lease().await;
-        self.node.store_called("read lease", result.is_ok());
+        self.node.record_store_call("read lease", result.is_ok());
         match result {
             Ok(reading) => {
                 let mut state = self.lock();
@@ -220,10 +220,10 @@
     async fn write_lease(&self, end: Position, record: &super::Record) {
         let sent = self.node.now();
         let result = self.node.platform.write_lease(end, record).await;
-        self.node.store_called("write lease", result.is_ok());
+        self.node.record_store_call("write lease", result.is_ok());
         let taken = record.fencing.is_none();
         match result {
-            Ok(platform::Written::At(place)) => {
+            Ok(platform::WriteOutcome::Stored(place)) => {
                 let mut state = self.lock();
                 self.follow_era(self.node.now(), &mut state);
                 state.lease.accepted(sent, place, record);
@@ -233,7 +233,7 @@
                 }
                 self.wake.notify_one();
             }
-            Ok(platform::Written::Late) => {
+            Ok(platform::WriteOutcome::Conflict) => {
                 log::info!(end = end.offset, taken = taken; "lease written by another");
                 let mut state = self.lock();
                 self.follow_era(self.node.now(), &mut state);
--- a/crates/fireflywheel_daemon/src/fleet/steward/limits.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/limits.rs
@@ -16,19 +16,20 @@
     /// An instance tells what answers of servers say.
     pub(super) fn hear_limits(&mut self, now: clock::Instant, notices: &[limit::Notice]) {
         for notice in notices {
-            self.limits_changed |= self.pacer.hear(now, notice);
+            self.limits_changed |= self.pacer.update_limit(now, notice);
         }
     }
 
-    /// Decides on asks for permits.
+    /// Decides on permit requests.
     pub(super) fn answer_asks(
         &mut self,
         now: clock::Instant,
-        asker: pacer::Asker,
-        asks: &[limit::Ask],
+        requester: pacer::Requester,
+        asks: &[limit::Request],
     ) -> Vec<limit::Reply> {
         let asks = asks.iter();
-        asks.map(|ask| self.pacer.ask(now, asker, ask)).collect()
+        asks.map(|ask| self.pacer.request(now, requester, ask))
+            .collect()
     }
 
     /// Tells one instance what became of its asks.
@@ -65,10 +66,10 @@
     /// Tells those whose turn has come; returns what is for this instance itself.
     pub(super) fn grant_due(&mut self, now: clock::Instant) -> Vec<limit::Reply> {
         let mut own = Vec::new();
-        for (asker, reply) in self.pacer.due(now) {
-            match asker {
-                pacer::Asker::Own => own.push(reply),
-                pacer::Asker::Link(number) => self.tell_permits(number, vec![reply]),
+        for (requester, reply) in self.pacer.grant_due(now) {
+            match requester {
+                pacer::Requester::Own => own.push(reply),
+                pacer::Requester::Link(number) => self.tell_permits(number, vec![reply]),
             }
         }
         own
--- a/crates/fireflywheel_daemon/src/fleet/steward/link.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/link.rs
@@ -9,7 +9,7 @@
 use fireflywheel::fleet::frame;
 use fireflywheel::fleet::lease;
 use fireflywheel::fleet::successor;
-use fireflywheel::fleet::track;
+use fireflywheel::fleet::tracker;
 use smol_str::SmolStr;
 use tokio::sync::mpsc;
 
@@ -39,9 +39,9 @@
 
 /// What the steward says of itself.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Word {
+pub(super) struct Heartbeat {
     pub(super) incarnation: u64,
-    pub(super) acts: bool,
+    pub(super) active: bool,
     pub(super) instances: usize,
     pub(super) lease_end: Position,
     pub(super) era: Option<Era>,
@@ -64,7 +64,7 @@
     pub(super) fn tell(
         &mut self,
         now: clock::Instant,
-        tracks: &BTreeMap<SmolStr, track::Track>,
+        trackers: &BTreeMap<SmolStr, tracker::Tracker>,
     ) -> bool {
         if self.untold.is_empty() {
             return true;
@@ -72,7 +72,7 @@
         let changed = std::mem::take(&mut self.untold);
         let engines = changed
             .iter()
-            .filter_map(|server| Some(tracks.get(server)?.holding(now)));
+            .filter_map(|server| Some(trackers.get(server)?.holding(now)));
         self.send(&frame::Frame::Held(frame::Holdings {
             engines: engines.collect(),
             complete: Vec::new(),
@@ -95,17 +95,17 @@
     }
 }
 
-impl Word {
+impl Heartbeat {
     pub(super) fn frame(&self, stamp_ms: u64) -> frame::Frame {
-        frame::Frame::Beat {
+        frame::Frame::Heartbeat {
             incarnation: self.incarnation,
-            acts: self.acts,
+            active: self.active,
             instances: u32::try_from(self.instances).unwrap_or(u32::MAX),
             lease_end: self.lease_end.offset,
             lease_era: self.lease_end.era,
             era: self.era,
             config_version: self.config_version,
-            read_ms: frame::millis(self.read_age),
+            read_age_ms: frame::millis(self.read_age),
             stamp_ms,
             standbys_read: self.standbys_read,
         }
--- a/crates/fireflywheel_daemon/src/fleet/steward/orders.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/orders.rs
@@ -129,7 +129,7 @@
         let now = self.node.now();
         let kind = kind(&due.step);
         let result = status.map_or(0, |status| status.as_u16());
-        self.node.metrics.ordered(kind, &result.to_string());
+        self.node.metrics.count_order(kind, &result.to_string());
         let change = change(&due.step);
         log::info!(
             server = due.server.as_str(), kind = kind, model = change.model,
@@ -146,18 +146,18 @@
             return;
         }
         let first = state.loading_from_store() + 1;
-        let Some(track) = state.tracks.get_mut(&due.server) else {
+        let Some(tracker) = state.trackers.get_mut(&due.server) else {
             return;
         };
         match status {
-            Some(StatusCode::ACCEPTED) => track.accepted(now, &due.step, takes, first),
+            Some(StatusCode::ACCEPTED) => tracker.order_accepted(now, &due.step, takes, first),
             Some(StatusCode::OK) if matches!(due.step, plan::Step::UnloadAdapter { .. }) => {
-                track.accepted(now, &due.step, takes, first);
+                tracker.order_accepted(now, &due.step, takes, first);
             }
-            Some(StatusCode::CONFLICT) => track.conflicted(now),
-            _ => track.unanswered(now),
+            Some(StatusCode::CONFLICT) => tracker.order_conflicted(now),
+            _ => tracker.order_unanswered(now),
         }
-        let holding = track.holding(now);
+        let holding = tracker.holding(now);
         state.tell_held(&due.server);
         drop(state);
         self.known(holding);
@@ -181,13 +181,13 @@
         };
         let now = self.node.now();
         let mut state = self.lock();
-        let Some(track) = state.tracks.get_mut(&id) else {
+        let Some(tracker) = state.trackers.get_mut(&id) else {
             return;
         };
         let report = match report {
             Ok(report) => report,
             Err(why) => {
-                if track.unreported(now, reached) {
+                if tracker.report_failed(now, reached) {
                     state.tell_held(&id);
                 }
                 drop(state);
@@ -195,18 +195,18 @@
                 return;
             }
         };
-        let changed = track.reported(asked, now, report);
-        if let Some(fetched) = track.take_fetched() {
+        let changed = tracker.report_received(asked, now, report);
+        if let Some(fetched) = tracker.take_fetched() {
             let alone = self.alone(&server.group, &fetched.model);
             state.fetched(&fetched, alone);
         }
         if !changed {
             return;
         }
-        let Some(track) = state.tracks.get(&id) else {
+        let Some(tracker) = state.trackers.get(&id) else {
             return;
         };
-        let holding = track.holding(now);
+        let holding = tracker.holding(now);
         state.tell_held(&id);
         drop(state);
         self.known(holding);
@@ -220,8 +220,8 @@
 
     fn target(&self, id: &str) -> Option<(server::Server, u64)> {
         let state = self.lock();
-        let track = state.tracks.get(id)?;
-        Some((track.server.clone(), track.orders))
+        let tracker = state.trackers.get(id)?;
+        Some((tracker.server.clone(), tracker.orders))
     }
 
     /// How long an order should take.
@@ -231,9 +231,9 @@
         };
         let group = self
             .lock()
-            .tracks
+            .trackers
             .get(server)
-            .map(|track| track.group.clone());
+            .map(|tracker| tracker.group.clone());
         let config = self.node.config();
         let known = config.as_ref().zip(group).and_then(|(config, group)| {
             let engine = config.groups.get(&group)?.engine.as_ref()?;
@@ -248,7 +248,7 @@
         let group = config.as_ref().and_then(|config| config.groups.get(group));
         let engine = group.and_then(|group| group.engine.as_ref());
         let known = engine.and_then(|engine| engine.models.get(model));
-        known.map_or(Duration::ZERO, |known| known.fetch)
+        known.map_or(Duration::ZERO, |known| known.store_load_time)
     }
 
     async fn exchange(
@@ -263,7 +263,7 @@
                     .send(self.node.now(), server.address, CONNECTIONS, request);
             let (response, connection) = sending.await.map_err(NoAnswer::Fault)?;
             let (head, body) = response.into_parts();
-            let keep = self.node.platform.read_reply(&head).keep;
+            let keep = self.node.platform.read_reply(&head).keep_alive;
             let body = Limited::new(body, REPORT_BYTES).collect().await;
             let body = body.map_err(|_| NoAnswer::Broken)?.to_bytes();
             self.node.pool.keep(self.node.now(), connection, keep);
--- a/crates/fireflywheel_daemon/src/fleet/steward/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/state.rs
@@ -15,7 +15,7 @@
 use fireflywheel::fleet::quota::meter;
 use fireflywheel::fleet::server;
 use fireflywheel::fleet::subscription;
-use fireflywheel::fleet::track;
+use fireflywheel::fleet::tracker;
 use smol_str::SmolStr;
 
 use super::link;
@@ -42,8 +42,8 @@
     pub(super) linked: bool,
     /// The lease was read since it was last written, and since the last link ended.
     pub(super) lease_known: bool,
-    pub(super) board: demand::Board,
-    pub(super) tracks: BTreeMap<SmolStr, track::Track>,
+    pub(super) demands: demand::Aggregator,
+    pub(super) trackers: BTreeMap<SmolStr, tracker::Tracker>,
     pub(super) links: BTreeMap<u64, link::Link>,
     /// Which links are told of which engines.
     pub(super) subscriptions: subscription::Registry,
@@ -58,7 +58,7 @@
     /// Up to so many links times engines.
     pub(super) tell_all: usize,
     pub(super) fetches: VecDeque<clock::Instant>,
-    pub(super) pace: plan::pace::Pace,
+    pub(super) pace: plan::concurrency::Estimate,
     /// Standbys as they were told last, by this instance or by the steward.
     pub(super) standbys: Vec<lease::Record>,
     /// An instance that is steward as another one says, while this one believes that it is.
@@ -66,11 +66,11 @@
     pub(super) acting: Option<u64>,
     /// Since when it acts, or doesn't.
     pub(super) turned: clock::Instant,
-    pub(super) beat: Option<clock::Instant>,
+    pub(super) last_heartbeat: Option<clock::Instant>,
     pub(super) told_version: u64,
     /// The newest configuration in the form in which it is sent, with its version.
     pub(super) config: Option<(u64, Bytes)>,
-    /// A new one is sent to all if that is no more: more would hold up beats until links are taken for dead.
+    /// A new one is sent to all if that is no more: more would hold up heartbeats until links are taken for dead.
     pub(super) config_bytes: usize,
     /// The directory as it was told last.
     pub(super) entries: BTreeMap<SmolStr, frame::Entry>,
@@ -107,7 +107,7 @@
     pub(super) fn turn(&mut self, now: clock::Instant, acting: Option<u64>) {
         self.acting = acting;
         self.turned = now;
-        self.tracks.clear();
+        self.trackers.clear();
         self.subscriptions = subscription::Registry::default();
         self.followed = (0, 0);
         for link in self.links.values_mut() {
@@ -120,23 +120,26 @@
         self.limits_changed = true;
         // Loads of the steward before may have begun a moment ago: as many count as may run at once.
         self.fetches.clear();
-        let before = self.pace.at_once();
+        let before = self.pace.limit();
         self.fetches.extend(std::iter::repeat_n(now, before));
-        self.beat = None;
+        self.last_heartbeat = None;
     }
 
     /// Takes in what the directory says of a group's engines.
     pub(super) fn follow(&mut self, group: &SmolStr, engines: Vec<server::Server>) {
-        self.tracks.retain(|id, track| {
-            track.group != *group || engines.iter().any(|server| server.id == *id)
+        self.trackers.retain(|id, tracker| {
+            tracker.group != *group || engines.iter().any(|server| server.id == *id)
         });
         for server in engines {
             let id = server.id.clone();
-            let known = self.tracks.get(&id).map(|track| track.server.born);
-            let is_new = known != Some(server.born);
-            let fresh = || track::Track::new(group.clone(), server.clone());
-            let track = self.tracks.entry(id.clone()).or_insert_with(fresh);
-            track.follow(server);
+            let known = self
+                .trackers
+                .get(&id)
+                .map(|tracker| tracker.server.started_ms);
+            let is_new = known != Some(server.started_ms);
+            let fresh = || tracker::Tracker::new(group.clone(), server.clone());
+            let tracker = self.trackers.entry(id.clone()).or_insert_with(fresh);
+            tracker.update_server(server);
             if is_new {
                 // Its entry says what it holds. Reports of thousands of engines take a new steward seconds.
                 self.tell_held(&id);
@@ -154,39 +157,39 @@
         forecasts: &mut Vec<frame::Forecast>,
     ) -> Vec<Due> {
         let ids: Vec<SmolStr> = self
-            .tracks
+            .trackers
             .iter()
-            .filter(|(_, track)| track.group == *group)
+            .filter(|(_, tracker)| tracker.group == *group)
             .map(|(id, _)| id.clone())
             .collect();
-        let loads = self.board.loads();
-        let mut running = self.board.running();
-        let mut sites = Vec::with_capacity(ids.len());
-        for (id, track) in &mut self.tracks {
-            if track.group == *group {
-                let unread = loads.get(id).map_or(0, |load| load.unread);
+        let loads = self.demands.loads();
+        let mut running = self.demands.running();
+        let mut engines = Vec::with_capacity(ids.len());
+        for (id, tracker) in &mut self.trackers {
+            if tracker.group == *group {
+                let unread = loads.get(id).map_or(0, |load| load.prefill_tokens);
                 let running = running.remove(id).unwrap_or_default();
-                sites.push(plan::Site {
+                engines.push(plan::EngineState {
                     limit: self.pacer.limit(id),
-                    ..track.site(now, running, unread)
+                    ..tracker.engine_state(now, running, unread)
                 });
             }
         }
-        let wants = self.board.wants(group);
+        let wants = self.demands.pending(group);
         let models = engine.models.keys();
         let rates = models
-            .map(|model| (model.clone(), self.board.rate(now, group, model)))
+            .map(|model| (model.clone(), self.demands.arrival_rate(now, group, model)))
             .collect();
-        let drains = self.board.drains(now, group);
+        let drains = self.demands.drain_rates(now, group);
         let view = plan::View {
             now,
-            engine,
-            sites: &sites,
-            wants: &wants,
-            rates: &rates,
-            drains: &drains,
-            fetches: self.fetch_room(now, engine, &sites),
-            pace: self.pace,
+            config: engine,
+            engines: &engines,
+            pending: &wants,
+            arrival_rates: &rates,
+            drain_rates: &drains,
+            max_fetches: self.fetch_room(now, engine, &engines),
+            concurrency: self.pace,
         };
         let expected = plan::forecast(&view).into_iter();
         forecasts.extend(expected.map(|(model, wait)| frame::Forecast {
@@ -198,7 +201,7 @@
         let steps = plan::steps(&view);
         self.count_as_sent(now, &ids, &steps);
         let due = steps.into_iter().map(|step| Due {
-            server: ids[step.site()].clone(),
+            server: ids[step.engine()].clone(),
             fencing,
             step,
         });
@@ -207,13 +210,16 @@
 
     /// Counts the orders of a plan for these engines as sent.
     fn count_as_sent(&mut self, now: clock::Instant, ids: &[SmolStr], steps: &[plan::Step]) {
-        let by_site: BTreeMap<usize, &plan::Step> =
-            steps.iter().map(|step| (step.site(), step)).collect();
-        for (site, id) in ids.iter().enumerate() {
-            let track = self.tracks.get_mut(id).expect("it is a site of this plan");
-            match by_site.get(&site) {
-                Some(step) => track.sent(now, (*step).clone()),
-                None => track.passed_over(now),
+        let by_engine: BTreeMap<usize, &plan::Step> =
+            steps.iter().map(|step| (step.engine(), step)).collect();
+        for (place, id) in ids.iter().enumerate() {
+            let tracker = self
+                .trackers
+                .get_mut(id)
+                .expect("it is an engine of this plan");
+            match by_engine.get(&place) {
+                Some(step) => tracker.order_sent(now, (*step).clone()),
+                None => tracker.not_planned(now),
             }
         }
         let fetches = steps.iter().filter(|step| step.is_fetch()).count();
@@ -225,7 +231,7 @@
         &mut self,
         now: clock::Instant,
         engine: &config::Engine,
-        sites: &[plan::Site],
+        engines: &[plan::EngineState],
     ) -> usize {
         while self
             .fetches
@@ -236,24 +242,30 @@
         }
         let allowed = engine.loads_per_second * STORE_WINDOW.as_secs_f64() * STORE_SHARE;
         let left = (allowed - self.fetches.len() as f64).max(0.0) as usize;
-        let running = sites.iter().filter(|site| site.fetching).count();
-        self.pace.at_once().min(running + left)
+        let running = engines
+            .iter()
+            .filter(|engine_state| engine_state.fetching)
+            .count();
+        self.pace.limit().min(running + left)
     }
 
     /// Loads from the weight store that engines have accepted.
     pub(super) fn loading_from_store(&self) -> usize {
-        let tracks = self.tracks.values();
-        tracks.filter(|track| track.is_loading_from_store()).count()
+        let trackers = self.trackers.values();
+        trackers
+            .filter(|tracker| tracker.is_loading_from_store())
+            .count()
     }
 
     /// A load from the weight store has ended that takes `alone` by itself.
-    pub(super) fn fetched(&mut self, fetched: &track::Fetched, alone: Duration) {
+    pub(super) fn fetched(&mut self, fetched: &tracker::Fetched, alone: Duration) {
         // Half of those that run now have come or gone since it began.
         let at_once = (fetched.first + self.loading_from_store() + 1).div_ceil(2);
-        self.pace.ended(fetched.first, at_once, alone, fetched.took);
+        self.pace
+            .observe(fetched.first, at_once, alone, fetched.took);
         log::info!(
             model = fetched.model.as_str(), took_ms = clock::millis(fetched.took), at_once = at_once as u64,
-            now_at_once = self.pace.at_once() as u64;
+            now_at_once = self.pace.limit() as u64;
             "load from the weight store ended"
         );
     }
@@ -261,14 +273,14 @@
     /// A link has ended, unless its instance has made another one since.
     pub(super) fn remove_link(&mut self, now: clock::Instant, number: u64, instance: &SmolStr) {
         self.links.remove(&number);
-        self.pacer.forget(pacer::Asker::Link(number));
-        self.subscriptions.end(number);
+        self.pacer.remove(pacer::Requester::Link(number));
+        self.subscriptions.remove_link(number);
         let again = self
             .links
             .values()
             .any(|other| other.peer.instance == *instance);
         if !again {
-            self.meter.left(now, instance);
+            self.meter.link_closed(now, instance);
         }
     }
 
@@ -276,15 +288,17 @@
     /// answers would hold up its links until these are taken for dead.
     pub(super) fn reports_due(&mut self, now: clock::Instant) -> Vec<SmolStr> {
         let asking = self
-            .tracks
+            .trackers
             .values()
-            .filter(|track| track.is_asked())
+            .filter(|tracker| tracker.is_report_pending())
             .count();
         let room = REPORTS_AT_ONCE.saturating_sub(asking);
-        let due = self.tracks.iter_mut();
-        let due = due.filter(|(_, track)| track.needs_report(now)).take(room);
-        due.map(|(id, track)| {
-            track.asked(now);
+        let due = self.trackers.iter_mut();
+        let due = due
+            .filter(|(_, tracker)| tracker.needs_report(now))
+            .take(room);
+        due.map(|(id, tracker)| {
+            tracker.report_requested(now);
             id.clone()
         })
         .collect()
@@ -294,7 +308,7 @@
 /// Logs what keeps callers waiting for long, once a second for each model.
 pub(super) fn log_delays(view: &plan::View<'_>, logged: &mut BTreeMap<SmolStr, clock::Instant>) {
     logged.retain(|_, at| view.now.since(*at) < DELAY_LOG);
-    for want in view.wants.iter().filter(|want| want.adapter.is_none()) {
+    for want in view.pending.iter().filter(|want| want.adapter.is_none()) {
         let waited = view.now.since(want.since);
         if waited < LONG_WAIT || logged.contains_key(&want.model) {
             continue;
@@ -303,7 +317,7 @@
         log::info!(
             model = want.model.as_str(), waiting = want.waiting,
             waited_ms = clock::millis(waited),
-            why = plan::obstacle(view, &want.model);
+            why = plan::blocked_reason(view, &want.model);
             "model waited for"
         );
     }
--- a/crates/fireflywheel_daemon/src/fleet/steward/tell.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/tell.rs
@@ -9,12 +9,12 @@
 use fireflywheel::fleet::config;
 use fireflywheel::fleet::frame;
 use fireflywheel::fleet::lease;
-use fireflywheel::fleet::work;
+use fireflywheel::fleet::load;
 use smol_str::SmolStr;
 
 use super::link;
 use super::state::State;
-use super::{BEAT, STANDBYS};
+use super::{HEARTBEAT_INTERVAL, STANDBYS};
 
 /// Forecasts are sent again after this, since the wait that they tell of goes on.
 const FORECAST: Duration = Duration::from_millis(500);
@@ -60,13 +60,17 @@
     }
 
     /// Tells at its time what engines have to do; returns it for this instance itself.
-    pub(super) fn tell_load(&mut self, now: clock::Instant) -> Option<Vec<work::Load>> {
+    pub(super) fn tell_load(&mut self, now: clock::Instant) -> Option<Vec<load::Load>> {
         let (told, loaded) = self.load;
         if now.since(told) < self.news_pause() {
             return None;
         }
-        let slots = |id: &SmolStr| self.tracks.get(id).map_or(0, |track| track.server.slots);
-        let loads = work::largest(self.board.loads(), slots, LOADS);
+        let slots = |id: &SmolStr| {
+            self.trackers
+                .get(id)
+                .map_or(0, |tracker| tracker.server.slots)
+        };
+        let loads = load::most_loaded(self.demands.loads(), slots, LOADS);
         self.load = (now, !loads.is_empty());
         if loads.is_empty() && !loaded {
             return None;
@@ -78,7 +82,7 @@
     /// The time between two words to all instances.
     pub(super) fn news_pause(&self) -> Duration {
         let links = u32::try_from(self.links.len()).unwrap_or(u32::MAX);
-        (NEWS_A_LINK * links).clamp(SHORTEST_NEWS, BEAT)
+        (NEWS_A_LINK * links).clamp(SHORTEST_NEWS, HEARTBEAT_INTERVAL)
     }
 
     /// Sends a configuration that is new here to all instances, if that isn't much, or else to those that the store doesn't answer. The
@@ -96,22 +100,24 @@
             .retain(|_, link| !(all || link.needs_config) || link.send_config(config));
     }
 
-    /// A beat at its time, and at once when there is a new configuration.
-    pub(super) fn beat(&mut self, now: clock::Instant, word: &link::Word) {
-        let due = self.beat.is_none_or(|beat| now.since(beat) >= BEAT);
-        if !due && word.config_version == self.told_version {
+    /// A heartbeat at its time, and at once when there is a new configuration.
+    pub(super) fn send_heartbeat(&mut self, now: clock::Instant, heartbeat: &link::Heartbeat) {
+        let due = self
+            .last_heartbeat
+            .is_none_or(|beat| now.since(beat) >= HEARTBEAT_INTERVAL);
+        if !due && heartbeat.config_version == self.told_version {
             return;
         }
-        self.beat = Some(now);
-        self.told_version = word.config_version;
+        self.last_heartbeat = Some(now);
+        self.told_version = heartbeat.config_version;
         self.subscriptions.prune(now);
         self.tell_all_held(now);
-        if word.acts {
+        if heartbeat.active {
             self.tell_standbys();
             self.choose_whole(now);
         }
         self.links
-            .retain(|_, link| link.send(&word.frame(link.stamp_ms)));
+            .retain(|_, link| link.send(&heartbeat.frame(link.stamp_ms)));
     }
 
     /// What an instance with a new link must know: of engines only if it is told of all.
@@ -123,7 +129,7 @@
             let groups = self.groups.iter().filter(|group| is_told(group));
             frames.push(frame::Frame::Directory(frame::Changes {
                 // Also those without a server: the receiver may know some that are gone.
-                all_of: groups.cloned().collect(),
+                complete_groups: groups.cloned().collect(),
                 entries: entries
                     .filter(|entry| is_told(&entry.group))
                     .cloned()
@@ -142,12 +148,12 @@
         frames
     }
 
-    /// All engines, in frames of a size that a slow link can take between two beats.
+    /// All engines, in frames of a size that a slow link can take between two heartbeats.
     fn engine_frames(&self, now: clock::Instant) -> Vec<frame::Frame> {
         let engines: Vec<frame::Holding> = self
-            .tracks
+            .trackers
             .values()
-            .map(|track| track.holding(now))
+            .map(|tracker| tracker.holding(now))
             .collect();
         let chunks = engines.chunks(ENGINES_A_FRAME);
         let frames = chunks.map(|chunk| {
@@ -157,13 +163,13 @@
             })
         });
         frames
-            .chain(std::iter::once(frame::Frame::Whole(true)))
+            .chain(std::iter::once(frame::Frame::AllEngines(true)))
             .collect()
     }
 
     /// Whether all instances are told of all engines, with so many links.
     pub(super) fn tells_all(&self, links: usize) -> bool {
-        let told = links * self.tracks.len();
+        let told = links * self.trackers.len();
         // Hysteresis: instances that come and go don't switch it each time.
         let most = if self.telling_all {
             self.tell_all
@@ -195,7 +201,7 @@
             .iter()
             .map(frame::Frame::encode)
             .collect();
-        let part = frame::Frame::Whole(false).encode();
+        let part = frame::Frame::AllEngines(false).encode();
         self.links.retain(|_, link| {
             let (before, after) = (link.whole, is_whole(link));
             link.whole = after;
@@ -219,7 +225,7 @@
             let holders = self.subscriptions.subscribe(now, number, model);
             let engines = holders
                 .iter()
-                .filter_map(|engine| Some(self.tracks.get(engine)?.holding(now)));
+                .filter_map(|engine| Some(self.trackers.get(engine)?.holding(now)));
             let told = link.send(&frame::Frame::Held(frame::Holdings {
                 engines: engines.collect(),
                 complete: vec![model.clone()],
@@ -263,11 +269,11 @@
         for id in changed.chain(&changes.gone) {
             let entry = self.entries.get(id).or_else(|| before.get(id));
             if entry.is_some_and(|entry| self.engines.contains(&entry.group)) {
-                told.insert(id.clone(), self.subscriptions.links(id));
+                told.insert(id.clone(), self.subscriptions.subscribers(id));
             }
         }
         for id in &changes.gone {
-            self.subscriptions.changed(id, []);
+            self.subscriptions.update_engine(id, []);
         }
         let all = frame::Frame::Directory(changes.clone()).encode();
         self.links.retain(|number, link| {
@@ -282,9 +288,12 @@
 
     /// An engine has changed.
     pub(super) fn tell_held(&mut self, server: &SmolStr) {
-        let models = self.tracks.get(server).map(|track| &track.held.models);
+        let models = self
+            .trackers
+            .get(server)
+            .map(|tracker| &tracker.held.models);
         let models = models.into_iter().flat_map(BTreeMap::keys);
-        let links = self.subscriptions.changed(server, models);
+        let links = self.subscriptions.update_engine(server, models);
         for (number, link) in &mut self.links {
             if link.whole || links.contains(number) {
                 link.untold.insert(server.clone());
@@ -294,15 +303,15 @@
 
     /// Tells those at once for whom it may matter; all, if they are few.
     pub(super) fn tell_waiting(&mut self, now: clock::Instant) {
-        let tracks = &self.tracks;
+        let trackers = &self.trackers;
         let few = self.links.len() <= PROMPT_LINKS;
         self.links
-            .retain(|_, link| !(few || link.waits) || link.tell(now, tracks));
+            .retain(|_, link| !(few || link.waits) || link.tell(now, trackers));
     }
 
     pub(super) fn tell_all_held(&mut self, now: clock::Instant) {
-        let tracks = &self.tracks;
-        self.links.retain(|_, link| link.tell(now, tracks));
+        let trackers = &self.trackers;
+        self.links.retain(|_, link| link.tell(now, trackers));
     }
 
     /// A link whose queue is full is dropped: its instance would go on with old news.
--- a/crates/fireflywheel_daemon/src/fleet/stream.rs
+++ b/crates/fireflywheel_daemon/src/fleet/stream.rs
@@ -36,7 +36,7 @@
 pub fn answer<P>(
     node: &Arc<node::Node<P>>,
     job: Arc<attempt::Job>,
-    begun: attempt::Begun<P>,
+    begun: attempt::Response<P>,
 ) -> Response<door::Body>
 where
     P: platform::Platform,
@@ -52,7 +52,7 @@
         source: Source::new(begun),
         tried: Vec::new(),
         runs: 1,
-        cutter: resumable.then(events::Cutter::default),
+        splitter: resumable.then(events::Splitter::default),
         job,
     };
     tokio::spawn(pump.run());
@@ -83,7 +83,7 @@
     /// Runs that have begun.
     runs: u32,
     /// For streams that may go on elsewhere, which are handed on in whole events.
-    cutter: Option<events::Cutter>,
+    splitter: Option<events::Splitter>,
 }
 
 /// How a run's response ended.
@@ -103,11 +103,11 @@
 where
     P: platform::Platform,
 {
-    fn new(begun: attempt::Begun<P>) -> Self {
+    fn new(begun: attempt::Response<P>) -> Self {
         Self {
             body: begun.body,
             connection: begun.connection,
-            keep: begun.reply.keep,
+            keep: begun.reply.keep_alive,
             server: begun.server,
             _in_flight: begun.in_flight,
         }
@@ -122,11 +122,11 @@
         loop {
             let end = self.copy().await;
             let verdict = match end {
-                End::Complete => node::Verdict::Good,
-                End::Broken(_) | End::Silent => node::Verdict::Failed,
+                End::Complete => node::ServerOutcome::Good,
+                End::Broken(_) | End::Silent => node::ServerOutcome::Failed,
                 End::Left | End::Late => break self.stop(end),
             };
-            self.node.judge(&self.source.server, verdict);
+            self.node.record_outcome(&self.source.server, verdict);
             if end == End::Complete {
                 let now = self.node.now();
                 self.log_complete();
@@ -172,10 +172,12 @@
         };
         log::info!(
             request = self.job.call.id.as_str(), server = self.source.server.as_str(), why = why,
-            events = self.cutter.as_ref().and_then(events::Cutter::last).unwrap_or_default();
+            events = self.splitter.as_ref().and_then(events::Splitter::last).unwrap_or_default();
             "stream ended early"
         );
-        self.node.metrics.attempt_failed(&self.job.route.name, why);
+        self.node
+            .metrics
+            .count_failed_attempt(&self.job.route.name, why);
         self.sender.cut();
     }
 
@@ -188,7 +190,7 @@
                 return End::Late;
             }
             let silence = self
-                .cutter
+                .splitter
                 .as_ref()
                 .map_or(left, |_| longest_silence(&self.job));
             let frame = tokio::select! {
@@ -221,26 +223,28 @@
     }
 
     async fn hand_on(&mut self, bytes: Bytes) -> Result<(), End> {
-        let Some(cutter) = &mut self.cutter else {
+        let Some(splitter) = &mut self.splitter else {
             return self.sender.send(bytes).await.map_err(|_| End::Left);
         };
-        cutter.push(&bytes);
-        if cutter.pending() > EVENT_LIMIT {
+        splitter.push(&bytes);
+        if splitter.pending() > EVENT_LIMIT {
             return Err(End::Broken("an event too large"));
         }
-        while let Some(event) = cutter.pop() {
+        while let Some(event) = splitter.pop() {
             self.sender.send(event).await.map_err(|_| End::Left)?;
         }
         Ok(())
     }
 
     fn is_between_events(&self) -> bool {
-        self.cutter.as_ref().is_none_or(events::Cutter::is_between)
+        self.splitter
+            .as_ref()
+            .is_none_or(events::Splitter::is_at_boundary)
     }
 
     /// A server at which a stream can go on at once.
     fn elsewhere(&self) -> Option<node::Chosen> {
-        if self.cutter.is_none() || self.runs >= self.job.route.attempts {
+        if self.splitter.is_none() || self.runs >= self.job.route.attempts {
             return None;
         }
         let mut tried = self.tried.clone();
@@ -248,14 +252,14 @@
         let job = &self.job;
         let query = node::Query {
             route: &job.route,
-            lane: &job.lane,
+            queue: &job.queue,
             call: &job.call,
             tried: &tried,
             left: Duration::ZERO,
         };
         match self.node.choose(query) {
             node::Choice::Server(chosen) if !tried.contains(&chosen.server) => {
-                let may_repeat = self.node.may_repeat(&job.lane.group);
+                let may_repeat = self.node.try_retry(&job.queue.group);
                 may_repeat.then_some(chosen)
             }
             _ => None,
@@ -265,8 +269,8 @@
     /// Ends this run, so that another can begin after the last event that was handed on.
     fn leave(&mut self) {
         self.tried.push(self.source.server.clone());
-        if let Some(cutter) = &mut self.cutter {
-            cutter.drop_partial();
+        if let Some(splitter) = &mut self.splitter {
+            splitter.drop_partial();
         }
         self.source.close();
     }
@@ -274,7 +278,7 @@
     /// Another run in place of one that broke off.
     async fn go_on(&mut self) -> Option<Source<P>> {
         self.leave();
-        if self.cutter.is_none() || self.runs >= self.job.route.attempts {
+        if self.splitter.is_none() || self.runs >= self.job.route.attempts {
             return None;
         }
         let chosen = self.find().await?;
@@ -287,12 +291,12 @@
             found = relay::find(&self.node, &self.job, &self.tried) => found.ok()?,
             () = self.sender.gone() => return None,
         };
-        self.node.may_repeat(&self.job.lane.group).then_some(chosen)
+        self.node.try_retry(&self.job.queue.group).then_some(chosen)
     }
 
     /// Goes on at a server, or at another one if that refuses unrun.
     async fn send(&mut self, mut chosen: node::Chosen) -> Option<Source<P>> {
-        let last = self.cutter.as_ref().and_then(events::Cutter::last);
+        let last = self.splitter.as_ref().and_then(events::Splitter::last);
         let last = last.or(self.job.call.last_event);
         for _ in 0..SENDINGS {
             log::info!(
@@ -301,11 +305,11 @@
                 "stream goes on elsewhere"
             );
             let outcome = tokio::select! {
-                outcome = attempt::send(&self.node, &self.job, &chosen, last, attempt::Silence::Waits) => outcome,
+                outcome = attempt::send(&self.node, &self.job, &chosen, last, attempt::OnTimeout::KeepWaiting) => outcome,
                 () = self.sender.gone() => return None,
             };
             match outcome {
-                attempt::Outcome::Begun(begun) if begun.head.status.is_success() => {
+                attempt::Outcome::Response(begun) if begun.head.status.is_success() => {
                     self.runs += 1;
                     return Some(Source::new(*begun));
                 }
@@ -331,6 +335,9 @@
 }
 
 fn longest_silence(job: &attempt::Job) -> Duration {
-    let pause = job.route.pause.map_or(SILENCE, |pause| pause * PAUSES);
+    let pause = job
+        .route
+        .max_event_gap
+        .map_or(SILENCE, |pause| pause * PAUSES);
     pause.max(SILENCE)
 }
--- a/crates/fireflywheel_daemon/src/fleet/watch.rs
+++ b/crates/fireflywheel_daemon/src/fleet/watch.rs
@@ -95,23 +95,23 @@
     let mut contact = Contact::new("configuration");
     loop {
         let wait = until_needed(&node, true).await;
-        node.store_turn().await;
+        node.wait_for_store().await;
         let wait = node.store_wait(wait);
         let asked = node.now();
         let result = node.platform.configuration(&mut cursor, wait).await;
-        node.store_called("configuration", result.is_ok());
+        node.record_store_call("configuration", result.is_ok());
         match result {
             Ok(config) => {
                 contact.good(node.now());
                 // The answer to a read that waited is as old as its end.
-                node.read_config(asked.after(wait).min(node.now()));
+                node.record_config_read(asked.after(wait).min(node.now()));
                 if let Some(config) = config {
-                    node.configure(Arc::new(config), node::Reader::Own);
+                    node.apply_config(Arc::new(config), node::ConfigSource::Own);
                 }
             }
             Err(fault) => {
                 contact.bad(node.now(), &fault.to_string());
-                node.config_unread();
+                node.config_read_failed();
             }
         }
     }
@@ -126,9 +126,9 @@
     let mut contact = Contact::new("directory");
     let mut first = true;
     let mut restored = Restored::default();
-    let interval = node.settings.obey / READS;
+    let interval = node.settings.leaving_deadline / READS;
     loop {
-        let relayed = node.is_relayed();
+        let relayed = node.steward_reads_valid();
         if relayed {
             until_needed(&node, false).await;
         }
@@ -138,8 +138,8 @@
         if node.take_entries_told() || relayed {
             cursor = P::DirectoryCursor::default();
         }
-        node.store_turn().await;
-        if node.is_relayed() {
+        node.wait_for_store().await;
+        if node.steward_reads_valid() {
             continue;
         }
         let asked = node.now();
@@ -148,21 +148,21 @@
             result = node.platform.directory(&mut cursor, asked, || page_pause(&node, first)) => result,
             () = until_relayed(&node) => continue,
         };
-        node.store_called("directory", result.is_ok());
+        node.record_store_call("directory", result.is_ok());
         let now = node.now();
         match result {
             Ok(news) => {
                 contact.good(now);
                 first = false;
                 let era = node.platform.era().unwrap_or_default();
-                node.read_directory(asked, era);
+                node.record_directory_read(asked, era);
                 restored.read(now, era);
                 let patience = if contact.is_fresh(now) || restored.is_fresh(now) {
                     LAPSED
                 } else {
                     Duration::ZERO
                 };
-                node.learn(news, patience);
+                node.update_directory(news, patience);
                 time::sleep(interval.saturating_sub(now.since(asked))).await;
             }
             Err(fault) => {
@@ -179,7 +179,7 @@
     P: platform::Platform,
 {
     // Later a server that leaves must be obeyed in time.
-    if !first || node.is_relaying() || node.is_standby() {
+    if !first || node.is_acting_steward() || node.is_standby() {
         Duration::ZERO
     } else {
         PAGE_PAUSE
@@ -191,8 +191,8 @@
 where
     P: platform::Platform,
 {
-    let mut changes = node.relayed.subscribe();
-    while !node.is_relayed() {
+    let mut changes = node.steward_reads.subscribe();
+    while !node.steward_reads_valid() {
         if changes.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -205,7 +205,7 @@
 where
     P: platform::Platform,
 {
-    let mut changes = node.relayed.subscribe();
+    let mut changes = node.steward_reads.subscribe();
     loop {
         let relayed = *changes.borrow_and_update();
         let now = node.now();
@@ -213,12 +213,12 @@
             .until
             .map_or(Duration::ZERO, |until| until.since(now));
         if left.is_zero() {
-            let waits = if node.is_relaying() {
+            let waits = if node.is_acting_steward() {
                 RELAY_WAITS
             } else {
                 WAITS
             };
-            let wait = node.settings.apply / waits;
+            let wait = node.settings.config_deadline / waits;
             // A standby has to show at once whether the store answers it.
             let shown = !node.is_standby() || node.config_age() < wait;
             return if shown { wait } else { Duration::ZERO };
