--- a/crates/fireflywheel/src/fleet/adaptive_timeout.rs
+++ b/crates/fireflywheel/src/fleet/adaptive_timeout.rs
@@ -1,49 +1,50 @@
-//! How long a backend server usually takes until its response begins, and from when on its silence means that it is lost.
+//! Estimates a response time-out from the response times of a backend server.
 
 use std::time::Duration;
 
-/// Responses that must have been seen: fewer don't show how much their times differ.
-const LEAST_SEEN: u32 = 16;
-/// How much one more response changes the mean.
-const MEAN_STEP: f64 = 1.0 / 8.0;
-/// How much it changes the deviation.
-const DEVIATION_STEP: f64 = 1.0 / 4.0;
-/// A response is late beyond the mean by this many deviations. Times have a long tail, and a second run costs a server as
-/// much as the first.
-const DEVIATIONS: f64 = 8.0;
-/// Servers that usually answer at once may pause for so long.
-const SHORTEST: Duration = Duration::from_millis(200);
+/// The number of samples required for an estimate: fewer don't show how much response times vary.
+const MIN_SAMPLES: u32 = 16;
+/// The weight of a sample in the mean.
+const MEAN_SMOOTHING: f64 = 1.0 / 8.0;
+/// The weight of a sample in the deviation.
+const DEVIATION_SMOOTHING: f64 = 1.0 / 4.0;
+/// The number of deviations above the mean at which a response counts as lost. Response times have a long
+/// tail, and a second run costs a server as much as the first.
+const TIMEOUT_DEVIATIONS: f64 = 8.0;
+/// The minimum time-out, since servers that usually answer at once may pause for this long.
+const MIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Times until responses begin, of requests of one kind.
+/// Tracks the mean and deviation of the times until responses begin, for requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Estimator {
-    seen: u32,
+    samples: u32,
     mean: f64,
     deviation: f64,
 }
 
 impl Estimator {
-    /// A response began after `took`.
-    pub fn observe(&mut self, took: Duration) {
-        let took = took.as_secs_f64();
-        if self.seen == 0 {
-            self.mean = took;
-            self.deviation = took / 2.0;
+    /// Records a response that began after `elapsed`.
+    pub fn observe(&mut self, elapsed: Duration) {
+        let elapsed = elapsed.as_secs_f64();
+        if self.samples == 0 {
+            self.mean = elapsed;
+            self.deviation = elapsed / 2.0;
         } else {
-            let off = took - self.mean;
-            self.mean += off * MEAN_STEP;
-            self.deviation += (off.abs() - self.deviation) * DEVIATION_STEP;
+            let error = elapsed - self.mean;
+            self.mean += error * MEAN_SMOOTHING;
+            self.deviation += (error.abs() - self.deviation) * DEVIATION_SMOOTHING;
         }
-        self.seen = self.seen.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
     }
 
-    /// After so long without a response it will not come; none while too little is known.
+    /// Returns the time after which a missing response counts as lost, or `None` while there are too few
+    /// samples.
     #[must_use]
     pub fn timeout(&self) -> Option<Duration> {
-        if self.seen < LEAST_SEEN {
+        if self.samples < MIN_SAMPLES {
             return None;
         }
-        let limit = self.mean + self.deviation * DEVIATIONS;
-        Some(Duration::from_secs_f64(limit).max(SHORTEST))
+        let limit = self.mean + self.deviation * TIMEOUT_DEVIATIONS;
+        Some(Duration::from_secs_f64(limit).max(MIN_TIMEOUT))
     }
 }
--- a/crates/fireflywheel/src/fleet/backoff.rs
+++ b/crates/fireflywheel/src/fleet/backoff.rs
@@ -1,56 +1,59 @@
-//! When the platform's store may be called again after calls that failed.
+//! Backs off from the platform's store after failed calls.
 //!
-//! A store that is away, or that turns instances away because there are too many calls, gets more of them the more
-//! instances there are, and each call costs money. If each reader of each instance tried again on its own, an outage
-//! of some seconds would bring tens of thousands of calls, and the store would be kept busy refusing when it is back.
-//! So all readers and writers of one instance share one state: after a failure one of them tries again at a time,
-//! later each time, and the first success lets all others go on.
+//! A store that is unavailable, or that rejects calls because there are too many, receives more calls the
+//! more instances there are, and each call costs money. If each reader of each instance retried on its own,
+//! an outage of a few seconds would cause tens of thousands of calls, and the returning store would be kept
+//! busy rejecting them. All readers and writers of one instance therefore share one state: after a failure
+//! only one of them retries at a time, with growing delays, and the first success releases all others.
 
 use std::time::Duration;
 
 use crate::clock;
 
-/// Pause after the first failure: a single lost answer should hold up nothing for long.
-const FIRST: Duration = Duration::from_millis(100);
-/// How much longer each pause is than the one before.
-const GROWTH: f64 = 2.0;
-/// Pauses are drawn from this part of their length up to all of it, so that instances don't call together.
-const LEAST_DRAW: f64 = 0.5;
+/// The delay after the first failure. It is short because a single lost answer should not hold up anything
+/// for long.
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
+/// The factor by which each delay exceeds the one before.
+const DELAY_MULTIPLIER: f64 = 2.0;
+/// The smallest share of a delay that is used. The share is drawn at random, so that instances don't call at
+/// the same time.
+const MIN_DELAY_RATIO: f64 = 0.5;
 
-/// Pauses of one instance between calls to a store that fails.
+/// The backoff state of one instance for a failing store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
-    until: clock::Instant,
+    next_call_at: clock::Instant,
 }
 
 impl Backoff {
-    /// How long a caller has to wait; zero when it may call now. While the store fails, one caller at a time may:
-    /// the next may after another pause, or as soon as that call has succeeded. `most` is the longest pause.
-    pub fn claim(&mut self, now: clock::Instant, most: Duration, draw: f64) -> Duration {
+    /// Returns how long a caller has to wait, or zero if it may call now. While the store fails, one caller
+    /// at a time may call: the next may after another delay, or as soon as that call has succeeded.
+    /// `max_delay` is the longest delay.
+    pub fn claim(&mut self, now: clock::Instant, max_delay: Duration, draw: f64) -> Duration {
         if self.failures == 0 {
             return Duration::ZERO;
         }
-        let left = self.until.since(now);
-        if left.is_zero() {
-            self.until = now.after(self.pause(most, draw));
+        let remaining = self.next_call_at.since(now);
+        if remaining.is_zero() {
+            self.next_call_at = now.after(self.delay(max_delay, draw));
         }
-        left
+        remaining
     }
 
-    /// A call had no usable answer. `draw` is from 0 up to 1. Pauses are counted from the beginning of a call: after one
-    /// that got no answer at all its limit has passed already, and a configuration that was accepted meanwhile would be
-    /// in force too late.
-    pub fn record_failure(&mut self, now: clock::Instant, most: Duration, draw: f64) {
+    /// Records a call without a usable answer. `draw` is at least 0 and below 1. Delays count from the start
+    /// of a call: after a call without any answer its time-out has already passed, and with a further delay a
+    /// configuration accepted meanwhile would take effect too late.
+    pub fn record_failure(&mut self, now: clock::Instant, max_delay: Duration, draw: f64) {
         self.failures = self.failures.saturating_add(1);
         if self.failures == 1 {
-            self.until = now.after(self.pause(most, draw));
+            self.next_call_at = now.after(self.delay(max_delay, draw));
         }
     }
 
-    /// How long a read may wait at the store for news that usually waits for `usual`. While the store fails it doesn't
-    /// wait: a store that is silent would hold it up for the wait besides the call's own limit, and a configuration
-    /// that is accepted as soon as the store is back would be in force too late.
+    /// Returns how long a read may long-poll the store when the usual wait is `usual`. While the store fails
+    /// the read doesn't wait: a silent store would hold it up for that wait in addition to the call's
+    /// time-out, and a configuration accepted as soon as the store is back would take effect too late.
     #[must_use]
     pub fn wait(&self, usual: Duration) -> Duration {
         if self.failures == 0 {
@@ -66,15 +69,15 @@
         self.failures > 0
     }
 
-    /// A call was answered; whether calls had failed before.
+    /// Records an answered call; returns whether calls had failed before.
     pub fn record_success(&mut self) -> bool {
         std::mem::take(&mut self.failures) > 0
     }
 
-    fn pause(&self, most: Duration, draw: f64) -> Duration {
-        let doublings = i32::try_from(self.failures.saturating_sub(1)).unwrap_or(i32::MAX);
-        let whole = FIRST.as_secs_f64() * GROWTH.powi(doublings);
-        let whole = whole.min(most.as_secs_f64());
-        Duration::from_secs_f64(whole * (LEAST_DRAW + (1.0 - LEAST_DRAW) * draw))
+    fn delay(&self, max_delay: Duration, draw: f64) -> Duration {
+        let exponent = i32::try_from(self.failures.saturating_sub(1)).unwrap_or(i32::MAX);
+        let delay = INITIAL_DELAY.as_secs_f64() * DELAY_MULTIPLIER.powi(exponent);
+        let delay = delay.min(max_delay.as_secs_f64());
+        Duration::from_secs_f64(delay * (MIN_DELAY_RATIO + (1.0 - MIN_DELAY_RATIO) * draw))
     }
 }
--- a/crates/fireflywheel/src/fleet/demand.rs
+++ b/crates/fireflywheel/src/fleet/demand.rs
@@ -1,4 +1,4 @@
-//! What instances ask of the steward, and the rates that it learns from that.
+//! The demand that instances report to the steward, and the rates estimated from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,137 +10,139 @@
 use super::{limit, load, quota, rate};
 use crate::clock;
 
-/// Rates forget half of what they saw after this. Demand moves within seconds, and a rare model is asked for
-/// once in ten.
-const HALF_LIFE: Duration = Duration::from_secs(10);
+/// The half-life of arrival rates. Demand moves within seconds, and a rarely used model receives a request
+/// about once in ten seconds.
+const ARRIVAL_HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// The same for the rate at which engines end requests: a queue drains as fast as they do now.
+/// The half-life of completion rates, which is shorter because a queue drains at the engines' current rate.
 const DRAIN_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// All that one instance wants and has running.
+/// The demand of one instance.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Demand {
-    /// Where requests wait.
+    /// The queues of waiting requests.
     #[serde(rename = "lanes")]
     pub queues: Vec<Queue>,
-    /// Requests in progress by engine and model.
+    /// The requests in progress, by engine and model.
     pub running: Vec<Running>,
-    /// Requests that came since the last demand, by group and model.
+    /// The requests that arrived since the last report, by group and model.
     pub arrived: Vec<Count>,
-    /// Requests that engines have run and that ended since the last demand, by group and model.
+    /// The requests that ran on engines and ended since the last report, by group and model.
     #[serde(default)]
     pub finished: Vec<Count>,
-    /// The instance's clock when it said this, in milliseconds; comes back with the steward's next heartbeat.
+    /// The instance's clock at the time of the report, in milliseconds. The steward's next heartbeat returns
+    /// it.
     pub stamp_ms: u64,
-    /// The instance is being stopped, and can't become steward.
+    /// Whether the instance is stopping and can't become steward.
     pub leaving: bool,
-    /// Engines that didn't hold what the steward had said that they hold.
+    /// The engines that didn't hold what the steward had reported of them.
     pub denied: Vec<SmolStr>,
-    /// Models of which the instance wants to be told.
+    /// The models whose engines the instance wants updates for.
     #[serde(default, rename = "asks")]
     pub subscriptions: Vec<SmolStr>,
-    /// What organisations with a quota asked for since the last demand.
+    /// The usage of organisations with a quota since the last report.
     #[serde(default)]
     pub usage: Vec<quota::Usage>,
-    /// The store's era, as far as known.
+    /// The latest era of the store that the instance knows.
     #[serde(default)]
     pub era: Option<Era>,
-    /// What servers' answers have said of their limits since the last demand.
+    /// The limits that servers' answers have reported since the last report.
     #[serde(default)]
     pub limits: Vec<limit::Notice>,
-    /// Requests that wait for permits, and that the steward wasn't asked for yet.
+    /// The requests that wait for permits and have not been reported to the steward yet.
     #[serde(default)]
     pub permits: Vec<limit::Request>,
-    /// The configuration in force at the instance, 0 for none; absent from releases that read each configuration for themselves.
+    /// The version of the configuration in force at the instance, 0 for none. It is absent from releases in
+    /// which each instance reads all configurations for itself.
     #[serde(default)]
     pub config_version: Option<u64>,
-    /// The store doesn't answer the instance, which needs the configuration from the steward.
+    /// Whether the store doesn't answer the instance, which then needs the configuration from the steward.
     #[serde(default)]
     pub needs_config: bool,
-    /// How old the instance's own reads of the store are, in milliseconds.
-    #[serde(default = "never", rename = "read_ms")]
+    /// The age of the instance's own reads of the store, in milliseconds.
+    #[serde(default = "unread_age", rename = "read_ms")]
     pub read_age_ms: u32,
 }
 
-/// The age of reads that were never made.
-fn never() -> u32 {
+/// The age that stands for reads that were never made.
+fn unread_age() -> u32 {
     u32::MAX
 }
 
-/// Requests that wait for one model, or one adapter of it.
+/// The requests that wait for one model or one of its adapters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Queue {
-    /// The group of its engines.
+    /// The group of the model's engines.
     pub group: SmolStr,
     /// The model.
     pub model: SmolStr,
-    /// The adapter on it.
+    /// The adapter of the model, if any.
     pub adapter: Option<SmolStr>,
-    /// How many wait.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// How long the most urgent has waited, in milliseconds.
+    /// The time that the most urgent request has waited, in milliseconds.
     pub waited_ms: u32,
-    /// Until it is of no more use, in milliseconds.
+    /// The time after which loading is no longer useful to any of the requests, in milliseconds from now.
     pub left_ms: u32,
 }
 
-/// Requests in progress.
+/// The requests of one model and adapter in progress at one engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Running {
     /// The engine's id.
     pub server: SmolStr,
     /// The model.
     pub model: SmolStr,
-    /// The adapter on it.
+    /// The adapter of the model, if any.
     pub adapter: Option<SmolStr>,
-    /// How many.
+    /// The number of requests.
     pub count: u32,
-    /// Tokens of their prompts that the engine hasn't read yet.
+    /// The number of prompt tokens that the engine has yet to prefill.
     #[serde(rename = "unread")]
     pub prefill_tokens: u32,
 }
 
-/// A number of requests for one model.
+/// The number of requests for one model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Count {
-    /// The group of its engines.
+    /// The group of the model's engines.
     pub group: SmolStr,
     /// The model.
     pub model: SmolStr,
-    /// How many.
+    /// The number of requests.
     pub count: u32,
 }
 
-/// What all instances together want of one model, or of one adapter.
+/// The combined demand of all instances for one model or one of its adapters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pending {
     /// The model.
     pub model: SmolStr,
-    /// The adapter on it.
+    /// The adapter of the model, if any.
     pub adapter: Option<SmolStr>,
-    /// How many wait.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// Since when the most urgent waits.
+    /// The time since which the most urgent request waits.
     pub since: clock::Instant,
-    /// When it is of no more use.
+    /// The time after which loading is no longer useful.
     pub until: clock::Instant,
 }
 
-/// Requests in progress at one engine, by model and adapter.
+/// The number of requests in progress at one engine, by model and adapter.
 pub type Counts = BTreeMap<(SmolStr, Option<SmolStr>), u32>;
 
-/// The demands of all instances.
+/// Combines the demand of all instances.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregator {
     instances: BTreeMap<SmolStr, (clock::Instant, Demand)>,
-    arriving: Rates,
-    finishing: Rates,
+    arrival_rates: Rates,
+    completion_rates: Rates,
 }
 
-/// Rates by group and model.
+/// The rates by group and model.
 type Rates = BTreeMap<(SmolStr, SmolStr), rate::Rate>;
 
-fn count(rates: &mut Rates, now: clock::Instant, half_life: Duration, counts: &[Count]) {
+fn add_counts(rates: &mut Rates, now: clock::Instant, half_life: Duration, counts: &[Count]) {
     for counted in counts {
         let key = (counted.group.clone(), counted.model.clone());
         let rate = rates.entry(key).or_default();
@@ -149,26 +151,36 @@
 }
 
 impl Aggregator {
-    /// Takes in what an instance says; it replaces what it said before.
+    /// Records the demand of an instance, which replaces its previous one.
     pub fn update(&mut self, now: clock::Instant, instance: SmolStr, demand: Demand) {
-        count(&mut self.arriving, now, HALF_LIFE, &demand.arrived);
-        count(&mut self.finishing, now, DRAIN_HALF_LIFE, &demand.finished);
+        add_counts(
+            &mut self.arrival_rates,
+            now,
+            ARRIVAL_HALF_LIFE,
+            &demand.arrived,
+        );
+        add_counts(
+            &mut self.completion_rates,
+            now,
+            DRAIN_HALF_LIFE,
+            &demand.finished,
+        );
         self.instances.insert(instance, (now, demand));
     }
 
-    /// An instance's link has ended: its requests may be gone.
+    /// Removes an instance whose link has closed, since its requests may be gone.
     pub fn remove(&mut self, instance: &str) {
         self.instances.remove(instance);
     }
 
-    /// What is wanted in a group, the longest waiting first.
+    /// Returns the demand for the models of a group, the longest waiting first.
     #[must_use]
     pub fn pending(&self, group: &str) -> Vec<Pending> {
-        let mut wants: BTreeMap<(SmolStr, Option<SmolStr>), Pending> = BTreeMap::new();
-        for (heard, queue) in self.queues(group) {
-            let since = heard.before(Duration::from_millis(queue.waited_ms.into()));
-            let until = heard.after(Duration::from_millis(queue.left_ms.into()));
-            let want = wants
+        let mut combined: BTreeMap<(SmolStr, Option<SmolStr>), Pending> = BTreeMap::new();
+        for (received_at, queue) in self.queues(group) {
+            let since = received_at.before(Duration::from_millis(queue.waited_ms.into()));
+            let until = received_at.after(Duration::from_millis(queue.left_ms.into()));
+            let pending = combined
                 .entry((queue.model.clone(), queue.adapter.clone()))
                 .or_insert_with(|| Pending {
                     model: queue.model.clone(),
@@ -177,17 +189,17 @@
                     since,
                     until,
                 });
-            want.waiting += queue.waiting;
-            want.since = want.since.min(since);
-            want.until = want.until.max(until);
+            pending.waiting += queue.waiting;
+            pending.since = pending.since.min(since);
+            pending.until = pending.until.max(until);
         }
-        let mut wants: Vec<Pending> = wants.into_values().collect();
-        wants.sort_by_key(|want| want.since);
-        wants
+        let mut combined: Vec<Pending> = combined.into_values().collect();
+        combined.sort_by_key(|pending| pending.since);
+        combined
     }
 
-    /// Requests in progress by engine. All are counted in one walk: a walk for each engine would grow with instances
-    /// times engines, and a plan is made every few milliseconds.
+    /// Returns the requests in progress by engine. A single pass counts all engines: one pass for each engine
+    /// would cost instances times engines, and a plan is made every few milliseconds.
     #[must_use]
     pub fn running(&self) -> BTreeMap<&SmolStr, Counts> {
         let mut counts: BTreeMap<&SmolStr, Counts> = BTreeMap::new();
@@ -200,32 +212,35 @@
         counts
     }
 
-    /// What engines have to do, by engine.
+    /// Returns the load of each engine.
     #[must_use]
     pub fn loads(&self) -> BTreeMap<&SmolStr, load::Load> {
         let mut loads: BTreeMap<&SmolStr, load::Load> = BTreeMap::new();
         let demands = self.instances.values();
         for running in demands.flat_map(|(_, demand)| &demand.running) {
-            let fresh = || load::Load::new(running.server.clone());
-            let load = loads.entry(&running.server).or_insert_with(fresh);
+            let new_load = || load::Load::new(running.server.clone());
+            let load = loads.entry(&running.server).or_insert_with(new_load);
             load.prefill_tokens = load.prefill_tokens.saturating_add(running.prefill_tokens);
             load.requests += running.count;
         }
         loads
     }
 
-    /// Requests a second for a model, as of the last seconds.
+    /// Returns the arrival rate of a model over the last seconds, in requests per second.
     #[must_use]
     pub fn arrival_rate(&self, now: clock::Instant, group: &str, model: &str) -> f64 {
         let key = (SmolStr::new(group), SmolStr::new(model));
-        let rate = self.arriving.get(&key);
-        rate.map_or(0.0, |rate| rate.per_second(now, HALF_LIFE))
+        let rate = self.arrival_rates.get(&key);
+        rate.map_or(0.0, |rate| rate.per_second(now, ARRIVAL_HALF_LIFE))
     }
 
-    /// Requests a second that engines have run and ended as of the last moments, by model.
+    /// Returns the current completion rates by model, in requests per second.
     #[must_use]
     pub fn drain_rates(&self, now: clock::Instant, group: &str) -> BTreeMap<SmolStr, f64> {
-        let rates = self.finishing.iter().filter(|((of, _), _)| of == group);
+        let rates = self
+            .completion_rates
+            .iter()
+            .filter(|((of, _), _)| of == group);
         rates
             .map(|((_, model), rate)| (model.clone(), rate.per_second(now, DRAIN_HALF_LIFE)))
             .collect()
@@ -234,7 +249,9 @@
     fn queues<'a>(&'a self, group: &'a str) -> impl Iterator<Item = (clock::Instant, &'a Queue)> {
         self.instances
             .values()
-            .flat_map(|(heard, demand)| demand.queues.iter().map(|queue| (*heard, queue)))
+            .flat_map(|(received_at, demand)| {
+                demand.queues.iter().map(|queue| (*received_at, queue))
+            })
             .filter(move |(_, queue)| queue.group == group)
     }
 }
--- a/crates/fireflywheel/src/fleet/events.rs
+++ b/crates/fireflywheel/src/fleet/events.rs
@@ -1,51 +1,51 @@
-//! Events of a stream, cut at their ends.
+//! Splits a server-sent event stream into whole events.
 //!
-//! A stream that goes on in another run may only be handed on in whole events: the half of one that broke off
-//! can't be taken back, and the other run sends that event anew.
+//! A stream that is resumed by another run may only be forwarded in whole events: a partial event can't be
+//! taken back, and the other run sends that event again.
 
 use bytes::{Bytes, BytesMut};
 
-/// Cuts a stream into whole events, and drops those that were handed on before.
+/// Splits a stream into whole events and drops events that were already forwarded.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     last: Option<u64>,
 }
 
 impl Splitter {
-    /// The id of the last event that was taken out.
+    /// Returns the id of the last event returned by [`Self::pop`].
     #[must_use]
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Bytes of an event that isn't whole yet.
+    /// Returns the number of bytes of the incomplete event.
     #[must_use]
     pub fn pending(&self) -> usize {
-        self.rest.len()
+        self.buffer.len()
     }
 
-    /// Whether all that came are whole events.
+    /// Whether the received bytes end at an event boundary.
     #[must_use]
     pub fn is_at_boundary(&self) -> bool {
-        self.rest.is_empty()
+        self.buffer.is_empty()
     }
 
-    /// Forgets an event that broke off.
+    /// Discards an incomplete event.
     pub fn drop_partial(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 
-    /// Adds what came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event that is new.
+    /// Returns the next whole event that has not been returned before.
     pub fn pop(&mut self) -> Option<Bytes> {
         loop {
-            let length = event_length(&self.rest)?;
-            let event = self.rest.split_to(length).freeze();
+            let length = event_length(&self.buffer)?;
+            let event = self.buffer.split_to(length).freeze();
             let Some(id) = event_id(&event) else {
                 return Some(event);
             };
@@ -57,18 +57,18 @@
     }
 }
 
-/// The length of the first event with the empty line that ends it.
+/// Returns the length of the first event, including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (place, byte) in bytes.iter().enumerate() {
+    for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &bytes[line_start..place];
-        if place > 0 && (line.is_empty() || line == b"\r") {
-            return Some(place + 1);
+        let line = &bytes[line_start..index];
+        if index > 0 && (line.is_empty() || line == b"\r") {
+            return Some(index + 1);
         }
-        line_start = place + 1;
+        line_start = index + 1;
     }
     None
 }
--- a/crates/fireflywheel/src/fleet/load.rs
+++ b/crates/fireflywheel/src/fleet/load.rs
@@ -1,9 +1,11 @@
-//! How much an engine still has to read, which decides when a prompt that is sent there has its first event.
+//! Tracks how many prompt tokens each engine has yet to prefill, which determines when a prompt sent there
+//! gets its first event.
 //!
-//! Requests differ too much to be counted alike: a prompt of thousands of tokens takes some hundred times as long to
-//! read as a short question, and a quarter of that where its shared parts are kept. So instances count tokens that are
-//! still to be read. Each knows only its own requests; the steward adds them up and tells all. Beside the tokens it tells
-//! how many requests an engine has, since those beyond its batch wait however short their prompts are.
+//! Requests differ too much to be counted alike: a prompt of thousands of tokens takes some hundred times as
+//! long to prefill as a short question, and a quarter of that where its shared prefix is cached. Instances
+//! therefore count the tokens still to be prefilled. Each instance knows only its own requests; the steward
+//! adds them up and sends the totals to all. It also sends the number of requests at each engine, since
+//! requests beyond the batch wait however short their prompts are.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,64 +15,67 @@
 
 use crate::{clock, rendezvous};
 
-/// Tokens that an engine reads in a millisecond. Engines don't tell theirs; those that the system was built for read
-/// 19 and 39. It only sets how fast what was told is taken to shrink, and what reading counts against failures.
-const READ_PER_MS: f64 = 25.0;
+/// The tokens that an engine prefills per millisecond. Engines don't report their speed; those that the
+/// system was built for reach 19 and 39. The value only sets how fast reported tokens are assumed to shrink,
+/// and how prefill time weighs against failures.
+const PREFILL_TOKENS_PER_MS: f64 = 25.0;
 
-/// Prompts that share at least this many tokens are sent to the server that has read them: below it, reading them
-/// again takes less time than the way to another server.
-const KEPT_TOKENS: u32 = 512;
+/// The number of shared tokens from which prompts are sent to the server that has their prefix cached. Below
+/// it, prefilling them again takes less time than reaching another server.
+const MIN_CACHED_PREFIX_TOKENS: u32 = 512;
 
-/// Fewer tokens than this are read before other instances have been told of them.
-const LEAST_UNREAD: u32 = 1000;
+/// The number of tokens from which an engine's load is reported. Fewer are prefilled before other instances
+/// have received the report.
+const MIN_REPORTED_TOKENS: u32 = 1000;
 
-/// Requests that the steward told of count for this long. It tells several times a second, so one that is silent for
-/// longer is gone or cut off, and engines would stay full for good in the eyes of those that heard it last.
-const WORD_USE: Duration = Duration::from_millis(1000);
+/// The time for which requests reported by the steward count. It reports several times a second, so a steward
+/// that is silent for longer has failed or is cut off, and engines would otherwise look full forever to the
+/// instances that heard from it last.
+const REPORT_VALIDITY: Duration = Duration::from_millis(1000);
 
-/// The pressure of before counts half after this: about as long as a swap takes.
+/// The half-life of [`Pressure`], about as long as a swap takes.
 const PRESSURE_HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// The prompt of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
-    /// All its tokens.
+    /// The number of all its tokens.
     pub tokens: u32,
-    /// Those at its start that other requests share.
+    /// The number of tokens at its start that other requests share.
     pub shared: u32,
 }
 
-/// What an engine has to do, as the steward tells.
+/// The load of an engine, as the steward reports it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
     /// The engine's id.
     pub server: SmolStr,
-    /// Tokens of requests of all instances that had no first event yet.
+    /// The prompt tokens of requests of all instances that have had no first event yet.
     #[serde(rename = "unread")]
     pub prefill_tokens: u32,
-    /// Requests of all instances there, running and waiting.
+    /// The number of requests of all instances at the engine, running and waiting.
     #[serde(default)]
     pub requests: u32,
 }
 
-/// What an engine has to do, as an instance believes.
+/// The load of an engine, as an instance estimates it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backlog {
-    /// Tokens of this instance's own requests that have no first event yet.
+    /// The prompt tokens of this instance's requests that have had no first event yet.
     own: u32,
-    /// The same when it was last told to the steward.
-    own_told: u32,
-    /// Tokens that the steward told of, without this instance's own.
-    others: u32,
-    /// This instance's own requests when they were last told to the steward.
-    requests_told: u32,
-    /// Requests that the steward told of, without this instance's own.
+    /// The value of `own` when it was last reported to the steward.
+    own_reported: u32,
+    /// The prompt tokens that the steward reported, without this instance's own.
+    other_tokens: u32,
+    /// The number of this instance's requests when it was last reported to the steward.
+    requests_reported: u32,
+    /// The number of requests that the steward reported, without this instance's own.
     other_requests: u32,
-    told: clock::Instant,
+    updated: clock::Instant,
 }
 
-/// How long what waits at an engine takes to read, over the last moments. Two long prompts that meet by chance are read
-/// in half a second; only what goes on for longer calls for another engine.
+/// The prefill time of the tokens waiting at an engine, averaged over the last moments. Two long prompts that
+/// meet by chance are prefilled within half a second; only a sustained wait justifies another engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pressure {
     seconds: f64,
@@ -78,28 +83,29 @@
 }
 
 impl Pressure {
-    /// So many tokens wait there now; returns how long such take to read, over the last moments.
-    pub fn update(&mut self, now: clock::Instant, unread: u32) -> Duration {
-        let halves = now.since(self.updated).div_duration_f64(PRESSURE_HALF_LIFE);
-        let kept = 0.5_f64.powf(halves);
-        let waiting = prefill_time(f64::from(unread)).as_secs_f64();
-        self.seconds = self.seconds * kept + waiting * (1.0 - kept);
+    /// Updates the average with the current number of waiting tokens and returns it.
+    pub fn update(&mut self, now: clock::Instant, prefill_tokens: u32) -> Duration {
+        let half_lives = now.since(self.updated).div_duration_f64(PRESSURE_HALF_LIFE);
+        let retained = 0.5_f64.powf(half_lives);
+        let waiting = prefill_time(f64::from(prefill_tokens)).as_secs_f64();
+        self.seconds = self.seconds * retained + waiting * (1.0 - retained);
         self.updated = now;
         Duration::from_secs_f64(self.seconds)
     }
 }
 
 impl Prompt {
-    /// Tokens that an engine must read; with `kept`, it has read the shared ones before.
+    /// Returns the tokens that an engine has to prefill. With `cached`, it has prefilled the shared ones
+    /// before.
     #[must_use]
-    pub fn prefill_tokens(self, kept: bool) -> u32 {
-        let known = if kept { self.shared } else { 0 };
-        self.tokens.saturating_sub(known)
+    pub fn prefill_tokens(self, cached: bool) -> u32 {
+        let skipped = if cached { self.shared } else { 0 };
+        self.tokens.saturating_sub(skipped)
     }
 }
 
 impl Load {
-    /// An engine with nothing to do.
+    /// Creates the load of an idle engine.
     #[must_use]
     pub fn new(server: SmolStr) -> Self {
         Self {
@@ -109,92 +115,94 @@
         }
     }
 
-    /// How much it is worth telling, which it is from 1 on. What is read before that arrives is nothing, and
-    /// neither are fewer requests than half a batch.
-    fn weight(&self, slots: u32) -> f64 {
-        let reading = f64::from(self.prefill_tokens) / f64::from(LEAST_UNREAD);
+    /// Returns the load in multiples of the smallest that is worth reporting. Tokens that are prefilled
+    /// before the report arrives don't matter, and neither do requests that fill less than half a batch.
+    fn report_weight(&self, slots: u32) -> f64 {
+        let prefill = f64::from(self.prefill_tokens) / f64::from(MIN_REPORTED_TOKENS);
         let batch = f64::from(self.requests) * 2.0 / f64::from(slots.max(1));
-        reading.max(batch)
+        prefill.max(batch)
     }
 }
 
 impl Backlog {
-    /// A request was sent there with so many tokens to read.
+    /// Adds the prompt tokens of a request sent to the engine.
     pub fn add_own(&mut self, tokens: u32) {
         self.own = self.own.saturating_add(tokens);
     }
 
-    /// Such a request has its first event, or has ended.
+    /// Removes the prompt tokens of a request that has had its first event or has ended.
     pub fn remove_own(&mut self, tokens: u32) {
         self.own = self.own.saturating_sub(tokens);
     }
 
-    /// What this instance tells the steward, which has `requests` there; returns the tokens.
+    /// Records a report to the steward with `requests` of this instance at the engine; returns its prompt
+    /// tokens.
     pub fn report_own(&mut self, requests: u32) -> u32 {
-        self.own_told = self.own;
-        self.requests_told = requests;
+        self.own_reported = self.own;
+        self.requests_reported = requests;
         self.own
     }
 
-    /// The steward tells of all instances' requests.
-    pub fn update_others(&mut self, now: clock::Instant, unread: u32, requests: u32) {
-        self.others = unread.saturating_sub(self.own_told);
-        self.other_requests = requests.saturating_sub(self.requests_told);
-        self.told = now;
+    /// Updates the load of other instances from the steward's totals.
+    pub fn update_others(&mut self, now: clock::Instant, prefill_tokens: u32, requests: u32) {
+        self.other_tokens = prefill_tokens.saturating_sub(self.own_reported);
+        self.other_requests = requests.saturating_sub(self.requests_reported);
+        self.updated = now;
     }
 
-    /// Requests of other instances there, as the steward told last; none once that is old.
+    /// Returns the number of other instances' requests at the engine, or 0 once the steward's report is
+    /// outdated.
     #[must_use]
     pub fn other_requests(&self, now: clock::Instant) -> u32 {
-        let fresh = now.since(self.told) < WORD_USE;
-        if fresh { self.other_requests } else { 0 }
+        let is_fresh = now.since(self.updated) < REPORT_VALIDITY;
+        if is_fresh { self.other_requests } else { 0 }
     }
 
-    /// Tokens that are still to be read.
+    /// Returns the estimated number of tokens still to be prefilled.
     #[must_use]
     pub fn prefill_tokens(&self, now: clock::Instant) -> f64 {
-        let read = now.since(self.told).as_secs_f64() * 1000.0 * READ_PER_MS;
-        (f64::from(self.others) - read).max(0.0) + f64::from(self.own)
+        let prefilled = now.since(self.updated).as_secs_f64() * 1000.0 * PREFILL_TOKENS_PER_MS;
+        (f64::from(self.other_tokens) - prefilled).max(0.0) + f64::from(self.own)
     }
 }
 
-/// Which of the servers that can run a request keeps the shared parts of its prompt. Instances agree on it without
-/// talking, as long as they see the same servers. None when it doesn't matter.
+/// Returns which of the servers that can run a request should cache its shared prefix, or `None` if it
+/// doesn't matter. Instances agree on it without communication as long as they see the same servers.
 ///
-/// `parts` names all shared parts. By the first of them alone, which thousands of prompts may have in common, all would
-/// go to one server and wait there while others idle.
+/// `parts` names all shared parts. By the first of them alone, which thousands of prompts may have in common,
+/// all of these would go to one server and wait there while others idle.
 #[must_use]
 pub fn prefix_cache_server<'a, I>(prompt: Prompt, parts: &str, servers: I) -> Option<&'a str>
 where
     I: ExactSizeIterator<Item = &'a str>,
 {
-    if prompt.shared < KEPT_TOKENS || servers.len() < 2 {
+    if prompt.shared < MIN_CACHED_PREFIX_TOKENS || servers.len() < 2 {
         return None;
     }
     rendezvous::first(parts, servers)
 }
 
-/// The engines with the most to do, `count` of them at most and none with next to nothing, by id. `slots` tells how many
-/// requests an engine runs at once.
+/// Returns the most loaded engines, at most `count`, by id. Engines with negligible load are left out.
+/// `slots` returns how many requests an engine runs at once.
 #[must_use]
 pub fn most_loaded<S>(loads: BTreeMap<&SmolStr, Load>, slots: S, count: usize) -> Vec<Load>
 where
     S: Fn(&SmolStr) -> u32,
 {
-    let weighed = loads.into_values().map(|load| {
-        let weight = load.weight(slots(&load.server));
+    let weighted = loads.into_values().map(|load| {
+        let weight = load.report_weight(slots(&load.server));
         (weight, load)
     });
-    let mut loads: Vec<(f64, Load)> = weighed.filter(|(weight, _)| *weight >= 1.0).collect();
+    let mut loads: Vec<(f64, Load)> = weighted.filter(|(weight, _)| *weight >= 1.0).collect();
     loads.sort_by(|(a, _), (b, _)| b.total_cmp(a));
     loads.truncate(count);
-    let mut named: Vec<Load> = loads.into_iter().map(|(_, load)| load).collect();
-    named.sort_by(|a, b| a.server.cmp(&b.server));
-    named
+    let mut reported: Vec<Load> = loads.into_iter().map(|(_, load)| load).collect();
+    reported.sort_by(|a, b| a.server.cmp(&b.server));
+    reported
 }
 
-/// How long it takes to read so many tokens.
+/// Returns how long the tokens take to prefill.
 #[must_use]
 pub fn prefill_time(tokens: f64) -> Duration {
-    Duration::from_secs_f64(tokens.max(0.0) / READ_PER_MS / 1000.0)
+    Duration::from_secs_f64(tokens.max(0.0) / PREFILL_TOKENS_PER_MS / 1000.0)
 }
--- a/crates/fireflywheel/src/fleet/mod.rs
+++ b/crates/fireflywheel/src/fleet/mod.rs
@@ -1,36 +1,36 @@
 //! Serving from a directory of backend servers, where each server itself is the record of what it holds.
 //!
-//! The ledger of [`crate::ledger`] is needed where an order may take effect behind the back of its sender.
-//! Here every order names the count of orders that its server must have accepted before, so an order that is
-//! carried out late is void as soon as a later one was accepted, and memory can't be overcommitted. What is
-//! left to agree on is who sends orders at all: one steward under a lease.
+//! The ledger of [`crate::ledger`] is needed where an order may take effect after its sender has given it up.
+//! Here every order carries the number of orders that its server must have accepted before. An order that is
+//! delayed is therefore void as soon as a later one was accepted, and memory can't be overcommitted. What
+//! remains to be agreed on is who sends orders at all: one steward that holds a lease.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
 //! | [`config`] | the operator's configuration: routes, groups, models |
 //! | [`server`] | what is known of a backend server |
-//! | [`era`] | a store that comes back from an older copy |
-//! | [`lease`] | who is steward, and for how long it may act |
-//! | [`successor`] | to which instance a steward hands the lease |
-//! | [`demand`] | what instances ask of the steward, and the rates it learns from that |
-//! | [`plan`] | which order to send next |
-//! | [`tracker`] | what the steward knows of one engine: its report, and orders that the report doesn't show yet |
-//! | [`routing`] | which backend server a request goes to |
-//! | [`timeout`] | how long a request is worth keeping, and when it should come back |
-//! | [`backoff`] | when the platform's store may be called again after calls that failed |
-//! | [`organisation`] | whose requests are served, and by which key they are recognised |
-//! | [`quota`] | how much an organisation may ask for, over all instances |
-//! | [`limit`] | how many requests an overloaded server gets from all instances |
-//! | [`adaptive_timeout`] | from when on a server's silence means that its answer is lost |
-//! | [`retry_budget`] | how many repeats all instances may send together |
-//! | [`size`] | how many instances share such a limit |
-//! | [`events`] | events of a stream, cut at their ends |
-//! | [`rate`] | how often something may be done |
-//! | [`settings`] | what one process is told at its start |
-//! | [`subscription`] | which instances are told of which engines |
-//! | [`link`] | when an instance talks to the steward, and how long the steward's reads of the store stand |
-//! | [`load`] | how much engines still have to read |
-//! | [`frame`] | what instance and steward tell each other |
+//! | [`era`] | detection of a store that was restored from an older copy |
+//! | [`lease`] | which instance is steward, and for how long it may act |
+//! | [`successor`] | the instance to which a steward hands over the lease |
+//! | [`demand`] | the demand that instances report to the steward, and the rates estimated from it |
+//! | [`plan`] | which orders to send next |
+//! | [`tracker`] | the steward's view of one engine: its report, and orders that the report doesn't show yet |
+//! | [`routing`] | the backend server that a request is sent to |
+//! | [`timeout`] | how long a request is kept, and when a refused caller should retry |
+//! | [`backoff`] | delays between calls to the platform's store after failed calls |
+//! | [`organisation`] | the organisations that are served, and the keys that identify them |
+//! | [`quota`] | limits of the requests of an organisation, over all instances |
+//! | [`limit`] | limits of the requests to an overloaded server, over all instances |
+//! | [`adaptive_timeout`] | the time after which a missing response of a server counts as lost |
+//! | [`retry_budget`] | the limit of retries, over all instances |
+//! | [`size`] | the number of instances that share such a limit |
+//! | [`events`] | splitting of a stream into whole events |
+//! | [`rate`] | rate limits and measured rates |
+//! | [`settings`] | the settings of one process |
+//! | [`subscription`] | which instances receive updates of which engines |
+//! | [`link`] | timing of the link to the steward, and how long the steward's reads of the store stay valid |
+//! | [`load`] | the prompt tokens that engines have yet to prefill |
+//! | [`frame`] | the messages between instances and the steward |
 
 pub mod adaptive_timeout;
 pub mod backoff;
--- a/crates/fireflywheel/src/fleet/plan.rs
+++ b/crates/fireflywheel/src/fleet/plan.rs
@@ -1,9 +1,9 @@
-//! Which order to send next: a pure function of what is known.
+//! Load planning: decides which orders to send next, as a pure function of the steward's view.
 //!
-//! Three facts shape it. A server carries out one order at a time, and a load from the weight store keeps it
-//! from any other for seconds. The weight store is shared by all servers and slow. A copy on a server's own
-//! disk comes back in under a second. So the store is used for what has no copy anywhere, a few loads at a
-//! time; and whatever was once fetched is swapped in where its copy lies.
+//! Three facts shape the plan. A server executes one order at a time, and a load from the weight store blocks
+//! any other order for seconds. The weight store is slow and shared by all servers. A copy on a server's own
+//! disk loads in under a second. The store is therefore used for models without a copy on any server, a few
+//! loads at a time, and a model that was fetched once is swapped in from the servers that already store it.
 
 pub mod concurrency;
 mod planner;
@@ -17,91 +17,91 @@
 use super::{config, demand, server};
 use crate::clock;
 
-/// One engine, as the steward sees it.
+/// The state of one engine, as the steward sees it.
 #[derive(Clone, Debug, Default)]
 pub struct EngineState {
-    /// What it holds, by its newest report.
+    /// What the engine holds according to its latest report.
     pub held: server::Held,
-    /// It takes requests and will go on to.
+    /// Whether the engine accepts requests and is not about to leave.
     pub usable: bool,
-    /// An order to it is on its way, or it isn't known how it ended.
+    /// Whether an order to the engine is in flight, or its outcome is not yet known.
     pub order_pending: bool,
-    /// The model that it loads.
+    /// The model that the engine is loading.
     pub loading: Option<SmolStr>,
-    /// That load is from the weight store.
+    /// Whether that load comes from the weight store.
     pub fetching: bool,
-    /// The model that an unload makes room for; its load comes next.
+    /// The model that an unload makes room for; loading it is the next order.
     pub making_room_for: Option<SmolStr>,
-    /// Since when it loads.
+    /// The time at which the current load started.
     pub loading_since: Option<clock::Instant>,
-    /// Requests in progress, by model and adapter.
+    /// The number of requests in progress, by model and adapter.
     pub running: BTreeMap<(SmolStr, Option<SmolStr>), u32>,
-    /// How long what waits there takes to read, over the last moments.
+    /// How long the prompts waiting at the engine take to prefill, averaged over the last moments.
     pub pressure: Duration,
-    /// Requests a second that it takes, if it names a limit.
+    /// The requests per second that the engine accepts, if it reports a limit.
     pub limit: Option<f64>,
-    /// Since when it has held models and adapters.
+    /// The times from which the engine has held each model and adapter.
     pub held_since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
 }
 
 impl EngineState {
-    /// Whether more is asked for of the models that it holds than it takes.
-    fn is_short(&self, rates: &BTreeMap<SmolStr, f64>) -> bool {
-        let rate = |model: &SmolStr| rates.get(model).copied().unwrap_or_default();
-        let asked = || self.held.models.keys().map(rate).sum::<f64>();
-        self.limit.is_some_and(|limit| asked() > limit)
+    /// Whether the demand for the models in the engine's memory exceeds its request limit.
+    fn is_overloaded(&self, arrival_rates: &BTreeMap<SmolStr, f64>) -> bool {
+        let rate = |model: &SmolStr| arrival_rates.get(model).copied().unwrap_or_default();
+        let demand = || self.held.models.keys().map(rate).sum::<f64>();
+        self.limit.is_some_and(|limit| demand() > limit)
     }
 
-    /// It loads from the weight store, or makes room to do so.
-    fn fetches(&self) -> bool {
+    /// Whether the engine loads from the weight store, or makes room for such a load.
+    fn occupies_store(&self) -> bool {
         let next = self.making_room_for.as_ref();
-        self.fetching || next.is_some_and(|model| tier(self, model) == Tier::Store)
+        self.fetching || next.is_some_and(|model| nearest_tier(self, model) == Tier::Store)
     }
 }
 
-/// What is to be ordered.
+/// An order to one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Load a model.
+    /// Loads a model.
     Load {
-        /// The place of the engine among the engines.
+        /// The index of the engine in [`View::engines`].
         engine: usize,
-        /// The model.
+        /// The model to load.
         model: SmolStr,
-        /// Where it comes from.
+        /// The tier that the weights are loaded from.
         tier: Tier,
     },
-    /// Unload a model.
+    /// Unloads a model.
     Unload {
-        /// The place of the engine among the engines.
+        /// The index of the engine in [`View::engines`].
         engine: usize,
-        /// The model.
+        /// The model to unload.
         model: SmolStr,
-        /// The model that this makes room for.
-        wanted: SmolStr,
+        /// The model that the unload makes room for.
+        replacement: SmolStr,
     },
-    /// Load an adapter of a model that is there.
+    /// Loads an adapter of a model that is in memory.
     LoadAdapter {
-        /// The place of the engine among the engines.
+        /// The index of the engine in [`View::engines`].
         engine: usize,
-        /// The model.
+        /// The model that the adapter belongs to.
         model: SmolStr,
-        /// The adapter.
+        /// The adapter to load.
         adapter: SmolStr,
     },
-    /// Unload an adapter.
+    /// Unloads an adapter.
     UnloadAdapter {
-        /// The place of the engine among the engines.
+        /// The index of the engine in [`View::engines`].
         engine: usize,
-        /// The model.
+        /// The model that the adapter belongs to.
         model: SmolStr,
-        /// The adapter.
+        /// The adapter to unload.
         adapter: SmolStr,
     },
 }
 
 impl Step {
-    /// The place of the engine among the engines.
+    /// The index of the engine in [`View::engines`].
     #[must_use]
     pub fn engine(&self) -> usize {
         match self {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// It is a load from the weight store.
+    /// Whether the step loads a model from the weight store.
     #[must_use]
     pub fn is_fetch(&self) -> bool {
         matches!(
@@ -125,19 +125,19 @@
     }
 }
 
-/// Where a model's weights come from.
+/// The storage tier that a model's weights are loaded from.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Tier {
     /// The server's host memory.
     Host,
     /// The server's disk.
     Disk,
-    /// The weight store.
+    /// The shared weight store.
     Store,
 }
 
 impl Tier {
-    /// How long a load of a model takes from here.
+    /// Returns how long a model takes to load from this tier.
     #[must_use]
     pub fn load_time(self, model: &config::Model) -> Duration {
         match self {
@@ -148,124 +148,128 @@
     }
 }
 
-/// All that a plan rests on.
+/// The input of a plan.
 #[derive(Clone, Debug)]
 pub struct View<'a> {
-    /// The time.
+    /// The current time.
     pub now: clock::Instant,
-    /// What engines of this group can hold.
+    /// The capacity of an engine of this group and the models that it can hold.
     pub config: &'a config::Engine,
-    /// The engines.
+    /// The engines of the group.
     pub engines: &'a [EngineState],
-    /// What is wanted, the longest waiting first.
+    /// The models and adapters that requests wait for, the longest waiting first.
     pub pending: &'a [demand::Pending],
-    /// Requests a second that come, by model.
+    /// The arrival rates in requests per second, by model.
     pub arrival_rates: &'a BTreeMap<SmolStr, f64>,
-    /// Requests a second that engines end, by model.
+    /// The completion rates of the engines in requests per second, by model.
     pub drain_rates: &'a BTreeMap<SmolStr, f64>,
-    /// Loads from the weight store that may run at the same time.
+    /// The maximum number of concurrent loads from the weight store.
     pub max_fetches: usize,
-    /// What is known of the weight store.
+    /// The concurrency estimate for the weight store.
     pub concurrency: concurrency::Estimate,
 }
 
-/// The orders to send now, at most one for each engine.
+/// Returns the orders to send now, at most one for each engine.
 #[must_use]
 pub fn steps(view: &View<'_>) -> Vec<Step> {
-    let fetching = view
+    let active_fetches = view
         .engines
         .iter()
-        .filter(|engine| engine.fetches())
+        .filter(|engine| engine.occupies_store())
         .count();
     let mut planner = planner::Planner {
         view,
         survey: survey::Survey::new(view),
-        taken: BTreeSet::new(),
-        fetching,
+        planned_engines: BTreeSet::new(),
+        active_fetches,
         steps: Vec::new(),
     };
     planner.finish_swaps();
-    planner.spread_overwhelmed();
-    planner.bring_wanted();
-    planner.bring_adapters();
-    planner.spread_busy();
-    planner.fetch_ahead();
+    planner.replicate_saturated();
+    planner.load_pending();
+    planner.load_adapters();
+    planner.replicate_hot();
+    planner.prefetch();
     planner.steps
 }
 
-/// How long callers of each wanted model will wait that comes from the weight store, or whose engines are all full. Models
-/// with a copy on a server are left out, since they come within a second or two.
+/// Estimates the wait for each pending model that has to come from the weight store or whose engines are all
+/// full. A model with a copy on a server is left out, since it is available within a second or two.
 #[must_use]
 pub fn forecast(view: &View<'_>) -> Vec<(SmolStr, Duration)> {
     let survey = survey::Survey::new(view);
-    let running = view.engines.iter().filter(|engine| engine.fetching).count();
-    let mut ahead = running;
+    let active_fetches = view.engines.iter().filter(|engine| engine.fetching).count();
+    let mut ahead = active_fetches;
     let mut waits: Vec<(SmolStr, Duration)> = Vec::new();
-    let wanted = |model: &SmolStr| view.pending.iter().any(|want| want.model == *model);
+    let is_pending = |model: &SmolStr| view.pending.iter().any(|pending| pending.model == *model);
     for engine in view.engines.iter().filter(|engine| engine.fetching) {
-        let loading = engine.loading.as_ref().filter(|model| wanted(model));
+        let loading = engine.loading.as_ref().filter(|model| is_pending(model));
         let known = loading.and_then(|name| Some((name, view.config.models.get(name)?)));
         if let Some(((name, model), since)) = known.zip(engine.loading_since) {
-            let time = view.concurrency.load_time(model.store_load_time, running);
-            let left = time.saturating_sub(view.now.since(since));
-            waits.push((name.clone(), left));
+            let time = view
+                .concurrency
+                .load_time(model.store_load_time, active_fetches);
+            let remaining = time.saturating_sub(view.now.since(since));
+            waits.push((name.clone(), remaining));
         }
     }
-    let uncopied = view
+    let unstored = view
         .pending
         .iter()
-        .filter(|want| want.adapter.is_none())
-        .filter(|want| !survey.has_copy(&want.model) && !survey.is_coming(&want.model));
-    for want in uncopied {
-        let Some(model) = view.config.models.get(&want.model) else {
+        .filter(|pending| pending.adapter.is_none())
+        .filter(|pending| !survey.has_copy(&pending.model) && !survey.is_loading(&pending.model));
+    for pending in unstored {
+        let Some(model) = view.config.models.get(&pending.model) else {
             continue;
         };
         ahead += 1;
         let rounds = ahead.div_ceil(view.max_fetches.max(1)) as f64;
-        waits.push((want.model.clone(), model.store_load_time.mul_f64(rounds)));
+        waits.push((pending.model.clone(), model.store_load_time.mul_f64(rounds)));
     }
-    waits.extend(queues(view, &survey));
+    waits.extend(queue_waits(view, &survey));
     waits
 }
 
-/// How long the queues of models take to drain whose engines are all full, and that no disk brings another copy of.
-/// Whoever waits at an engine beyond those that it runs is as far ahead as those that wait at their instances.
-fn queues(view: &View<'_>, survey: &survey::Survey<'_>) -> BTreeMap<SmolStr, Duration> {
+/// Estimates how long the queues take to drain, for models whose engines are all full and of which no further
+/// copy is being loaded from a disk or host memory. A request that waits at an engine beyond its slots is
+/// ahead of a new request just like a request that waits at an instance, so both are counted.
+fn queue_waits(view: &View<'_>, survey: &survey::Survey<'_>) -> BTreeMap<SmolStr, Duration> {
     let drains = view.drain_rates.iter().filter(|(_, drain)| **drain > 0.0);
-    let full = drains.filter(|(model, _)| survey.is_full(model) && !survey.comes_soon(model));
+    let full =
+        drains.filter(|(model, _)| survey.is_full(model) && !survey.is_loading_locally(model));
     full.filter_map(|(model, drain)| {
-        let queued = survey.waiting(model) + survey.beyond(model);
+        let queued = survey.waiting(model) + survey.excess(model);
         let wait = Duration::try_from_secs_f64(f64::from(queued) / drain).ok()?;
         Some((model.clone(), wait))
     })
     .collect()
 }
 
-/// Why a wanted model can't be used yet, for the log.
+/// Returns the reason why a pending model is not available yet, for the log.
 #[must_use]
 pub fn blocked_reason(view: &View<'_>, model: &SmolStr) -> &'static str {
     let survey = survey::Survey::new(view);
-    if survey.copies(model) > 0 {
-        return "it is there";
+    if survey.replicas(model) > 0 {
+        return "the model is in memory";
     }
-    if survey.is_coming(model) {
-        return "it is being loaded";
+    if survey.is_loading(model) {
+        return "the model is being loaded";
     }
     if !survey.has_copy(model) {
-        return "it has no copy, and the weight store is in use";
+        return "no engine stores the model, and the weight store is in use";
     }
     let usable = view.engines.iter().filter(|engine| engine.usable);
-    let mut copies = usable.filter(|engine| tier(engine, model) != Tier::Store);
+    let mut copies = usable.filter(|engine| nearest_tier(engine, model) != Tier::Store);
     if copies.clone().all(|engine| engine.fetching) {
-        return "engines with a copy load from the weight store";
+        return "the engines that store the model are loading from the weight store";
     }
     if copies.all(|engine| engine.order_pending || engine.held.busy) {
-        return "engines with a copy carry out orders";
+        return "the engines that store the model are executing orders";
     }
-    "nothing may make room for it"
+    "no engine that stores the model may evict anything for it"
 }
 
-fn tier(engine: &EngineState, model: &SmolStr) -> Tier {
+fn nearest_tier(engine: &EngineState, model: &SmolStr) -> Tier {
     if engine.held.in_host_memory.contains(model) {
         Tier::Host
     } else if engine.held.on_disk.contains(model) {
--- a/crates/fireflywheel/src/fleet/plan/concurrency.rs
+++ b/crates/fireflywheel/src/fleet/plan/concurrency.rs
@@ -1,59 +1,72 @@
-//! How many loads the weight store runs at full speed at once.
+//! Estimates how many loads the weight store runs concurrently at full speed.
 //!
-//! Nothing says so, and stores differ. Beyond it each load takes longer in proportion, so that all that run end late
-//! together: with four at a store that runs two at full speed, callers of the first model wait twice as long as they need to. So
-//! the number is learned from how long loads take.
+//! The store doesn't report this number, and stores differ. Above it, each load takes longer in proportion,
+//! so that all concurrent loads end late together: with four loads at a store that runs two at full speed,
+//! callers of the first model wait twice as long as necessary. The number is therefore estimated from the
+//! durations of loads.
 
 use std::time::Duration;
 
-/// Loads at the same time until any has ended.
-const ASSUMED: f64 = 4.0;
-/// A load that takes up to this many times its own time ran at full speed: reports of its end lag.
-const FULL_SPEED: f64 = 1.15;
-/// How much one load that was slowed down changes what is known.
-const STEP: f64 = 0.5;
-/// How much more is dared after a load at full speed among as many as are allowed.
-const DARING: f64 = 0.25;
+/// The concurrency limit until the first load has ended.
+const INITIAL_CONCURRENCY: f64 = 4.0;
+/// The ratio of a load's duration to its uncontended duration up to which it counts as run at full speed. It
+/// exceeds 1 because reports of the end of a load lag.
+const FULL_SPEED_MAX_RATIO: f64 = 1.15;
+/// The weight of one slowed-down load in the estimate.
+const SLOWDOWN_WEIGHT: f64 = 0.5;
+/// The increase of the estimate after a load at full speed among as many as the limit allows.
+const INCREASE_STEP: f64 = 0.25;
 
-/// What is known of the weight store.
+/// The concurrency estimate for a weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct Estimate {
-    bears: f64,
+    full_speed_loads: f64,
 }
 
 impl Default for Estimate {
     fn default() -> Self {
-        Self { bears: ASSUMED }
+        Self {
+            full_speed_loads: INITIAL_CONCURRENCY,
+        }
     }
 }
 
 impl Estimate {
-    /// A load has ended that takes `alone` by itself and took `took`. It began among `first` loads, itself included, and
-    /// there were `at_once` over its time. One that began among few says nothing of more, even if others came beside it:
-    /// stores differ in whether these slow it down.
-    pub fn observe(&mut self, first: usize, at_once: usize, alone: Duration, took: Duration) {
-        if alone.is_zero() {
+    /// Records a finished load that takes `base_time` uncontended and took `elapsed`. When it began,
+    /// `concurrent_at_start` loads were running, itself included; over its duration there were `concurrent`.
+    ///
+    /// A load that began among few others says nothing about higher concurrency, even if others joined later:
+    /// stores differ in whether later loads slow down earlier ones.
+    pub fn observe(
+        &mut self,
+        concurrent_at_start: usize,
+        concurrent: usize,
+        base_time: Duration,
+        elapsed: Duration,
+    ) {
+        if base_time.is_zero() {
             return;
         }
-        let stretch = took.div_duration_f64(alone);
-        let at_once = at_once as f64;
-        if stretch > FULL_SPEED {
-            let bears = (at_once / stretch).max(1.0);
-            self.bears += (bears - self.bears) * STEP;
-        } else if first as f64 >= self.bears.round() {
-            self.bears = self.bears.max(first as f64) + DARING;
+        let slowdown = elapsed.div_duration_f64(base_time);
+        let concurrent = concurrent as f64;
+        if slowdown > FULL_SPEED_MAX_RATIO {
+            let full_speed_loads = (concurrent / slowdown).max(1.0);
+            self.full_speed_loads += (full_speed_loads - self.full_speed_loads) * SLOWDOWN_WEIGHT;
+        } else if concurrent_at_start as f64 >= self.full_speed_loads.round() {
+            self.full_speed_loads =
+                self.full_speed_loads.max(concurrent_at_start as f64) + INCREASE_STEP;
         }
     }
 
-    /// Loads that may run at the same time.
+    /// Returns the maximum number of concurrent loads.
     #[must_use]
     pub fn limit(self) -> usize {
-        self.bears.round().max(1.0) as usize
+        self.full_speed_loads.round().max(1.0) as usize
     }
 
-    /// How long a load takes among `at_once`.
+    /// Returns the expected duration of a load among `concurrent` loads.
     #[must_use]
-    pub fn load_time(self, alone: Duration, at_once: usize) -> Duration {
-        alone.mul_f64((at_once as f64 / self.bears).max(1.0))
+    pub fn load_time(self, base_time: Duration, concurrent: usize) -> Duration {
+        base_time.mul_f64((concurrent as f64 / self.full_speed_loads).max(1.0))
     }
 }
--- a/crates/fireflywheel/src/fleet/plan/planner.rs
+++ b/crates/fireflywheel/src/fleet/plan/planner.rs
@@ -1,4 +1,4 @@
-//! A plan in the making.
+//! Builds the plan: collects steps in the order of their priority.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,179 +6,186 @@
 use smol_str::SmolStr;
 
 use super::survey::Survey;
-use super::{EngineState, Step, Tier, View, tier};
+use super::{EngineState, Step, Tier, View, nearest_tier};
 
-/// Requests in progress on one copy of a model from which another copy is wanted: beyond it, each further
-/// request makes all others of its batch slower.
-const REQUESTS_A_COPY: u32 = 8;
-/// When a request waits this long at each copy of its model before its prompt is read, another copy is wanted: half of
-/// the shortest time within which first events are expected here.
-const CROWDED: Duration = Duration::from_millis(400);
-/// When it waits this long, another copy is even brought from the weight store before models that nobody asks for.
-const OVERWHELMED: Duration = Duration::from_millis(1200);
-/// A model stays this long after its load, so that requests that waited for it reach it before it goes.
-const SHORTEST_STAY: Duration = Duration::from_millis(600);
-/// An adapter stays this long after its load, for the same reason.
-const ADAPTER_STAY: Duration = Duration::from_millis(300);
-/// An engine that names a limit is overloaded: a model goes there only if another way takes this much longer, in seconds.
-const OVERLOADED: f64 = 3.0;
-/// What is never asked for has this rate, so that larger models go before smaller ones.
-const LEAST_RATE: f64 = 0.001;
-/// How much more a second of waiting counts than a request a second that loses its copy.
+/// The number of requests in progress on one replica above which another replica is loaded: beyond it, each
+/// further request slows down all others of its batch.
+const MAX_REQUESTS_PER_REPLICA: u32 = 8;
+/// The prefill wait at each replica of a model above which another replica is loaded: half of the shortest
+/// objective for the first event.
+const HOT_PREFILL_WAIT: Duration = Duration::from_millis(400);
+/// The prefill wait above which another replica is fetched from the weight store even before models that no
+/// request waits for.
+const SATURATED_PREFILL_WAIT: Duration = Duration::from_millis(1200);
+/// The time that a model stays in memory after its load, so that the requests that waited for it reach it
+/// before it can be evicted.
+const MIN_MODEL_RESIDENCE: Duration = Duration::from_millis(600);
+/// The time that an adapter stays in memory after its load, for the same reason as [`MIN_MODEL_RESIDENCE`].
+const MIN_ADAPTER_RESIDENCE: Duration = Duration::from_millis(300);
+/// The cost, in seconds, added for an engine that reports a limit: it is overloaded, so a model goes there
+/// only if every other placement takes this much longer.
+const OVERLOAD_PENALTY_S: f64 = 3.0;
+/// The arrival rate, in requests per second, assumed for models that are never requested, so that larger
+/// models are evicted before smaller ones.
+const MIN_ARRIVAL_RATE: f64 = 0.001;
+/// The weight of one second of waiting against one request per second that loses its replica.
 const WAIT_WEIGHT: f64 = 1.0;
 
-/// A way to bring a model in at one engine.
+/// A possible placement of a model on one engine.
 #[derive(Clone, Debug)]
-struct Way {
+struct Placement {
     engine: usize,
     tier: Tier,
-    /// What has to go first; loaded at once when there is nothing.
+    /// The model to evict first; `None` if the model can be loaded at once.
     victim: Option<SmolStr>,
     cost: f64,
 }
 
-impl Way {
-    /// The next order on this way.
-    fn step(self, wanted: &SmolStr) -> Step {
+impl Placement {
+    /// Returns the next order that this placement needs.
+    fn step(self, replacement: &SmolStr) -> Step {
         match self.victim {
             Some(victim) => Step::Unload {
                 engine: self.engine,
                 model: victim,
-                wanted: wanted.clone(),
+                replacement: replacement.clone(),
             },
             None => Step::Load {
                 engine: self.engine,
-                model: wanted.clone(),
+                model: replacement.clone(),
                 tier: self.tier,
             },
         }
     }
 }
 
-/// A plan in the making.
+/// The steps chosen so far, and the state that they were chosen from.
 pub(super) struct Planner<'a> {
     pub(super) view: &'a View<'a>,
     pub(super) survey: Survey<'a>,
-    /// Engines that have a step in this plan already.
-    pub(super) taken: BTreeSet<usize>,
-    pub(super) fetching: usize,
+    /// The engines that this plan already has a step for.
+    pub(super) planned_engines: BTreeSet<usize>,
+    pub(super) active_fetches: usize,
     pub(super) steps: Vec<Step>,
 }
 
 impl<'a> Planner<'a> {
-    /// Goes on at engines that have made room for a model. If the next plan chose anew, it would often make room at
-    /// another engine as well while this one rests, and two models were lost for one.
+    /// Continues on engines that have made room for a model. If the next plan chose anew, it would often make
+    /// room at another engine as well while this one pauses after its unload, and two models would be evicted
+    /// to load one.
     pub(super) fn finish_swaps(&mut self) {
         let view = self.view;
-        for (place, engine) in view.engines.iter().enumerate() {
+        for (index, engine) in view.engines.iter().enumerate() {
             let Some(model) = &engine.making_room_for else {
                 continue;
             };
-            if let Some(way) = self.way(place, model) {
-                self.push(way.step(model));
+            if let Some(placement) = self.placement(index, model) {
+                self.push_step(placement.step(model));
             }
         }
     }
 
-    /// Models that are wanted and nowhere in memory.
-    pub(super) fn bring_wanted(&mut self) {
+    /// Loads models that requests wait for and that are in no engine's memory.
+    pub(super) fn load_pending(&mut self) {
         let view = self.view;
         let mut seen = BTreeSet::new();
-        for want in view.pending {
-            if !seen.insert(&want.model)
-                || self.survey.copies(&want.model) > 0
-                || self.survey.is_coming(&want.model)
+        for pending in view.pending {
+            if !seen.insert(&pending.model)
+                || self.survey.replicas(&pending.model) > 0
+                || self.survey.is_loading(&pending.model)
             {
                 continue;
             }
-            let waited = view.now.since(want.since).as_secs_f64();
-            if let Some(way) = self.best_way(&want.model, waited, true) {
-                self.go(&want.model, way);
+            let waited = view.now.since(pending.since).as_secs_f64();
+            if let Some(placement) = self.best_placement(&pending.model, waited, true) {
+                self.add_placement(&pending.model, placement);
             }
         }
     }
 
-    /// Adapters that are wanted where their model is.
-    pub(super) fn bring_adapters(&mut self) {
+    /// Loads adapters that requests wait for on an engine that holds their model.
+    pub(super) fn load_adapters(&mut self) {
         let view = self.view;
-        for want in view.pending {
-            let Some(adapter) = &want.adapter else {
+        for pending in view.pending {
+            let Some(adapter) = &pending.adapter else {
                 continue;
             };
-            let there = |engine: &EngineState| {
-                engine.held.holds(&want.model, Some(adapter))
+            let has_adapter = |engine: &EngineState| {
+                engine.held.holds(&pending.model, Some(adapter))
                     || engine
                         .held
                         .loading_adapters
-                        .contains(&(want.model.clone(), adapter.clone()))
+                        .contains(&(pending.model.clone(), adapter.clone()))
             };
             if view
                 .engines
                 .iter()
-                .any(|engine| engine.usable && there(engine))
+                .any(|engine| engine.usable && has_adapter(engine))
             {
                 continue;
             }
-            self.bring_adapter(&want.model, adapter);
+            self.load_adapter(&pending.model, adapter);
         }
     }
 
-    fn bring_adapter(&mut self, model: &SmolStr, adapter: &SmolStr) {
+    fn load_adapter(&mut self, model: &SmolStr, adapter: &SmolStr) {
         let view = self.view;
-        let host = (0..view.engines.len())
-            .filter(|place| !self.taken.contains(place))
-            .filter(|place| {
-                let engine = &view.engines[*place];
+        let target = (0..view.engines.len())
+            .filter(|index| !self.planned_engines.contains(index))
+            .filter(|index| {
+                let engine = &view.engines[*index];
                 engine.usable
                     && !engine.order_pending
                     && !engine.held.busy
                     && engine.held.holds(model, None)
             })
-            .min_by_key(|place| {
-                let engine = &view.engines[*place];
+            .min_by_key(|index| {
+                let engine = &view.engines[*index];
                 (
                     engine.held.adapters() >= view.config.adapter_slots,
                     engine.held.adapters(),
                 )
             });
-        let Some(place) = host else {
+        let Some(index) = target else {
             return;
         };
-        let engine = &view.engines[place];
-        let need = view
+        let engine = &view.engines[index];
+        let required_mb = view
             .config
             .models
             .get(model)
             .map_or(0.0, |model| model.adapter_mb);
-        let fits = engine.held.adapters() < view.config.adapter_slots && self.free(place) >= need;
+        let fits = engine.held.adapters() < view.config.adapter_slots
+            && self.free_memory_mb(index) >= required_mb;
         if fits {
-            self.push(Step::LoadAdapter {
-                engine: place,
+            self.push_step(Step::LoadAdapter {
+                engine: index,
                 model: model.clone(),
                 adapter: adapter.clone(),
             });
-        } else if let Some((model, adapter)) = self.idle_adapter(place) {
-            self.push(Step::UnloadAdapter {
-                engine: place,
+        } else if let Some((model, adapter)) = self.evictable_adapter(index) {
+            self.push_step(Step::UnloadAdapter {
+                engine: index,
                 model,
                 adapter,
             });
         }
     }
 
-    /// The adapter of an engine that was loaded longest ago, among those that nothing uses.
-    fn idle_adapter(&self, place: usize) -> Option<(SmolStr, SmolStr)> {
-        let engine = &self.view.engines[place];
-        let wanted = |model: &SmolStr, adapter: &SmolStr| {
-            let mut wants = self.view.pending.iter();
-            wants.any(|want| want.model == *model && want.adapter.as_ref() == Some(adapter))
+    /// Returns the adapter that the engine has held longest, among those that no request uses or waits for.
+    fn evictable_adapter(&self, index: usize) -> Option<(SmolStr, SmolStr)> {
+        let engine = &self.view.engines[index];
+        let is_pending = |model: &SmolStr, adapter: &SmolStr| {
+            let mut pending = self.view.pending.iter();
+            pending
+                .any(|pending| pending.model == *model && pending.adapter.as_ref() == Some(adapter))
         };
         engine
             .held
             .models
             .iter()
             .flat_map(|(model, adapters)| adapters.iter().map(move |adapter| (model, adapter)))
-            .filter(|(model, adapter)| !wanted(model, adapter))
+            .filter(|(model, adapter)| !is_pending(model, adapter))
             .map(|(model, adapter)| {
                 let key = (model.clone(), Some(adapter.clone()));
                 (
@@ -186,115 +193,117 @@
                     key,
                 )
             })
-            .filter(|(since, _)| self.view.now.since(*since) >= ADAPTER_STAY)
+            .filter(|(since, _)| self.view.now.since(*since) >= MIN_ADAPTER_RESIDENCE)
             .filter(|(_, key)| engine.running.get(key).copied().unwrap_or_default() == 0)
             .min_by_key(|(since, _)| *since)
             .and_then(|(_, (model, adapter))| Some((model, adapter?)))
     }
 
-    /// More copies of models that have more requests than all their engines run at once, before anything else: while
-    /// these wait for the weight store behind models that a caller now and then asks for, most callers there are would be
-    /// refused.
-    pub(super) fn spread_overwhelmed(&mut self) {
-        for model in self.crowded() {
-            if self.is_overwhelmed(model)
-                && let Some(way) = self.best_way(model, 0.0, true)
+    /// Adds replicas of models that have more requests than all their engines run at once, before anything
+    /// else: if these loads queued at the weight store behind models that only an occasional caller requests,
+    /// most callers would be refused meanwhile.
+    pub(super) fn replicate_saturated(&mut self) {
+        for model in self.hot_models() {
+            if self.is_saturated(model)
+                && let Some(placement) = self.best_placement(model, 0.0, true)
             {
-                self.go(model, way);
+                self.add_placement(model, placement);
             }
         }
     }
 
-    /// More copies of models whose requests crowd on those there are.
-    pub(super) fn spread_busy(&mut self) {
-        let spare = self.uncopied().next().is_none();
-        for model in self.crowded() {
-            if !self.is_overwhelmed(model)
-                && let Some(way) = self.best_way(model, 0.0, spare)
+    /// Adds replicas of other hot models.
+    pub(super) fn replicate_hot(&mut self) {
+        let spare = self.unstored_models().next().is_none();
+        for model in self.hot_models() {
+            if !self.is_saturated(model)
+                && let Some(placement) = self.best_placement(model, 0.0, spare)
             {
-                self.go(model, way);
+                self.add_placement(model, placement);
             }
         }
     }
 
-    /// Models whose requests crowd on their copies, the most crowded first.
-    fn crowded(&self) -> Vec<&'a SmolStr> {
+    /// Returns the models whose replicas are overloaded, the most loaded first.
+    fn hot_models(&self) -> Vec<&'a SmolStr> {
         let models = self.view.config.models.keys();
-        let mut crowded: Vec<(u32, &SmolStr)> = models
-            // A copy that is ten seconds away is no reason to leave others on their disks.
-            .filter(|model| !self.survey.comes_soon(model))
+        let mut hot: Vec<(u32, &SmolStr)> = models
+            // Only a load from a disk or host memory counts: a copy from the store is ten seconds away, which
+            // is no reason to leave copies on other disks unused.
+            .filter(|model| !self.survey.is_loading_locally(model))
             .filter_map(|model| {
-                let copies = u32::try_from(self.survey.copies(model)).unwrap_or(u32::MAX);
+                let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
                 let requests = self.survey.requests(model);
-                let many = requests > copies * REQUESTS_A_COPY;
-                let long = requests > 0 && self.survey.pressure(model) > CROWDED;
-                (copies > 0 && (many || long)).then(|| (requests / copies, model))
+                let many_requests = requests > replicas * MAX_REQUESTS_PER_REPLICA;
+                let long_wait = requests > 0 && self.survey.pressure(model) > HOT_PREFILL_WAIT;
+                (replicas > 0 && (many_requests || long_wait)).then(|| (requests / replicas, model))
             })
             .collect();
-        crowded.sort_by(|a, b| b.cmp(a));
-        crowded.into_iter().map(|(_, model)| model).collect()
+        hot.sort_by(|a, b| b.cmp(a));
+        hot.into_iter().map(|(_, model)| model).collect()
     }
 
-    fn is_overwhelmed(&self, model: &SmolStr) -> bool {
-        let copies = u32::try_from(self.survey.copies(model)).unwrap_or(u32::MAX);
-        let places = copies.saturating_mul(self.view.config.slots);
-        let many = self.survey.is_full(model) && self.survey.requests(model) > places;
-        many || self.survey.pressure(model) > OVERWHELMED
+    fn is_saturated(&self, model: &SmolStr) -> bool {
+        let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
+        let slots = replicas.saturating_mul(self.view.config.slots);
+        let many_requests = self.survey.is_full(model) && self.survey.requests(model) > slots;
+        many_requests || self.survey.pressure(model) > SATURATED_PREFILL_WAIT
     }
 
-    /// Models without a copy anywhere, while the weight store has nothing else to do.
-    pub(super) fn fetch_ahead(&mut self) {
+    /// Fetches models that no server stores, while the weight store is otherwise idle.
+    pub(super) fn prefetch(&mut self) {
         let view = self.view;
-        let mut uncopied: Vec<SmolStr> = self.uncopied().cloned().collect();
-        uncopied.sort_by(|a, b| self.rate(b).total_cmp(&self.rate(a)));
-        for model in uncopied {
-            if self.fetching >= view.max_fetches {
+        let mut unstored_models: Vec<SmolStr> = self.unstored_models().cloned().collect();
+        unstored_models.sort_by(|a, b| self.arrival_rate(b).total_cmp(&self.arrival_rate(a)));
+        for model in unstored_models {
+            if self.active_fetches >= view.max_fetches {
                 return;
             }
-            if let Some(way) = self.best_way(&model, 0.0, true) {
-                self.go(&model, way);
+            if let Some(placement) = self.best_placement(&model, 0.0, true) {
+                self.add_placement(&model, placement);
             }
         }
     }
 
-    fn uncopied(&self) -> impl Iterator<Item = &SmolStr> {
+    fn unstored_models(&self) -> impl Iterator<Item = &SmolStr> {
         let view = self.view;
         let models = view.config.models.keys();
-        models.filter(move |model| !self.survey.has_copy(model) && !self.survey.is_coming(model))
+        models.filter(move |model| !self.survey.has_copy(model) && !self.survey.is_loading(model))
     }
 
-    fn go(&mut self, model: &SmolStr, way: Way) {
-        if way.tier == Tier::Store {
-            self.fetching += 1;
+    fn add_placement(&mut self, model: &SmolStr, placement: Placement) {
+        if placement.tier == Tier::Store {
+            self.active_fetches += 1;
         }
-        self.push(way.step(model));
+        self.push_step(placement.step(model));
     }
 
-    fn push(&mut self, step: Step) {
-        self.taken.insert(step.engine());
+    fn push_step(&mut self, step: Step) {
+        self.planned_engines.insert(step.engine());
         self.steps.push(step);
     }
 
-    /// The cheapest way to bring a model in, among engines that can take an order now.
-    fn best_way(&self, model: &SmolStr, waited: f64, fetch: bool) -> Option<Way> {
+    /// Returns the cheapest placement of a model among the engines that can take an order now.
+    fn best_placement(&self, model: &SmolStr, waited: f64, fetch: bool) -> Option<Placement> {
         let fetch = fetch
-            && self.fetching < self.view.max_fetches
-            && !self.survey.is_stored_unloaded(model)
-            && !self.survey.is_coming(model);
+            && self.active_fetches < self.view.max_fetches
+            && !self.survey.has_unloaded_copy(model)
+            && !self.survey.is_loading(model);
         (0..self.view.engines.len())
-            .filter(|place| !self.taken.contains(place))
-            .filter_map(|place| self.way(place, model))
-            // What another engine has on its disk comes from there, even if that one must be waited for.
-            .filter(|way| way.tier != Tier::Store || fetch)
-            .map(|way| Way {
-                cost: way.cost - waited * WAIT_WEIGHT,
-                ..way
+            .filter(|index| !self.planned_engines.contains(index))
+            .filter_map(|index| self.placement(index, model))
+            // A model that another engine stores is loaded there, even if that engine is busy and has to be
+            // waited for.
+            .filter(|placement| placement.tier != Tier::Store || fetch)
+            .map(|placement| Placement {
+                cost: placement.cost - waited * WAIT_WEIGHT,
+                ..placement
             })
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    fn way(&self, place: usize, name: &SmolStr) -> Option<Way> {
-        let engine = &self.view.engines[place];
+    fn placement(&self, index: usize, name: &SmolStr) -> Option<Placement> {
+        let engine = &self.view.engines[index];
         if !engine.usable
             || engine.order_pending
             || engine.held.busy
@@ -303,52 +312,65 @@
             return None;
         }
         let model = self.view.config.models.get(name)?;
-        let tier = tier(engine, name);
+        let tier = nearest_tier(engine, name);
         let time = tier.load_time(model);
-        let victims = self.victims(place, name, model.memory_mb)?;
-        let loss: f64 = victims.iter().map(|victim| self.loss(place, victim)).sum();
-        // While a load runs here, whatever is swapped at this engine has to wait.
-        let held_up = self.swapped_rate(place) * time.as_secs_f64();
-        let overloaded = engine.limit.map_or(0.0, |_| OVERLOADED);
-        Some(Way {
-            engine: place,
+        let victims = self.victims(index, name, model.memory_mb)?;
+        let eviction_cost: f64 = victims
+            .iter()
+            .map(|victim| self.eviction_cost(index, victim))
+            .sum();
+        // A load at this engine delays the swaps of all models stored there.
+        let swap_delay_cost = self.swap_rate(index) * time.as_secs_f64();
+        let overload_penalty = engine.limit.map_or(0.0, |_| OVERLOAD_PENALTY_S);
+        Some(Placement {
+            engine: index,
             tier,
             victim: victims.into_iter().next(),
-            cost: time.as_secs_f64() + loss + held_up + overloaded + engine.pressure.as_secs_f64(),
+            cost: time.as_secs_f64()
+                + eviction_cost
+                + swap_delay_cost
+                + overload_penalty
+                + engine.pressure.as_secs_f64(),
         })
     }
 
-    /// What must go to make room, the least loss first; none when there is no way.
-    fn victims(&self, place: usize, wanted: &SmolStr, need: f64) -> Option<Vec<SmolStr>> {
-        let mut free = self.free(place);
+    /// Returns the models to evict to make room, the cheapest first, or `None` if the engine can't make
+    /// enough room.
+    fn victims(
+        &self,
+        index: usize,
+        replacement: &SmolStr,
+        required_mb: f64,
+    ) -> Option<Vec<SmolStr>> {
+        let mut free_mb = self.free_memory_mb(index);
         let mut victims = Vec::new();
-        if free >= need {
+        if free_mb >= required_mb {
             return Some(victims);
         }
-        let engine = &self.view.engines[place];
+        let engine = &self.view.engines[index];
         let mut idle: Vec<(f64, &SmolStr, f64)> = engine
             .held
             .models
             .keys()
-            .filter(|model| *model != wanted && self.may_go(place, model))
+            .filter(|model| *model != replacement && self.is_evictable(index, model))
             .filter_map(|model| {
                 let size = self.view.config.models.get(model)?.memory_mb;
-                Some((self.loss(place, model) / size, model, size))
+                Some((self.eviction_cost(index, model) / size, model, size))
             })
             .collect();
         idle.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, model, size) in idle {
-            free += size;
+            free_mb += size;
             victims.push(model.clone());
-            if free >= need {
+            if free_mb >= required_mb {
                 return Some(victims);
             }
         }
         None
     }
 
-    fn may_go(&self, place: usize, model: &SmolStr) -> bool {
-        let engine = &self.view.engines[place];
+    fn is_evictable(&self, index: usize, model: &SmolStr) -> bool {
+        let engine = &self.view.engines[index];
         let running: u32 = engine
             .running
             .iter()
@@ -360,49 +382,58 @@
             .get(&(model.clone(), None))
             .copied()
             .unwrap_or_default();
-        let copies = u32::try_from(self.survey.copies(model)).unwrap_or(u32::MAX);
-        let wanted = self.view.pending.iter().any(|want| want.model == *model);
-        let needed = copies <= 1 && wanted;
-        let many = self.survey.requests(model) > copies.saturating_sub(1) * REQUESTS_A_COPY;
-        let crowded = copies > 0 && (many || self.survey.pressure(model) > CROWDED);
-        let spare = copies > 1 && !crowded;
-        let stayed = self.view.now.since(since) >= SHORTEST_STAY;
-        running == 0 && stayed && !needed && (spare || self.survey.requests(model) == 0)
+        let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
+        let is_pending = self
+            .view
+            .pending
+            .iter()
+            .any(|pending| pending.model == *model);
+        let needed = replicas <= 1 && is_pending;
+        let many_requests =
+            self.survey.requests(model) > replicas.saturating_sub(1) * MAX_REQUESTS_PER_REPLICA;
+        let is_hot =
+            replicas > 0 && (many_requests || self.survey.pressure(model) > HOT_PREFILL_WAIT);
+        let spare = replicas > 1 && !is_hot;
+        let stayed_long_enough = self.view.now.since(since) >= MIN_MODEL_RESIDENCE;
+        running == 0 && stayed_long_enough && !needed && (spare || self.survey.requests(model) == 0)
     }
 
-    /// Requests a second that will find this copy gone.
-    fn loss(&self, place: usize, model: &SmolStr) -> f64 {
-        let engine = &self.view.engines[place];
-        let copies = self.survey.copies(model).max(1) as f64;
+    /// Returns the cost of evicting this replica: the request rate that it serves, weighted by the time to
+    /// reload it.
+    fn eviction_cost(&self, index: usize, model: &SmolStr) -> f64 {
+        let engine = &self.view.engines[index];
+        let replicas = self.survey.replicas(model).max(1) as f64;
         let known = self.view.config.models.get(model);
-        let again = known.map_or(Duration::ZERO, |known| tier(engine, model).load_time(known));
-        self.rate(model) / copies * (1.0 + again.as_secs_f64())
+        let reload_time = known.map_or(Duration::ZERO, |known| {
+            nearest_tier(engine, model).load_time(known)
+        });
+        self.arrival_rate(model) / replicas * (1.0 + reload_time.as_secs_f64())
     }
 
-    /// Requests a second for models with a copy here that aren't in any memory.
-    fn swapped_rate(&self, place: usize) -> f64 {
-        let held = &self.view.engines[place].held;
+    /// Returns the arrival rate of models that this engine stores and that are in no engine's memory.
+    fn swap_rate(&self, index: usize) -> f64 {
+        let held = &self.view.engines[index].held;
         held.on_disk
             .union(&held.in_host_memory)
-            .filter(|model| self.survey.copies(model) == 0)
-            .map(|model| self.rate(model))
+            .filter(|model| self.survey.replicas(model) == 0)
+            .map(|model| self.arrival_rate(model))
             .sum()
     }
 
-    fn rate(&self, model: &SmolStr) -> f64 {
+    fn arrival_rate(&self, model: &SmolStr) -> f64 {
         self.view
             .arrival_rates
             .get(model)
             .copied()
             .unwrap_or_default()
-            .max(LEAST_RATE)
+            .max(MIN_ARRIVAL_RATE)
     }
 
-    fn free(&self, place: usize) -> f64 {
-        let engine = &self.view.engines[place];
+    fn free_memory_mb(&self, index: usize) -> f64 {
+        let engine = &self.view.engines[index];
         let size = |model: &SmolStr| {
             let known = self.view.config.models.get(model);
-            // A model that the configuration doesn't name has an unknown size: nothing is put beside it.
+            // A model that isn't in the configuration has an unknown size, so nothing is placed beside it.
             known.map_or(self.view.config.memory_mb, |known| known.memory_mb)
         };
         let adapter_size = |model: &SmolStr| {
@@ -421,12 +452,12 @@
             .iter()
             .map(|(model, adapters)| adapter_size(model) * adapters.len() as f64)
             .sum();
-        let coming: f64 = engine
+        let loading_adapters: f64 = engine
             .held
             .loading_adapters
             .iter()
             .map(|(model, _)| adapter_size(model))
             .sum();
-        self.view.config.memory_mb - models - loading - adapters - coming
+        self.view.config.memory_mb - models - loading - adapters - loading_adapters
     }
 }
--- a/crates/fireflywheel/src/fleet/plan/survey.rs
+++ b/crates/fireflywheel/src/fleet/plan/survey.rs
@@ -1,6 +1,6 @@
-//! What all engines of a group hold together.
+//! Totals over all engines of a group.
 //!
-//! A plan asks for it again for each model and each engine, so it is counted once.
+//! A plan needs them for each model and each engine, so they are counted once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,60 +9,61 @@
 
 use super::View;
 
-/// Counts by model, over one view.
+/// The totals of one view, by model.
 #[derive(Clone, Debug)]
 pub(super) struct Survey<'a> {
-    copies: BTreeMap<&'a SmolStr, usize>,
+    replicas: BTreeMap<&'a SmolStr, usize>,
     requests: BTreeMap<&'a SmolStr, u32>,
     waiting: BTreeMap<&'a SmolStr, u32>,
-    /// Requests at engines that hold a model, beyond those that the engines run at once.
-    beyond: BTreeMap<&'a SmolStr, u32>,
-    /// The least pressure among the engines that hold a model.
+    /// The requests at engines that hold a model, beyond those that the engines run at once.
+    excess: BTreeMap<&'a SmolStr, u32>,
+    /// The lowest pressure among the engines that hold a model.
     pressure: BTreeMap<&'a SmolStr, Duration>,
-    /// Models with a copy at an engine that has a place free.
-    placed: BTreeSet<&'a SmolStr>,
+    /// The models held by an engine that has a free slot.
+    with_free_slot: BTreeSet<&'a SmolStr>,
     stored: BTreeSet<&'a SmolStr>,
-    /// Models with a copy on an engine that doesn't have them in memory.
+    /// The models that some engine stores on disk or in host memory without holding them in memory.
     stored_unloaded: BTreeSet<&'a SmolStr>,
-    coming: BTreeSet<&'a SmolStr>,
-    /// Those of them that don't come from the weight store.
-    soon: BTreeSet<&'a SmolStr>,
+    loading: BTreeSet<&'a SmolStr>,
+    /// The models in `loading` that don't come from the weight store.
+    loading_locally: BTreeSet<&'a SmolStr>,
 }
 
 impl<'a> Survey<'a> {
-    /// Counts once.
+    /// Counts the totals of a view.
     pub(super) fn new(view: &View<'a>) -> Self {
         let mut survey = Self {
-            copies: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             requests: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            beyond: BTreeMap::new(),
+            excess: BTreeMap::new(),
             pressure: BTreeMap::new(),
-            placed: BTreeSet::new(),
+            with_free_slot: BTreeSet::new(),
             stored: BTreeSet::new(),
             stored_unloaded: BTreeSet::new(),
-            coming: BTreeSet::new(),
-            soon: BTreeSet::new(),
+            loading: BTreeSet::new(),
+            loading_locally: BTreeSet::new(),
         };
         for engine in view.engines.iter().filter(|engine| engine.usable) {
-            // Models of an engine that takes fewer requests than they have need copies elsewhere.
-            let counted = usize::from(!engine.is_short(view.arrival_rates));
+            // An engine that accepts fewer requests than its models receive doesn't count as a replica: these
+            // models need replicas elsewhere.
+            let replica_count = usize::from(!engine.is_overloaded(view.arrival_rates));
             for model in engine.held.models.keys() {
-                *survey.copies.entry(model).or_default() += counted;
-                let least = survey.pressure.entry(model).or_insert(engine.pressure);
-                *least = engine.pressure.min(*least);
+                *survey.replicas.entry(model).or_default() += replica_count;
+                let min_pressure = survey.pressure.entry(model).or_insert(engine.pressure);
+                *min_pressure = engine.pressure.min(*min_pressure);
             }
             let requests: u32 = engine.running.values().sum();
-            if requests < view.config.slots && counted > 0 {
-                survey.placed.extend(engine.held.models.keys());
+            if requests < view.config.slots && replica_count > 0 {
+                survey.with_free_slot.extend(engine.held.models.keys());
             }
             for model in engine.held.models.keys() {
-                let beyond = survey.beyond.entry(model).or_default();
-                *beyond += requests.saturating_sub(view.config.slots);
+                let excess = survey.excess.entry(model).or_default();
+                *excess += requests.saturating_sub(view.config.slots);
             }
-            if !engine.fetches() {
-                survey.soon.extend(&engine.loading);
-                survey.soon.extend(&engine.making_room_for);
+            if !engine.occupies_store() {
+                survey.loading_locally.extend(&engine.loading);
+                survey.loading_locally.extend(&engine.making_room_for);
             }
             let stored = engine
                 .held
@@ -75,68 +76,71 @@
                     survey.stored_unloaded.insert(model);
                 }
             }
-            survey.coming.extend(&engine.loading);
-            survey.coming.extend(&engine.making_room_for);
+            survey.loading.extend(&engine.loading);
+            survey.loading.extend(&engine.making_room_for);
         }
         let running = view.engines.iter().flat_map(|engine| &engine.running);
         let running = running.map(|((model, _), count)| (model, *count));
-        for want in view.pending {
-            *survey.waiting.entry(&want.model).or_default() += want.waiting;
+        for pending in view.pending {
+            *survey.waiting.entry(&pending.model).or_default() += pending.waiting;
         }
-        let waiting = view.pending.iter().map(|want| (&want.model, want.waiting));
+        let waiting = view
+            .pending
+            .iter()
+            .map(|pending| (&pending.model, pending.waiting));
         for (model, count) in running.chain(waiting) {
             *survey.requests.entry(model).or_default() += count;
         }
         survey
     }
 
-    /// Whether all usable engines that have it in memory run as many requests as they can.
+    /// Whether all usable engines that hold the model run as many requests as they can.
     pub(super) fn is_full(&self, model: &SmolStr) -> bool {
-        self.copies(model) > 0 && !self.placed.contains(model)
+        self.replicas(model) > 0 && !self.with_free_slot.contains(model)
     }
 
-    /// Whether another copy comes from a disk or a host's memory.
-    pub(super) fn comes_soon(&self, model: &SmolStr) -> bool {
-        self.soon.contains(model)
+    /// Whether the model is being loaded from a disk or host memory, or room is being made for such a load.
+    pub(super) fn is_loading_locally(&self, model: &SmolStr) -> bool {
+        self.loading_locally.contains(model)
     }
 
-    /// Usable engines that have a model in memory.
-    pub(super) fn copies(&self, model: &SmolStr) -> usize {
-        self.copies.get(model).copied().unwrap_or_default()
+    /// Returns the number of usable engines that hold the model in memory.
+    pub(super) fn replicas(&self, model: &SmolStr) -> usize {
+        self.replicas.get(model).copied().unwrap_or_default()
     }
 
-    /// Requests in progress and waiting, over all copies.
+    /// Returns the number of requests in progress and waiting, over all replicas.
     pub(super) fn requests(&self, model: &SmolStr) -> u32 {
         self.requests.get(model).copied().unwrap_or_default()
     }
 
-    /// Requests that wait at their instances.
+    /// Returns the number of requests that wait at their instances.
     pub(super) fn waiting(&self, model: &SmolStr) -> u32 {
         self.waiting.get(model).copied().unwrap_or_default()
     }
 
-    /// Requests that wait at engines that hold it.
-    pub(super) fn beyond(&self, model: &SmolStr) -> u32 {
-        self.beyond.get(model).copied().unwrap_or_default()
+    /// Returns the number of requests that wait at engines that hold the model.
+    pub(super) fn excess(&self, model: &SmolStr) -> u32 {
+        self.excess.get(model).copied().unwrap_or_default()
     }
 
-    /// How long a request waits at the engine with the shortest wait, before its prompt is read.
+    /// Returns how long a request waits before its prompt is prefilled, at the engine with the shortest wait.
     pub(super) fn pressure(&self, model: &SmolStr) -> Duration {
         self.pressure.get(model).copied().unwrap_or_default()
     }
 
-    /// Whether a usable engine has it in memory, in its host's memory or on disk.
+    /// Whether a usable engine has the model in memory, in host memory or on disk.
     pub(super) fn has_copy(&self, model: &SmolStr) -> bool {
-        self.stored.contains(model) || self.copies.contains_key(model)
+        self.stored.contains(model) || self.replicas.contains_key(model)
     }
 
-    /// Whether a usable engine could load it without the weight store.
-    pub(super) fn is_stored_unloaded(&self, model: &SmolStr) -> bool {
+    /// Whether a usable engine could load the model without the weight store.
+    pub(super) fn has_unloaded_copy(&self, model: &SmolStr) -> bool {
         self.stored_unloaded.contains(model)
     }
 
-    /// Whether a usable engine loads it, or makes room for it.
-    pub(super) fn is_coming(&self, model: &SmolStr) -> bool {
-        self.coming.contains(model)
+    /// Whether a usable engine loads the model or makes room for it.
+    pub(super) fn is_loading(&self, model: &SmolStr) -> bool {
+        self.loading.contains(model)
     }
 }
--- a/crates/fireflywheel/src/fleet/retry_budget.rs
+++ b/crates/fireflywheel/src/fleet/retry_budget.rs
@@ -1,93 +1,94 @@
-//! How many repeats all instances may send to one group together.
+//! Limits how many retries all instances together send to one group.
 //!
-//! Each instance has an equal part of the fixed sum, and its ratio counts its own first requests. A window
-//! slides in parts, so that a burst at the end of one and at the start of the next counts as one burst.
+//! Each instance has an equal share of the fixed allowance, and the ratio applies to its own first attempts.
+//! The window slides in buckets, so that a burst at the end of one window and at the start of the next counts
+//! as one burst.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock;
 
-/// Parts that a window is kept in: more would cost memory, fewer would let go of a burst too early or too late.
-const PARTS: u32 = 10;
-/// The share of the whole that is used: what other instances know of the fleet's size may lag.
-const USED: f64 = 0.7;
+/// The number of buckets of a window. More would cost memory; fewer would drop a burst too early or too late.
+const WINDOW_BUCKETS: u32 = 10;
+/// The share of the budget that is used, since instances may learn late of a change in the fleet's size.
+const USABLE_RATIO: f64 = 0.7;
 
-/// How much may be repeated.
+/// The limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Repeats for each first request.
+    /// The number of retries allowed for each first attempt.
     pub ratio: f64,
-    /// Repeats in a window beyond the ratio, over all instances.
+    /// The number of retries allowed in a window beyond the ratio, over all instances.
     pub extra: f64,
     /// The length of a window.
     pub window: Duration,
 }
 
-/// One instance's part of a group's budget.
+/// One instance's share of the retry budget of a group.
 #[derive(Clone, Debug)]
 pub struct Budget {
     options: Options,
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
-    begun: clock::Instant,
-    first: u32,
-    repeats: u32,
+struct Bucket {
+    started: clock::Instant,
+    requests: u32,
+    retries: u32,
 }
 
 impl Budget {
-    /// An unused budget.
+    /// Creates an unused budget.
     #[must_use]
     pub fn new(options: Options) -> Self {
         Self {
             options,
-            parts: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    /// A request was sent for the first time.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self, now: clock::Instant) {
-        self.part(now).first += 1;
+        self.current_bucket(now).requests += 1;
     }
 
-    /// Takes one repeat; `false` when the part of this instance, one of `instances`, is used up.
+    /// Uses one retry; returns `false` if the share of this instance, one of `instances`, is used up.
     #[must_use]
     pub fn try_retry(&mut self, now: clock::Instant, instances: usize) -> bool {
-        self.part(now);
-        let first: u32 = self.parts.iter().map(|part| part.first).sum();
-        let repeats: u32 = self.parts.iter().map(|part| part.repeats).sum();
+        self.current_bucket(now);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let extra = self.options.extra / instances.max(1) as f64;
-        let allowed = USED * (extra + self.options.ratio * f64::from(first));
-        if f64::from(repeats) + 1.0 > allowed {
+        let allowed = USABLE_RATIO * (extra + self.options.ratio * f64::from(requests));
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.part(now).repeats += 1;
+        self.current_bucket(now).retries += 1;
         true
     }
 
-    fn part(&mut self, now: clock::Instant) -> &mut Part {
-        let length = self.options.window / PARTS;
-        while let Some(oldest) = self.parts.front() {
-            if now.since(oldest.begun) <= self.options.window {
+    fn current_bucket(&mut self, now: clock::Instant) -> &mut Bucket {
+        let bucket_length = self.options.window / WINDOW_BUCKETS;
+        while let Some(oldest) = self.buckets.front() {
+            if now.since(oldest.started) <= self.options.window {
                 break;
             }
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
-        let fresh = self
-            .parts
+        let is_current = self
+            .buckets
             .back()
-            .is_some_and(|part| now.since(part.begun) < length);
-        if !fresh {
-            self.parts.push_back(Part {
-                begun: now,
-                ..Part::default()
+            .is_some_and(|bucket| now.since(bucket.started) < bucket_length);
+        if !is_current {
+            self.buckets.push_back(Bucket {
+                started: now,
+                ..Bucket::default()
             });
         }
-        self.parts
+        self.buckets
             .back_mut()
-            .expect("a part was just pushed if there was none")
+            .expect("a bucket was just pushed if there was none")
     }
 }
--- a/crates/fireflywheel/src/fleet/routing.rs
+++ b/crates/fireflywheel/src/fleet/routing.rs
@@ -1,135 +1,139 @@
-//! Which backend server a request goes to.
+//! Chooses the backend server that a request is sent to.
 
 use std::time::Duration;
 
 use crate::clock;
 
-/// A load report counts in full for this long, since servers send one with each response.
-const REPORT_USE: Duration = Duration::from_millis(1500);
-/// A failure is forgotten by half after this, which gives a server another chance a few seconds later.
+/// The time for which a load report counts in full. Servers send one with each response.
+const REPORT_VALIDITY: Duration = Duration::from_millis(1500);
+/// The half-life of the failure rate, which gives a failed server another chance a few seconds later.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// How much one more failure counts, and one more success against it.
-const FAILURE_STEP: f64 = 0.3;
-/// A server that fails everything looks as full as one with this many times its slots in use.
+/// The weight of one further failure or success in the failure rate.
+const FAILURE_SMOOTHING: f64 = 0.3;
+/// The cost of a failure rate of 1, in multiples of the server's slots in use.
 const FAILURE_WEIGHT: f64 = 3.0;
-/// A server of another failure domain looks this much fuller: bytes between domains cost money.
-const DISTANCE: f64 = 0.02;
-/// A server that couldn't be reached isn't tried again for this long while another one is there.
-const DOWN: Duration = Duration::from_millis(1000);
-/// A server that couldn't be reached is tried by one request each time this has passed if there is no other: all that wait
-/// would use up their tries and the repeats' budget within milliseconds, and be refused before a copy elsewhere is there.
-const PROBE: Duration = Duration::from_millis(500);
-/// A server whose address another one has isn't tried again for this long: its entry goes within seconds.
-const REPLACED: Duration = Duration::from_secs(10);
-/// An engine gets requests beyond those that it runs at once up to this share of them. More would only wait there, late
-/// and bound to it, while another copy of their model is loaded; with none, places would stand empty for as long as the
-/// news of them takes.
-const QUEUE_SHARE: f64 = 0.5;
-/// A server that had no room isn't tried again for this long.
-const FULL: Duration = Duration::from_millis(40);
-
-/// Requests at a server, as it says.
+/// The cost of sending a request to another failure domain: traffic between domains is charged for.
+const CROSS_DOMAIN_COST: f64 = 0.02;
+/// The time for which an unreachable server isn't chosen while another candidate is reachable.
+const UNREACHABLE_HOLD_OFF: Duration = Duration::from_millis(1000);
+/// The interval at which one request probes an unreachable server when no other candidate is left. If all
+/// waiting requests tried it, they would use up their attempts and the retry budget within milliseconds and
+/// be refused before another replica is loaded.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// The time for which a server isn't chosen after another server has answered at its address. The directory
+/// entry disappears within seconds.
+const REPLACED_HOLD_OFF: Duration = Duration::from_secs(10);
+/// The share of an engine's slots up to which it gets requests beyond those that it runs at once. More
+/// requests would only wait there, late and bound to that engine, while another replica of their model is
+/// loaded. With none, slots would stay empty until instances learn that they are free.
+const MAX_QUEUE_RATIO: f64 = 0.5;
+/// The time for which a server isn't chosen after it refused a request because it was full.
+const FULL_HOLD_OFF: Duration = Duration::from_millis(40);
+
+/// A load report of a server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// The number of requests that wait for a slot.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// The number of requests that the server can run at once.
     pub slots: u32,
 }
 
-/// What an instance has seen of one server.
+/// The statistics that an instance keeps of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
-    /// Its own requests there.
+    /// The number of requests of this instance in flight at the server.
     pub in_flight: u32,
     report: Option<(clock::Instant, Report)>,
-    failing: f64,
-    failed: clock::Instant,
-    down_until: clock::Instant,
-    probed: clock::Instant,
+    failure_rate: f64,
+    failure_rate_updated: clock::Instant,
+    unreachable_until: clock::Instant,
+    last_probe: clock::Instant,
     full_until: clock::Instant,
 }
 
-/// A server that could take a request.
+/// A server that can take a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What was seen of it.
+    /// The statistics of the server.
     pub stats: &'a Stats,
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// It is in the failure domain of this instance.
+    /// Whether the server is in the failure domain of this instance.
     pub same_domain: bool,
-    /// Requests of other instances there, as far as the steward tells. They say whether there is room, and not which engine
-    /// is better: all instances hear the same, some moments late, and would all turn to the one that was idle then.
+    /// The number of requests of other instances at the server, according to the steward. It only decides
+    /// whether the server has room and doesn't rank servers: all instances receive the same numbers a moment
+    /// late and would all turn to the server that was idle then.
     pub other_requests: u32,
-    /// Until the prompt is read there, as a share of the time within which the first event is on time.
+    /// The time until the prompt is prefilled at the server, as a ratio of the objective for the first event.
     pub prefill_ratio: f64,
 }
 
 impl Stats {
-    /// A load report came.
+    /// Records a load report.
     pub fn record_report(&mut self, now: clock::Instant, report: Report) {
         self.report = Some((now, report));
     }
 
-    /// It answered as it should.
+    /// Records a successful response.
     pub fn record_success(&mut self, now: clock::Instant) {
-        self.failing = self.failing_at(now) * (1.0 - FAILURE_STEP);
-        self.failed = now;
-        self.down_until = clock::Instant::default();
+        self.failure_rate = self.failure_rate_at(now) * (1.0 - FAILURE_SMOOTHING);
+        self.failure_rate_updated = now;
+        self.unreachable_until = clock::Instant::default();
     }
 
-    /// It failed a request.
+    /// Records a failed request.
     pub fn record_failure(&mut self, now: clock::Instant) {
-        let failing = self.failing_at(now);
-        self.failing = failing + (1.0 - failing) * FAILURE_STEP;
-        self.failed = now;
+        let failure_rate = self.failure_rate_at(now);
+        self.failure_rate = failure_rate + (1.0 - failure_rate) * FAILURE_SMOOTHING;
+        self.failure_rate_updated = now;
     }
 
-    /// It couldn't be reached.
+    /// Records that the server couldn't be reached.
     pub fn record_unreachable(&mut self, now: clock::Instant) {
         self.record_failure(now);
-        self.down_until = now.after(DOWN);
-        self.probed = now;
+        self.unreachable_until = now.after(UNREACHABLE_HOLD_OFF);
+        self.last_probe = now;
     }
 
-    /// Whether one request may try it although it couldn't be reached; counts as tried from then on.
+    /// Whether one request may try the server although it is unreachable. If so, the probe counts as made.
     pub fn try_probe(&mut self, now: clock::Instant) -> bool {
-        let due = now.since(self.probed) >= PROBE;
+        let due = now.since(self.last_probe) >= PROBE_INTERVAL;
         if due {
-            self.probed = now;
+            self.last_probe = now;
         }
         due
     }
 
-    /// Another server answers at its address: its entry is old.
+    /// Records that another server answers at the server's address, so its directory entry is outdated.
     pub fn record_replaced(&mut self, now: clock::Instant) {
-        self.down_until = now.after(REPLACED);
+        self.unreachable_until = now.after(REPLACED_HOLD_OFF);
     }
 
-    /// It had no room.
+    /// Records that the server had no room for a request.
     pub fn record_full(&mut self, now: clock::Instant) {
-        self.full_until = now.after(FULL);
+        self.full_until = now.after(FULL_HOLD_OFF);
     }
 
-    /// Whether it can't be reached, as far as known.
+    /// Whether the server is considered unreachable.
     #[must_use]
     pub fn is_down(&self, now: clock::Instant) -> bool {
-        now < self.down_until
+        now < self.unreachable_until
     }
 
-    fn failing_at(&self, now: clock::Instant) -> f64 {
-        let halves = now.since(self.failed).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
-        self.failing * 0.5_f64.powf(halves)
+    fn failure_rate_at(&self, now: clock::Instant) -> f64 {
+        let half_lives =
+            now.since(self.failure_rate_updated).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        self.failure_rate * 0.5_f64.powf(half_lives)
     }
 
     fn load(&self, now: clock::Instant) -> f64 {
         let own = f64::from(self.in_flight);
         let reported = self
             .report
-            .filter(|(at, _)| now.since(*at) < REPORT_USE)
+            .filter(|(at, _)| now.since(*at) < REPORT_VALIDITY)
             .map_or(0.0, |(_, report)| {
                 f64::from(report.running + report.waiting)
             });
@@ -138,27 +142,31 @@
 }
 
 impl Candidate<'_> {
-    /// Whether it could run one more request within a short wait. Only what other instances have there tells that, so one
-    /// of which the steward tells nothing has room until it says otherwise.
+    /// Whether the server can run one more request within a short wait. Only the requests of other instances
+    /// tell, so a server without such a report has room until it refuses a request.
     fn has_room(&self, now: clock::Instant) -> bool {
-        let most = f64::from(self.slots) * (1.0 + QUEUE_SHARE);
-        let known = f64::from(self.stats.in_flight + self.other_requests);
-        let crowded = self.other_requests > 0 && known >= most;
-        now >= self.stats.full_until && !crowded
+        let max_requests = f64::from(self.slots) * (1.0 + MAX_QUEUE_RATIO);
+        let known_requests = f64::from(self.stats.in_flight + self.other_requests);
+        let is_full = self.other_requests > 0 && known_requests >= max_requests;
+        now >= self.stats.full_until && !is_full
     }
 
-    /// How unwelcome it is to send one more request there.
+    /// Returns the cost of sending one more request to the server.
     fn cost(&self, now: clock::Instant) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let mut cost = self.stats.load(now) / slots;
-        cost += self.stats.failing_at(now) * FAILURE_WEIGHT;
-        cost += if self.same_domain { 0.0 } else { DISTANCE };
+        cost += self.stats.failure_rate_at(now) * FAILURE_WEIGHT;
+        cost += if self.same_domain {
+            0.0
+        } else {
+            CROSS_DOMAIN_COST
+        };
         cost + self.prefill_ratio
     }
 }
 
-/// The place of the best candidate. `draw` chooses among equals, so that instances don't all choose the same.
-/// None when no candidate has room, as far as known.
+/// Returns the index of the best candidate, or `None` if no candidate is known to have room. `draw` breaks
+/// ties, so that instances don't all choose the same server.
 #[must_use]
 pub fn pick(now: clock::Instant, candidates: &[Candidate<'_>], draw: u64) -> Option<usize> {
     let count = candidates.len();
@@ -167,8 +175,8 @@
     }
     let first = usize::try_from(draw % count as u64).unwrap_or_default();
     (0..count)
-        .map(|step| (first + step) % count)
-        .filter(|place| candidates[*place].has_room(now))
+        .map(|offset| (first + offset) % count)
+        .filter(|index| candidates[*index].has_room(now))
         .min_by(|a, b| {
             let (a, b) = (&candidates[*a], &candidates[*b]);
             let down = a.stats.is_down(now).cmp(&b.stats.is_down(now));
--- a/crates/fireflywheel/src/fleet/timeout.rs
+++ b/crates/fireflywheel/src/fleet/timeout.rs
@@ -1,62 +1,67 @@
-//! How long a request is worth keeping, and when it should come back.
+//! Time-outs of requests, and when refused callers should retry.
 
 use std::time::Duration;
 
 use super::config;
 
-/// Callers of streams leave when nothing comes for this long, or for the multiples below, whichever is most.
-const SHORTEST_STREAM_PATIENCE: Duration = Duration::from_secs(2);
-/// The same, as a multiple of the route's objective.
-const OBJECTIVES: u32 = 4;
-/// The same, as a multiple of the longest pause between events.
-const PAUSES: u32 = 8;
-/// The share of its patience that a request may expect to queue: instances don't serve a queue in one order, so some wait
-/// longer than expected.
-const QUEUEING_SHARE: f64 = 0.75;
-/// Callers come back once within this share of the time that they have left.
-const RETURN_SHARE: u32 = 3;
-/// A caller isn't asked to come back sooner, so that a crowd doesn't ask again at once.
-const SOONEST_RETURN: Duration = Duration::from_millis(50);
-/// Callers that are refused together come back spread over this share of their wait: as one wave they would be refused
-/// again.
-const SPREAD: f64 = 0.25;
-/// A caller is asked back after this many times as long as an outage has lasted so far. Most callers come back once only:
-/// after as long again half of all outages would still go on, after this one in five.
+/// The minimum time-out for the first byte of a stream. The time-out is this or one of the multiples below,
+/// whichever is longest: callers give up after that.
+const MIN_STREAM_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time-out for the first byte of a stream, as a multiple of the route's objective.
+const STREAM_TIMEOUT_OBJECTIVES: u32 = 4;
+/// The time-out for the first byte of a stream, as a multiple of the longest gap between events.
+const STREAM_TIMEOUT_GAPS: u32 = 8;
+/// The share of its time-out that a request may expect to queue. Instances don't serve a queue in one common
+/// order, so some requests wait longer than expected.
+const MAX_QUEUE_WAIT_RATIO: f64 = 0.75;
+/// The divisor of a caller's remaining time that gives the latest time to retry. Callers retry once if they
+/// are asked to do so within that time.
+const RETRY_AFTER_DIVISOR: u32 = 3;
+/// The shortest time after which a caller is asked to retry, so that many callers don't retry at once.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// The share of the wait over which the retries of callers that were refused together are spread. As one wave
+/// they would be refused again.
+const RETRY_AFTER_JITTER: f64 = 0.25;
+/// The factor on the duration of an outage so far after which callers are asked to retry. Most callers retry
+/// only once: after another duration of equal length, half of all outages would still last; after this
+/// factor, one in five.
 const OUTAGE_FACTOR: u32 = 4;
-/// The least of an outage that has just begun: most starts are over then.
-const SHORTEST_OUTAGE: Duration = Duration::from_millis(300);
+/// The shortest estimate for an outage that has just begun: most process starts are over by then.
+const MIN_REMAINING_OUTAGE: Duration = Duration::from_millis(300);
 
-/// How long a queue may be that a request joins which is kept for `timeout`. Whoever would wait in vain is better told at
-/// once when to come back.
+/// Returns the longest queue wait with which a request may join a queue. A request that would wait in vain is
+/// better refused at once with the time to retry.
 #[must_use]
 pub fn max_queue_wait(timeout: Duration) -> Duration {
-    timeout.mul_f64(QUEUEING_SHARE)
+    timeout.mul_f64(MAX_QUEUE_WAIT_RATIO)
 }
 
-/// How long a caller waits for the first byte of a response.
+/// Returns how long a caller waits for the first byte of a response.
 #[must_use]
 pub fn first_byte(route: &config::Route, deadline: Duration) -> Duration {
-    let whole = deadline.min(route.timeout);
+    let limit = deadline.min(route.timeout);
     if !route.kind.is_stream() {
-        return whole;
+        return limit;
     }
-    let pause = route.max_event_gap.unwrap_or_default() * PAUSES;
-    let patience = SHORTEST_STREAM_PATIENCE
-        .max(route.objective * OBJECTIVES)
-        .max(pause);
-    whole.min(patience)
+    let gap_timeout = route.max_event_gap.unwrap_or_default() * STREAM_TIMEOUT_GAPS;
+    let timeout = MIN_STREAM_TIMEOUT
+        .max(route.objective * STREAM_TIMEOUT_OBJECTIVES)
+        .max(gap_timeout);
+    limit.min(timeout)
 }
 
-/// When a caller should come back to find what will be ready after `wait`, if it has `left` until its deadline. `draw`, from
-/// 0 to 1, spreads callers.
+/// Returns the time after which a caller should retry to find what will be ready after `wait`, if `remaining`
+/// is left until its deadline. `draw`, from 0 to 1, spreads callers.
 #[must_use]
-pub fn retry_after(wait: Duration, left: Duration, draw: f64) -> Duration {
-    let spread = wait.mul_f64(1.0 + SPREAD * draw);
-    spread.min(left / RETURN_SHARE).max(SOONEST_RETURN)
+pub fn retry_after(wait: Duration, remaining: Duration, draw: f64) -> Duration {
+    let spread = wait.mul_f64(1.0 + RETRY_AFTER_JITTER * draw);
+    spread
+        .min(remaining / RETRY_AFTER_DIVISOR)
+        .max(MIN_RETRY_AFTER)
 }
 
-/// How much longer an outage is likely to last that has lasted so long.
+/// Returns the estimated remaining duration of an outage that has lasted for `elapsed`.
 #[must_use]
-pub fn remaining_outage(lasted: Duration) -> Duration {
-    (lasted * OUTAGE_FACTOR).max(SHORTEST_OUTAGE)
+pub fn remaining_outage(elapsed: Duration) -> Duration {
+    (elapsed * OUTAGE_FACTOR).max(MIN_REMAINING_OUTAGE)
 }
--- a/crates/fireflywheel/src/fleet/tracker.rs
+++ b/crates/fireflywheel/src/fleet/tracker.rs
@@ -1,4 +1,5 @@
-//! What the steward knows of one engine beyond its directory entry: its last report, and the orders since.
+//! Tracks what the steward knows of one engine beyond its directory entry: the latest report, and the orders
+//! sent since.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,56 +9,59 @@
 use super::{frame, load, plan, server};
 use crate::clock;
 
-/// Reports tell of this long ago.
+/// The time by which reports lag behind the state of the engine.
 const REPORT_LAG: Duration = Duration::from_millis(120);
-/// Time between two reports of one engine that are waited for.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
-/// Time until an order is tried again that came while another was carried out.
-const ORDER_PAUSE: Duration = Duration::from_millis(40);
-/// An engine is done with an unload after about this, and refuses a load that is sent at once.
+/// The interval between the reports of an engine whose change is awaited.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// The delay until the next order after one that arrived while the engine was executing another.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// The approximate duration of an unload. An engine refuses a load that arrives earlier.
 const UNLOAD_TIME: Duration = Duration::from_millis(45);
-/// An adapter takes about this long, and the report's lag.
-const ADAPTER_TIME: Duration = Duration::from_millis(20);
-/// A load of an unknown kind that takes longer than this is from the weight store.
-const LONG_LOAD: Duration = Duration::from_millis(1500);
-/// An engine's entry that says it leaves counts as unusable from then on; one without a time serves on.
-const LEAVING: Duration = Duration::from_secs(3);
+/// The approximate duration of an adapter load. Its end is seen [`REPORT_LAG`] later.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(20);
+/// The duration above which a load of unknown origin counts as a load from the weight store.
+const MIN_STORE_LOAD_TIME: Duration = Duration::from_millis(1500);
+/// The time before an engine's announced departure from which it counts as unusable. An engine that announces
+/// no time stays usable.
+const LEAVING_NOTICE: Duration = Duration::from_secs(3);
 
-/// One engine.
+/// The tracked state of one engine.
 #[derive(Clone, Debug)]
 pub struct Tracker {
-    /// The group that it belongs to.
+    /// The group that the engine belongs to.
     pub group: SmolStr,
-    /// What it holds, as far as reports and accepted orders tell.
+    /// What the engine holds, according to its reports and the orders that it accepted since.
     pub held: server::Held,
-    /// Orders that it has accepted.
+    /// The number of orders that the engine has accepted.
     pub orders: u64,
-    /// Its entry in the directory.
+    /// The engine's entry in the directory.
     pub server: server::Server,
-    /// An order that is on its way, or that may have arrived although its answer was lost.
-    sent: Option<plan::Step>,
+    /// An order that is in flight, or that may have arrived although its answer was lost.
+    pending_order: Option<plan::Step>,
     /// The model that an unload has made room for.
-    room_for: Option<SmolStr>,
-    /// What it holds isn't known for certain: a report must tell.
-    doubt: bool,
-    /// It couldn't be reached when it was last asked: until its entry goes, seconds later, its models would count as
-    /// there, and their callers would wait.
-    silent: bool,
-    /// Instances were told what it holds. Entries are told without that, so it is told of each new engine, also when
-    /// its first report brings nothing new: callers would wait elsewhere for models that are there.
-    told: bool,
+    making_room_for: Option<SmolStr>,
+    /// Whether the engine's state is uncertain until its next report.
+    state_uncertain: bool,
+    /// Whether the last request for a report couldn't reach the engine. Until its directory entry disappears,
+    /// seconds later, its models would otherwise count as loaded, and their callers would wait.
+    unreachable: bool,
+    /// Whether instances have been sent what the engine holds. Directory entries don't include that, so it is
+    /// sent for each new engine even if its first report changes nothing. Otherwise callers would wait
+    /// elsewhere for models that are loaded here.
+    published: bool,
     loading: Option<Loading>,
-    fetched: Option<Fetched>,
-    /// No order before this.
-    rest: clock::Instant,
-    /// A report is on its way since.
-    asking: bool,
-    /// When the next report is of use.
-    report_at: Option<clock::Instant>,
-    since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
+    finished_fetch: Option<Fetched>,
+    /// The time before which the engine gets no order.
+    next_order_at: clock::Instant,
+    /// Whether a report has been requested and not received yet.
+    report_pending: bool,
+    /// The time at which the next report is needed.
+    next_report_at: Option<clock::Instant>,
+    held_since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
     pressure: load::Pressure,
-    /// When an order was last accepted: reports asked for before tell of the time before it.
-    changed: clock::Instant,
+    /// The time at which an order was last accepted or left unanswered. A report requested earlier shows the
+    /// state before it.
+    last_order_at: clock::Instant,
     busy_since: Option<clock::Instant>,
 }
 
@@ -66,23 +70,23 @@
     model: SmolStr,
     fetch: bool,
     since: clock::Instant,
-    /// Loads from the weight store when it began, itself included.
-    first: usize,
+    /// The number of loads from the weight store when this one began, itself included.
+    concurrent_fetches: usize,
 }
 
-/// A load from the weight store that has ended.
+/// A finished load from the weight store.
 #[derive(Clone, Debug)]
 pub struct Fetched {
     /// The model.
     pub model: SmolStr,
-    /// Loads from the weight store when it began, itself included.
+    /// The number of loads from the weight store when this one began, itself included.
     pub first: usize,
-    /// How long it took.
+    /// The duration of the load.
     pub took: Duration,
 }
 
 impl Tracker {
-    /// An engine that hasn't reported yet.
+    /// Creates the tracker of an engine that hasn't reported yet.
     #[must_use]
     pub fn new(group: SmolStr, server: server::Server) -> Self {
         Self {
@@ -90,24 +94,24 @@
             held: server.held.clone(),
             orders: 0,
             server,
-            sent: None,
-            room_for: None,
-            doubt: true,
-            silent: false,
-            told: false,
+            pending_order: None,
+            making_room_for: None,
+            state_uncertain: true,
+            unreachable: false,
+            published: false,
             loading: None,
-            fetched: None,
-            rest: clock::Instant::default(),
-            asking: false,
-            report_at: Some(clock::Instant::default()),
-            since: BTreeMap::new(),
+            finished_fetch: None,
+            next_order_at: clock::Instant::default(),
+            report_pending: false,
+            next_report_at: Some(clock::Instant::default()),
+            held_since: BTreeMap::new(),
             pressure: load::Pressure::default(),
-            changed: clock::Instant::default(),
+            last_order_at: clock::Instant::default(),
             busy_since: None,
         }
     }
 
-    /// Takes in the directory's entry.
+    /// Updates the directory entry. A restart or a new address resets the tracker.
     pub fn update_server(&mut self, server: server::Server) {
         if server.started_ms != self.server.started_ms || server.address != self.server.address {
             *self = Self::new(self.group.clone(), server);
@@ -116,43 +120,53 @@
         self.server = server;
     }
 
-    /// What a plan needs of it. An order counts from the moment it is sent: plans are made more often than answers
-    /// come, and the next one would send the same load to another engine too. One notices it by loads of one model at
-    /// several engines within milliseconds, and by more loads from the weight store than it can run.
+    /// Returns the engine's state for a plan.
+    ///
+    /// An order counts from the moment it is sent: plans are made more often than answers arrive, and the
+    /// next plan would otherwise send the same load to another engine too. The symptom is loads of one model
+    /// on several engines within milliseconds, and more loads from the weight store than it can run.
     pub fn engine_state(
         &mut self,
         now: clock::Instant,
         running: BTreeMap<(SmolStr, Option<SmolStr>), u32>,
-        unread: u32,
+        prefill_tokens: u32,
     ) -> plan::EngineState {
-        let staying = self.server.leaves.is_none_or(|at| at.since(now) > LEAVING);
+        let staying = self
+            .server
+            .leaves
+            .is_none_or(|at| at.since(now) > LEAVING_NOTICE);
         let unknown_fetch = self.held.busy
             && self.loading.is_none()
             && self
                 .busy_since
-                .is_some_and(|since| now.since(since) > LONG_LOAD);
+                .is_some_and(|since| now.since(since) > MIN_STORE_LOAD_TIME);
         let loading = self.loading.as_ref().map(|loading| &loading.model);
         let mut held = self.held.clone();
-        if let Some(plan::Step::LoadAdapter { model, adapter, .. }) = &self.sent {
+        if let Some(plan::Step::LoadAdapter { model, adapter, .. }) = &self.pending_order {
             held.loading_adapters
                 .insert((model.clone(), adapter.clone()));
         }
         plan::EngineState {
             held,
-            usable: self.server.ready && staying && !self.silent,
-            order_pending: self.sent.is_some() || self.doubt || now < self.rest,
-            loading: loading.or(self.sent_load()).cloned(),
+            usable: self.server.ready && staying && !self.unreachable,
+            order_pending: self.pending_order.is_some()
+                || self.state_uncertain
+                || now < self.next_order_at,
+            loading: loading.or(self.ordered_load()).cloned(),
             loading_since: self.loading.as_ref().map(|loading| loading.since),
-            fetching: unknown_fetch || self.is_fetching(),
-            making_room_for: self.sent_room().or(self.room_for.as_ref()).cloned(),
+            fetching: unknown_fetch || self.is_fetching_or_ordered(),
+            making_room_for: self
+                .ordered_room_for()
+                .or(self.making_room_for.as_ref())
+                .cloned(),
             running,
-            pressure: self.pressure.update(now, unread),
+            pressure: self.pressure.update(now, prefill_tokens),
             limit: None,
-            held_since: self.since.clone(),
+            held_since: self.held_since.clone(),
         }
     }
 
-    /// What the instances are told of it.
+    /// Returns what the instances are sent of the engine.
     #[must_use]
     pub fn holding(&self, now: clock::Instant) -> frame::Holding {
         frame::Holding {
@@ -161,40 +175,44 @@
         }
     }
 
-    /// Whether news of it is expected, or an order is due.
+    /// Whether a change of the engine is expected or an order is due.
     #[must_use]
     pub fn is_busy(&self) -> bool {
-        let ordered = self.sent.is_some() || self.room_for.is_some();
-        ordered || self.doubt || self.held.busy || self.report_at.is_some()
+        let ordered = self.pending_order.is_some() || self.making_room_for.is_some();
+        ordered || self.state_uncertain || self.held.busy || self.next_report_at.is_some()
     }
 
-    /// An order is on its way.
+    /// Records that an order was sent.
     pub fn order_sent(&mut self, now: clock::Instant, step: plan::Step) {
-        self.sent = Some(step);
-        self.room_for = None;
-        self.rest = now;
+        self.pending_order = Some(step);
+        self.making_room_for = None;
+        self.next_order_at = now;
     }
 
-    /// A plan has no order for it. If it could have taken one, what room was made for is not to be loaded any more.
+    /// Records that a plan has no order for the engine. If the engine could have taken one, the model that
+    /// room was made for is no longer needed.
     pub fn not_planned(&mut self, now: clock::Instant) {
-        let free = self.sent.is_none() && !self.doubt && !self.held.busy && now >= self.rest;
+        let free = self.pending_order.is_none()
+            && !self.state_uncertain
+            && !self.held.busy
+            && now >= self.next_order_at;
         if free {
-            self.room_for = None;
+            self.making_room_for = None;
         }
     }
 
-    /// An order is being carried out, or was at once. `takes` is how long it should take, `first` how many loads
-    /// from the weight store there are with it.
+    /// Records that the engine accepted an order. `load_time` is the expected duration, and
+    /// `concurrent_fetches` is the number of loads from the weight store, including this one.
     pub fn order_accepted(
         &mut self,
         now: clock::Instant,
         step: &plan::Step,
-        takes: Duration,
-        first: usize,
+        load_time: Duration,
+        concurrent_fetches: usize,
     ) {
-        self.sent = None;
+        self.pending_order = None;
         self.orders += 1;
-        self.changed = now;
+        self.last_order_at = now;
         match step {
             plan::Step::Load { model, tier, .. } => {
                 self.held.busy = true;
@@ -203,105 +221,111 @@
                     model: model.clone(),
                     fetch: *tier == plan::Tier::Store,
                     since: now,
-                    first,
+                    concurrent_fetches,
                 });
-                self.report_at = Some(now.after(takes));
+                self.next_report_at = Some(now.after(load_time));
             }
-            plan::Step::Unload { model, wanted, .. } => {
-                self.room_for = Some(wanted.clone());
-                self.rest = now.after(UNLOAD_TIME);
+            plan::Step::Unload {
+                model, replacement, ..
+            } => {
+                self.making_room_for = Some(replacement.clone());
+                self.next_order_at = now.after(UNLOAD_TIME);
                 self.held.models.remove(model);
-                self.forget(model);
+                self.remove_model(model);
             }
             plan::Step::LoadAdapter { model, adapter, .. } => {
                 self.held
                     .loading_adapters
                     .insert((model.clone(), adapter.clone()));
-                let at = now.after(ADAPTER_TIME + REPORT_LAG);
-                self.report_at = Some(self.report_at.map_or(at, |before| before.min(at)));
+                let at = now.after(ADAPTER_LOAD_TIME + REPORT_LAG);
+                self.next_report_at = Some(self.next_report_at.map_or(at, |before| before.min(at)));
             }
             plan::Step::UnloadAdapter { model, adapter, .. } => {
                 if let Some(adapters) = self.held.models.get_mut(model) {
                     adapters.remove(adapter);
                 }
-                self.since.remove(&(model.clone(), Some(adapter.clone())));
+                self.held_since
+                    .remove(&(model.clone(), Some(adapter.clone())));
             }
         }
     }
 
-    /// An order came while another was carried out, or the engine has accepted more orders than known.
+    /// Records that an order arrived while the engine was executing another, or that the engine has accepted
+    /// more orders than known.
     pub fn order_conflicted(&mut self, now: clock::Instant) {
-        self.sent = None;
-        self.rest = now.after(ORDER_PAUSE);
-        self.report_at.get_or_insert(now.after(REPORT_LAG));
+        self.pending_order = None;
+        self.next_order_at = now.after(ORDER_RETRY_DELAY);
+        self.next_report_at.get_or_insert(now.after(REPORT_LAG));
     }
 
-    /// It isn't known whether an order arrived: what it asks for may come, until a report tells.
+    /// Records that an order got no answer. Its effect remains possible until a report shows the state.
     pub fn order_unanswered(&mut self, now: clock::Instant) {
-        self.doubt = true;
-        self.changed = now;
-        self.report_at = Some(now.after(REPORT_LAG));
+        self.state_uncertain = true;
+        self.last_order_at = now;
+        self.next_report_at = Some(now.after(REPORT_LAG));
     }
 
-    /// It didn't hold what it was thought to hold.
+    /// Records that the engine didn't hold a model that it was believed to hold.
     pub fn denied(&mut self, now: clock::Instant) {
-        self.report_at.get_or_insert(now);
+        self.next_report_at.get_or_insert(now);
     }
 
-    /// Whether a report should be asked for now.
+    /// Whether a report should be requested now.
     #[must_use]
     pub fn needs_report(&self, now: clock::Instant) -> bool {
-        !self.asking && self.report_at.is_some_and(|at| now >= at)
+        !self.report_pending && self.next_report_at.is_some_and(|at| now >= at)
     }
 
-    /// Whether a report is on its way.
+    /// Whether a report has been requested and not received yet.
     #[must_use]
     pub fn is_report_pending(&self) -> bool {
-        self.asking
+        self.report_pending
     }
 
-    /// A report is asked for.
+    /// Records that a report was requested.
     pub fn report_requested(&mut self, now: clock::Instant) {
-        self.asking = true;
-        self.report_at = Some(now.after(REPORT_PAUSE));
+        self.report_pending = true;
+        self.next_report_at = Some(now.after(REPORT_INTERVAL));
     }
 
-    /// A report that was asked for at `asked`; whether there is something to tell.
+    /// Records a report that was requested at `requested_at`; returns whether there is a change to send to
+    /// instances.
     pub fn report_received(
         &mut self,
-        asked: clock::Instant,
+        requested_at: clock::Instant,
         now: clock::Instant,
         report: server::Report,
     ) -> bool {
-        self.asking = false;
-        self.silent = false;
-        let stale = report.orders < self.orders || asked < self.changed.after(REPORT_LAG);
-        let awaits_answer = self.sent.is_some() && !self.doubt;
-        if awaits_answer || stale {
+        self.report_pending = false;
+        self.unreachable = false;
+        let is_stale =
+            report.orders < self.orders || requested_at < self.last_order_at.after(REPORT_LAG);
+        let awaits_answer = self.pending_order.is_some() && !self.state_uncertain;
+        if awaits_answer || is_stale {
             return false;
         }
-        self.sent = None;
+        self.pending_order = None;
         self.orders = report.orders;
         let before = std::mem::replace(&mut self.held, report.held);
-        self.doubt = false;
+        self.state_uncertain = false;
         for (model, adapters) in &self.held.models {
-            self.since.entry((model.clone(), None)).or_insert(now);
+            self.held_since.entry((model.clone(), None)).or_insert(now);
             for adapter in adapters {
-                self.since
+                self.held_since
                     .entry((model.clone(), Some(adapter.clone())))
                     .or_insert(now);
             }
         }
         let held = &self.held;
-        self.since
+        self.held_since
             .retain(|(model, adapter), _| held.holds(model, adapter.as_deref()));
         if !self.held.busy {
-            let fetched = self.loading.take().filter(|loading| loading.fetch);
-            self.fetched = fetched
+            let finished_fetch = self.loading.take().filter(|loading| loading.fetch);
+            self.finished_fetch = finished_fetch
                 .filter(|loading| self.held.holds(&loading.model, None))
                 .map(|loading| Fetched {
                     model: loading.model,
-                    first: loading.first,
+                    first: loading.concurrent_fetches,
                     took: now.since(loading.since),
                 });
             self.busy_since = None;
@@ -310,53 +334,57 @@
         }
         let settled = !self.held.busy && self.held.loading_adapters.is_empty();
         if settled {
-            self.report_at = None;
+            self.next_report_at = None;
         }
-        let first = !std::mem::replace(&mut self.told, true);
-        first || before != self.held
+        let first_report = !std::mem::replace(&mut self.published, true);
+        first_report || before != self.held
     }
 
-    /// The load from the weight store that the last report has shown to be over.
+    /// Takes the load from the weight store that the last report has shown to be finished.
     pub fn take_fetched(&mut self) -> Option<Fetched> {
-        self.fetched.take()
+        self.finished_fetch.take()
     }
 
-    /// Whether it loads from the weight store.
+    /// Whether the engine is loading from the weight store.
     #[must_use]
     pub fn is_loading_from_store(&self) -> bool {
         self.loading.as_ref().is_some_and(|loading| loading.fetch)
     }
 
-    /// The same, or whether it was sent such an order.
-    fn is_fetching(&self) -> bool {
-        let sent = self.sent.as_ref().is_some_and(plan::Step::is_fetch);
-        sent || self.is_loading_from_store()
+    /// Whether the engine is loading from the weight store, or was sent an order to do so.
+    fn is_fetching_or_ordered(&self) -> bool {
+        let ordered = self
+            .pending_order
+            .as_ref()
+            .is_some_and(plan::Step::is_fetch);
+        ordered || self.is_loading_from_store()
     }
 
-    fn sent_load(&self) -> Option<&SmolStr> {
-        match &self.sent {
+    fn ordered_load(&self) -> Option<&SmolStr> {
+        match &self.pending_order {
             Some(plan::Step::Load { model, .. }) => Some(model),
             _ => None,
         }
     }
 
-    fn sent_room(&self) -> Option<&SmolStr> {
-        match &self.sent {
-            Some(plan::Step::Unload { wanted, .. }) => Some(wanted),
+    fn ordered_room_for(&self) -> Option<&SmolStr> {
+        match &self.pending_order {
+            Some(plan::Step::Unload { replacement, .. }) => Some(replacement),
             _ => None,
         }
     }
 
-    /// No usable report came, or the engine can't be reached; whether what the directory says of it should be told instead.
+    /// Records that no usable report arrived. `reached` tells whether the engine could be reached. Returns
+    /// whether the directory's information should be sent to instances instead.
     pub fn report_failed(&mut self, now: clock::Instant, reached: bool) -> bool {
-        self.asking = false;
-        self.report_at = Some(now.after(REPORT_PAUSE * 3));
-        self.silent = !reached;
-        !std::mem::replace(&mut self.told, true)
+        self.report_pending = false;
+        self.next_report_at = Some(now.after(REPORT_INTERVAL * 3));
+        self.unreachable = !reached;
+        !std::mem::replace(&mut self.published, true)
     }
 
-    fn forget(&mut self, model: &SmolStr) {
-        self.since.retain(|(name, _), _| name != model);
+    fn remove_model(&mut self, model: &SmolStr) {
+        self.held_since.retain(|(name, _), _| name != model);
         self.held.loading_adapters.retain(|(name, _)| name != model);
     }
 }
--- a/crates/fireflywheel/tests/fleet/adaptive_timeout.rs
+++ b/crates/fireflywheel/tests/fleet/adaptive_timeout.rs
@@ -1,4 +1,4 @@
-//! When the silence of a server means that its answer is lost.
+//! Tests of the response time-out estimate.
 
 use std::time::Duration;
 
@@ -10,27 +10,32 @@
     Duration::from_millis(value)
 }
 
-fn usual<I>(times: I) -> Estimator
+fn estimator<I>(times: I) -> Estimator
 where
     I: IntoIterator<Item = u64>,
 {
-    let mut usual = Estimator::default();
-    for took in times {
-        usual.observe(millis(took));
+    let mut estimator = Estimator::default();
+    for elapsed in times {
+        estimator.observe(millis(elapsed));
     }
-    usual
+    estimator
 }
 
-/// The limit lies between these, in milliseconds.
-fn limit<I>(times: I, least: u64, most: u64)
+/// Checks that the time-out lies between `min` and `max` milliseconds.
+fn check_timeout<I>(times: I, min: u64, max: u64)
 where
     I: IntoIterator<Item = u64>,
 {
-    let limit = usual(times).timeout().expect("enough were seen");
-    assert!((millis(least)..=millis(most)).contains(&limit), "{limit:?}");
+    let timeout = estimator(times)
+        .timeout()
+        .expect("there are enough samples");
+    assert!(
+        (millis(min)..=millis(max)).contains(&timeout),
+        "{timeout:?}"
+    );
 }
 
-fn tail_is_within() {
+fn long_tail_stays_within_timeout() {
     let times = (0..400).map(|number| {
         if number % 20 == 0 {
             400
@@ -38,25 +43,27 @@
             60 + number % 30
         }
     });
-    let mut usual = usual(times.clone().take(200));
-    let late = times.skip(200).filter(|took| {
-        let late = usual.timeout().is_some_and(|limit| millis(*took) > limit);
-        usual.observe(millis(*took));
+    let mut estimator = estimator(times.clone().take(200));
+    let late = times.skip(200).filter(|elapsed| {
+        let late = estimator
+            .timeout()
+            .is_some_and(|timeout| millis(*elapsed) > timeout);
+        estimator.observe(millis(*elapsed));
         late
     });
-    // A second run now and then is no harm.
+    // An occasional second run does no harm.
     assert!(late.count() <= 200 / 20);
 }
 
 cases! {
     /// A second run for each of the first requests would double the load just when a server starts.
-    few_seen => assert_eq!(usual([40; 15]).timeout(), None);
+    too_few_samples_give_no_timeout => assert_eq!(estimator([40; 15]).timeout(), None);
     /// Servers that answer at once.
-    steady => limit([40; 100], 200, 200);
-    /// Engines that take some hundred milliseconds: an answer that is lost is missed long before its caller leaves.
-    engines => limit((0..100).map(|number| 150 + (number % 10) * 40), 800, 1_800);
-    /// A queue builds up: all are slow, and none is lost.
-    queue => limit((0..100).chain([1_500; 20]).map(|number| 100 + number), 1_500, 3_500);
+    fast_server_has_minimum_timeout => check_timeout([40; 100], 200, 200);
+    /// Engines that take some hundred milliseconds: a lost answer is noticed long before its caller leaves.
+    slow_engine_has_longer_timeout => check_timeout((0..100).map(|number| 150 + (number % 10) * 40), 800, 1_800);
+    /// A queue builds up: all responses are slow, and none is lost.
+    queueing_raises_timeout => check_timeout((0..100).chain([1_500; 20]).map(|number| 100 + number), 1_500, 3_500);
     /// One response in twenty is slow.
-    tail => tail_is_within();
+    slow_tail_is_not_lost => long_tail_stays_within_timeout();
 }
--- a/crates/fireflywheel/tests/fleet/backoff.rs
+++ b/crates/fireflywheel/tests/fleet/backoff.rs
@@ -1,4 +1,4 @@
-//! Calls of a whole fleet to a store that is away.
+//! Tests of the calls that a whole fleet makes to an unavailable store.
 
 use std::time::Duration;
 
@@ -8,123 +8,127 @@
 
 use crate::cases;
 
-const MOST: Duration = Duration::from_millis(1000);
-const FLEET: usize = 136;
-const READERS: usize = 4;
-/// A refusal comes back this long after its call.
-const ANSWER: Duration = Duration::from_millis(5);
-/// How long a read waits for news, and beyond that for its answer.
+const MAX_DELAY: Duration = Duration::from_millis(1000);
+const INSTANCES: usize = 136;
+const READERS_PER_INSTANCE: usize = 4;
+/// The time from a call to its refusal.
+const REFUSAL_TIME: Duration = Duration::from_millis(5);
+/// The time that a read waits for a change at the store, followed by the time-out of the call.
 const USUAL_WAIT: Duration = Duration::from_millis(1500);
-const CALL_LIMIT: Duration = Duration::from_millis(1000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 const OUTAGE: Duration = Duration::from_secs(8);
-/// Calls of one outage that the whole fleet may make, by the aim that was set for it.
-const ALLOWED: usize = 4000;
+/// The maximum number of calls of the whole fleet during one outage.
+const MAX_CALLS: usize = 4000;
 
-/// One instance with several readers that each want to call whenever they may.
+/// One instance with several readers that each call whenever they may.
 #[derive(Default)]
 struct Caller {
     backoff: Backoff,
-    /// When calls that are on their way are refused.
+    /// The times at which the calls in flight are refused.
     refused: Vec<Instant>,
     calls: usize,
 }
 
 impl Caller {
     fn step(&mut self, now: Instant, draw: f64) {
-        let due = self.refused.iter().filter(|at| **at <= now).count();
+        let refused = self.refused.iter().filter(|at| **at <= now).count();
         self.refused.retain(|at| *at > now);
-        for _ in 0..due {
-            self.backoff.record_failure(now, MOST, draw);
+        for _ in 0..refused {
+            self.backoff.record_failure(now, MAX_DELAY, draw);
         }
-        while self.refused.len() < READERS && self.backoff.claim(now, MOST, draw).is_zero() {
-            self.refused.push(now.after(ANSWER));
+        while self.refused.len() < READERS_PER_INSTANCE
+            && self.backoff.claim(now, MAX_DELAY, draw).is_zero()
+        {
+            self.refused.push(now.after(REFUSAL_TIME));
             self.calls += 1;
         }
     }
 }
 
-/// How long after its return a store that was silent is read at the latest, by a reader whose reads usually wait.
-fn latest_read(draws: &[f64], silence: u64) -> u64 {
+/// Returns how long after the recovery of a silent store its next read starts at the latest, for a reader
+/// whose reads usually wait. `outage_ms` is the duration of the outage in milliseconds.
+fn next_read_after_recovery(draws: &[f64], outage_ms: u64) -> u64 {
     let mut backoff = Backoff::default();
     let mut now = Instant(0);
     for draw in draws.iter().cycle() {
-        now = now.after(backoff.claim(now, MOST, *draw));
-        if now.0 >= silence {
+        now = now.after(backoff.claim(now, MAX_DELAY, *draw));
+        if now.0 >= outage_ms {
             break;
         }
-        // Nothing comes back until the call's own limit.
-        now = now.after(backoff.wait(USUAL_WAIT) + CALL_LIMIT);
-        backoff.record_failure(now, MOST, *draw);
+        // The silent store answers nothing until the call's time-out.
+        now = now.after(backoff.wait(USUAL_WAIT) + CALL_TIMEOUT);
+        backoff.record_failure(now, MAX_DELAY, *draw);
     }
-    now.0.saturating_sub(silence)
+    now.0.saturating_sub(outage_ms)
 }
 
 cases! {
-    /// The store answers nothing for some seconds, then takes a configuration at once. Instances still had the old one 2.3 s
-    /// and 3 s later: a read had waited for news at the silent store, or for its limit, before a whole pause began.
-    silent_store => {
+    /// The store answers nothing for some seconds, then accepts a configuration as soon as it recovers.
+    /// Instances still had the old one 2.3 s and 3 s later: a read had waited for a change at the silent
+    /// store, or for its time-out, before a full delay began.
+    silent_store_is_read_soon_after_recovery => {
         arbtest(|u| {
             let draws: Vec<f64> = (0..16)
                 .map(|_| Ok(f64::from(u.arbitrary::<u16>()?) / 65536.0))
                 .collect::<Result<_, arbitrary::Error>>()?;
-            // The first read may have begun before the silence, and waits as usual.
-            let silence = u.int_in_range(4000..=20_000)?;
-            let late = latest_read(&draws, silence);
-            let allowed = MOST.max(CALL_LIMIT).as_millis() as u64;
-            assert!(late <= allowed, "{late} ms");
+            // The first read may have begun before the outage, and waits as usual.
+            let outage_ms = u.int_in_range(4000..=20_000)?;
+            let delay = next_read_after_recovery(&draws, outage_ms);
+            let max_delay = MAX_DELAY.max(CALL_TIMEOUT).as_millis() as u64;
+            assert!(delay <= max_delay, "{delay} ms");
             Ok(())
         });
     };
 
-
-    /// The store refuses everybody for some seconds. With readers that each try again a few times a second, a fleet
-    /// made 65,000 calls in such an outage, which cost it a third of what the day was worth.
-    outage_seen_by_a_fleet => {
+    /// The store refuses all calls for some seconds. With readers that each retry a few times per second, a
+    /// fleet made 65,000 calls in such an outage, which cost a third of that day's total value.
+    calls_of_fleet_are_bounded_during_outage => {
         arbtest(|u| {
-            let mut callers: Vec<Caller> = std::iter::repeat_with(Caller::default).take(FLEET).collect();
+            let mut callers: Vec<Caller> = std::iter::repeat_with(Caller::default).take(INSTANCES).collect();
             let draws: Vec<f64> = (0..64)
                 .map(|_| Ok(f64::from(u.arbitrary::<u16>()?) / 65536.0))
                 .collect::<Result<_, arbitrary::Error>>()?;
             for ms in 0..OUTAGE.as_millis() as u64 {
-                for (place, caller) in callers.iter_mut().enumerate() {
-                    caller.step(Instant(ms), draws[(place + ms as usize) % draws.len()]);
+                for (index, caller) in callers.iter_mut().enumerate() {
+                    caller.step(Instant(ms), draws[(index + ms as usize) % draws.len()]);
                 }
             }
             let calls: usize = callers.iter().map(|caller| caller.calls).sum();
-            assert!(calls <= ALLOWED, "{calls} calls");
+            assert!(calls <= MAX_CALLS, "{calls} calls");
             Ok(())
         })
         .budget_ms(500);
     };
 
-    /// An instance tries again soon enough after the store is back: a change that is accepted then must be obeyed.
-    next_try_is_never_far => {
+    /// An instance retries soon enough after the store has recovered, since a change accepted then must be
+    /// applied in time.
+    delay_never_exceeds_maximum => {
         arbtest(|u| {
             let mut backoff = Backoff::default();
             let mut now = Instant(1000);
             for _ in 0..u.int_in_range(1..=2000)? {
                 let draw = f64::from(u.arbitrary::<u16>()?) / 65536.0;
-                backoff.record_failure(now, MOST, draw);
-                let left = backoff.claim(now, MOST, draw);
-                assert!(left <= MOST, "{left:?}");
-                now = now.after(left);
+                backoff.record_failure(now, MAX_DELAY, draw);
+                let remaining = backoff.claim(now, MAX_DELAY, draw);
+                assert!(remaining <= MAX_DELAY, "{remaining:?}");
+                now = now.after(remaining);
             }
             Ok(())
         });
     };
 
-    /// While the store fails, one reader at a time tries; once it has succeeded, all may go on.
-    one_at_a_time => {
+    /// While the store fails, one reader at a time retries. Once a call succeeds, all may continue.
+    one_caller_retries_at_a_time => {
         let mut backoff = Backoff::default();
-        assert!(backoff.claim(Instant(0), MOST, 0.5).is_zero());
-        backoff.record_failure(Instant(0), MOST, 0.5);
-        let left = backoff.claim(Instant(0), MOST, 0.5);
-        let later = Instant(0).after(left);
-        assert!(!left.is_zero());
-        assert!(backoff.claim(later, MOST, 0.5).is_zero());
-        assert!(!backoff.claim(later, MOST, 0.5).is_zero());
+        assert!(backoff.claim(Instant(0), MAX_DELAY, 0.5).is_zero());
+        backoff.record_failure(Instant(0), MAX_DELAY, 0.5);
+        let remaining = backoff.claim(Instant(0), MAX_DELAY, 0.5);
+        let later = Instant(0).after(remaining);
+        assert!(!remaining.is_zero());
+        assert!(backoff.claim(later, MAX_DELAY, 0.5).is_zero());
+        assert!(!backoff.claim(later, MAX_DELAY, 0.5).is_zero());
         assert!(backoff.record_success());
-        assert!(backoff.claim(later, MOST, 0.5).is_zero());
+        assert!(backoff.claim(later, MAX_DELAY, 0.5).is_zero());
         assert!(!backoff.record_success());
     };
 }
--- a/crates/fireflywheel/tests/fleet/demand.rs
+++ b/crates/fireflywheel/tests/fleet/demand.rs
@@ -1,4 +1,4 @@
-//! What instances ask for is joined, and what is forgotten with them.
+//! Tests of the demand aggregation.
 
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::demand::{Aggregator, Count, Demand, Queue, Running};
@@ -17,71 +17,71 @@
     }
 }
 
-fn wants(queues: Vec<Queue>) -> Demand {
+fn with_queues(queues: Vec<Queue>) -> Demand {
     Demand {
         queues,
         ..Demand::default()
     }
 }
 
-fn same_want_is_joined() {
-    let mut demands = Aggregator::default();
-    demands.update(
+fn queues_of_one_model_are_combined() {
+    let mut aggregator = Aggregator::default();
+    aggregator.update(
         Instant(1000),
         "a".into(),
-        wants(vec![queue("m", 2, 100, 5000)]),
+        with_queues(vec![queue("m", 2, 100, 5000)]),
     );
-    demands.update(
+    aggregator.update(
         Instant(1100),
         "b".into(),
-        wants(vec![queue("m", 1, 300, 900)]),
+        with_queues(vec![queue("m", 1, 300, 900)]),
     );
-    let joined = demands.pending("g");
-    assert_eq!(joined.len(), 1);
-    assert_eq!(joined[0].waiting, 3);
-    assert_eq!(joined[0].since, Instant(800));
-    assert_eq!(joined[0].until, Instant(6000));
+    let combined = aggregator.pending("g");
+    assert_eq!(combined.len(), 1);
+    assert_eq!(combined[0].waiting, 3);
+    assert_eq!(combined[0].since, Instant(800));
+    assert_eq!(combined[0].until, Instant(6000));
 }
 
-fn longest_waiting_comes_first() {
-    let mut demands = Aggregator::default();
-    demands.update(
+fn longest_waiting_model_is_first() {
+    let mut aggregator = Aggregator::default();
+    aggregator.update(
         Instant(1000),
         "a".into(),
-        wants(vec![queue("m", 1, 100, 1), queue("n", 1, 700, 1)]),
+        with_queues(vec![queue("m", 1, 100, 1), queue("n", 1, 700, 1)]),
     );
-    let models: Vec<_> = demands
+    let models: Vec<_> = aggregator
         .pending("g")
         .into_iter()
-        .map(|want| want.model)
+        .map(|pending| pending.model)
         .collect();
     assert_eq!(models, ["n", "m"]);
 }
 
-fn lost_instance_wants_nothing() {
-    let mut demands = Aggregator::default();
-    demands.update(
+fn removed_instance_has_no_demand() {
+    let mut aggregator = Aggregator::default();
+    aggregator.update(
         Instant(1000),
         "a".into(),
-        wants(vec![queue("m", 1, 0, 1000)]),
+        with_queues(vec![queue("m", 1, 0, 1000)]),
     );
-    demands.remove("a");
-    assert!(demands.pending("g").is_empty());
+    aggregator.remove("a");
+    assert!(aggregator.pending("g").is_empty());
 }
 
-fn newer_demand_replaces_the_older() {
-    let mut demands = Aggregator::default();
-    demands.update(
+fn new_demand_replaces_previous() {
+    let mut aggregator = Aggregator::default();
+    aggregator.update(
         Instant(1000),
         "a".into(),
-        wants(vec![queue("m", 1, 0, 1000)]),
+        with_queues(vec![queue("m", 1, 0, 1000)]),
     );
-    demands.update(Instant(1001), "a".into(), Demand::default());
-    assert!(demands.pending("g").is_empty());
+    aggregator.update(Instant(1001), "a".into(), Demand::default());
+    assert!(aggregator.pending("g").is_empty());
 }
 
-fn running_is_summed() {
-    let mut demands = Aggregator::default();
+fn running_requests_are_summed() {
+    let mut aggregator = Aggregator::default();
     for instance in ["a", "b"] {
         let running = Running {
             server: "s".into(),
@@ -94,24 +94,24 @@
             running: vec![running],
             ..Demand::default()
         };
-        demands.update(Instant(1000), instance.into(), demand);
+        aggregator.update(Instant(1000), instance.into(), demand);
     }
-    let at = |demands: &Aggregator, server: &str| {
-        let counts = demands.running().get(&SmolStr::new(server)).cloned();
+    let at = |aggregator: &Aggregator, server: &str| {
+        let counts = aggregator.running().get(&SmolStr::new(server)).cloned();
         counts.unwrap_or_default().values().sum::<u32>()
     };
-    assert_eq!(at(&demands, "s"), 4);
-    let loads: Vec<(u32, u32)> = demands
+    assert_eq!(at(&aggregator, "s"), 4);
+    let loads: Vec<(u32, u32)> = aggregator
         .loads()
         .into_values()
         .map(|load| (load.prefill_tokens, load.requests))
         .collect();
     assert_eq!(loads, [(600, 4)]);
-    assert_eq!(at(&demands, "t"), 0);
+    assert_eq!(at(&aggregator, "t"), 0);
 }
 
-fn rates_fade() {
-    let mut demands = Aggregator::default();
+fn arrival_rates_decay() {
+    let mut aggregator = Aggregator::default();
     let arrived = Count {
         group: "g".into(),
         model: "m".into(),
@@ -121,15 +121,18 @@
         arrived: vec![arrived],
         ..Demand::default()
     };
-    demands.update(Instant(1000), "a".into(), demand);
-    let fresh = demands.arrival_rate(Instant(1000), "g", "m");
-    let later = demands.arrival_rate(Instant(11_000), "g", "m");
-    assert!((later / fresh - 0.5).abs() < 0.01, "{fresh} {later}");
-    assert!(demands.arrival_rate(Instant(1000), "g", "n").abs() < f64::EPSILON);
+    aggregator.update(Instant(1000), "a".into(), demand);
+    let fresh = aggregator.arrival_rate(Instant(1000), "g", "m");
+    let after_half_life = aggregator.arrival_rate(Instant(11_000), "g", "m");
+    assert!(
+        (after_half_life / fresh - 0.5).abs() < 0.01,
+        "{fresh} {after_half_life}"
+    );
+    assert!(aggregator.arrival_rate(Instant(1000), "g", "n").abs() < f64::EPSILON);
 }
 
-fn queue_drains_as_fast_as_requests_end() {
-    let mut demands = Aggregator::default();
+fn drain_rate_is_completion_rate() {
+    let mut aggregator = Aggregator::default();
     for second in 1..=20 {
         let finished = Count {
             group: "g".into(),
@@ -140,27 +143,30 @@
             finished: vec![finished],
             ..Demand::default()
         };
-        demands.update(Instant(second * 1000), "a".into(), demand);
+        aggregator.update(Instant(second * 1000), "a".into(), demand);
     }
-    // In the middle between two words, as the rate falls from one to the next.
-    let drain = demands.drain_rates(Instant(20_500), "g")["m"];
+    // The sample lies midway between two reports, as the rate falls from one to the next.
+    let drain = aggregator.drain_rates(Instant(20_500), "g")["m"];
     assert!((25.0..35.0).contains(&drain), "{drain}");
-    assert!(demands.arrival_rate(Instant(20_500), "g", "m").abs() < f64::EPSILON);
+    assert!(aggregator.arrival_rate(Instant(20_500), "g", "m").abs() < f64::EPSILON);
 }
 
 cases! {
-    /// Callers are told how long a queue takes, by what its engines end and not by what comes.
-    drain => queue_drains_as_fast_as_requests_end();
-    /// The same cold model is asked for at two instances; ordered for each it would be loaded twice.
-    joined => same_want_is_joined();
-    /// Whoever has waited longest is nearest to giving up.
-    order => longest_waiting_comes_first();
-    /// An instance dies with its requests. Its wants would load models that nobody waits for.
-    lost_instance => lost_instance_wants_nothing();
-    /// A caller has left. Its want must go with it.
-    replaced => newer_demand_replaces_the_older();
-    /// Two instances use one engine. Counting only one of them, its model would be unloaded under the other.
-    running => running_is_summed();
-    /// Demand moves on; rates that last would keep yesterday's models.
-    rates => rates_fade();
+    /// Callers are told the wait of a queue from the rate at which its engines complete requests, not from
+    /// the arrival rate.
+    drain_rate_ignores_arrivals => drain_rate_is_completion_rate();
+    /// Two instances have requests for the same unloaded model. If it were ordered for each of them, it would
+    /// be loaded twice.
+    demand_of_instances_is_combined => queues_of_one_model_are_combined();
+    /// The request that has waited longest is the closest to its time-out.
+    longest_wait_comes_first => longest_waiting_model_is_first();
+    /// An instance fails together with its requests. Its demand would load models that no request waits for.
+    lost_instance_demand_is_dropped => removed_instance_has_no_demand();
+    /// A caller has left, and its demand must disappear with it.
+    demand_without_caller_is_dropped => new_demand_replaces_previous();
+    /// Two instances use one engine. If only one of them were counted, the model would be unloaded while the
+    /// other uses it.
+    running_counts_cover_all_instances => running_requests_are_summed();
+    /// Demand moves on; rates that didn't decay would keep unused models in memory.
+    old_rates_decay => arrival_rates_decay();
 }
--- a/crates/fireflywheel/tests/fleet/load.rs
+++ b/crates/fireflywheel/tests/fleet/load.rs
@@ -1,4 +1,5 @@
-//! Long prompts of a busy model, spread over the engines that hold it by instances that know little of each other.
+//! Tests of the prefill load estimate: instances that know little of each other spread the long prompts of a
+//! hot model over the engines that hold it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,95 +19,96 @@
     tokens: 9190,
     shared: 6300,
 };
-/// Prompts with different second parts behind the same first one.
+/// The number of different second parts behind the same first part of a prompt.
 const PARTS: usize = 34;
-/// Tokens that an engine reads in a millisecond.
-const SPEED: u32 = 38;
-/// Prompts a second for the model: two thirds of what six engines can read, if each is read whole.
-const RATE: f64 = 16.0;
-const LENGTH_MS: u64 = 60_000;
-/// Within this a first event is on time.
-const AIM: Duration = Duration::from_millis(800);
-/// What instances tell the steward, and it tells all of them, is as old as this when it is heard.
-const WORD_AGE_MS: u64 = 100;
+/// The prefill speed of an engine, in tokens per millisecond.
+const PREFILL_TOKENS_PER_MS: u32 = 38;
+/// The arrival rate of prompts per second: two thirds of what six engines can prefill without cached
+/// prefixes.
+const ARRIVAL_RATE: f64 = 16.0;
+const DURATION_MS: u64 = 60_000;
+/// The objective for the first event.
+const OBJECTIVE: Duration = Duration::from_millis(800);
+/// The interval and the delay of the steward's load reports.
+const REPORT_DELAY_MS: u64 = 100;
 
-/// A prompt that is read at an engine, and whose.
-struct Reading {
+/// A prompt queued or in prefill at an engine.
+struct Prefill {
     instance: usize,
-    /// What its sender took it for.
-    expected: u32,
-    left: u32,
+    /// The number of tokens that its sender estimated.
+    estimated: u32,
+    remaining: u32,
     since: u64,
 }
 
-/// An engine that reads one prompt after the other, and keeps what it has read.
+/// An engine that prefills one prompt after another and caches what it has prefilled.
 #[derive(Default)]
 struct Engine {
-    queue: Vec<Reading>,
-    kept: Vec<usize>,
-    taken: usize,
+    queue: Vec<Prefill>,
+    cached: Vec<usize>,
+    accepted: usize,
 }
 
 struct Outcome {
-    /// Of all prompts, in the order of their length.
+    /// The waits of all prompts in milliseconds, sorted.
     waits: Vec<u64>,
-    /// Prompts of the busiest engine against the mean.
+    /// The number of prompts of the busiest engine relative to the mean.
     busiest: f64,
 }
 
 impl Outcome {
-    /// The share of prompts that were read in time.
-    fn in_aim(&self) -> f64 {
-        let aim = AIM.as_millis() as u64;
-        let good = self.waits.iter().filter(|wait| **wait <= aim).count();
-        good as f64 / self.waits.len() as f64
+    /// Returns the share of prompts whose prefill met the objective.
+    fn ratio_within_objective(&self) -> f64 {
+        let objective = OBJECTIVE.as_millis() as u64;
+        let on_time = self.waits.iter().filter(|wait| **wait <= objective).count();
+        on_time as f64 / self.waits.len() as f64
     }
 }
 
-/// Plays a minute; `told` says whether the steward tells what engines have to read.
-fn play(seed: u64, told: bool) -> Outcome {
+/// Simulates a minute; `reports_enabled` tells whether the steward reports the load of engines.
+fn simulate(seed: u64, reports_enabled: bool) -> Outcome {
     let mut random = StdRng::seed_from_u64(seed);
     let mut engines: [Engine; 6] = Default::default();
     let mut backlogs = vec![[Backlog::default(); 6]; INSTANCES];
-    let mut words: BTreeMap<u64, Vec<u32>> = BTreeMap::new();
+    let mut reports: BTreeMap<u64, Vec<u32>> = BTreeMap::new();
     let mut waits = Vec::new();
-    for ms in 0..LENGTH_MS {
+    for ms in 0..DURATION_MS {
         let now = Instant(ms);
-        for (place, engine) in engines.iter_mut().enumerate() {
-            read(ms, engine, |done| {
-                backlogs[done.instance][place].remove_own(done.expected);
-                waits.push(ms - done.since);
+        for (index, engine) in engines.iter_mut().enumerate() {
+            prefill(ms, engine, |finished| {
+                backlogs[finished.instance][index].remove_own(finished.estimated);
+                waits.push(ms - finished.since);
             });
         }
-        if told && ms % WORD_AGE_MS == 0 {
-            let sums = (0..6).map(|place| {
+        if reports_enabled && ms % REPORT_DELAY_MS == 0 {
+            let sums = (0..6).map(|index| {
                 backlogs
                     .iter_mut()
-                    .map(|own| own[place].report_own(0))
+                    .map(|own| own[index].report_own(0))
                     .sum()
             });
-            words.insert(ms + WORD_AGE_MS, sums.collect());
+            reports.insert(ms + REPORT_DELAY_MS, sums.collect());
         }
-        if let Some(sums) = words.remove(&ms) {
+        if let Some(sums) = reports.remove(&ms) {
             for own in &mut backlogs {
                 own.iter_mut()
                     .zip(&sums)
                     .for_each(|(own, sum)| own.update_others(now, *sum, 0));
             }
         }
-        if random.random_bool(RATE / 1000.0) {
+        if random.random_bool(ARRIVAL_RATE / 1000.0) {
             let instance = random.random_range(0..INSTANCES);
             let part = random.random_range(0..PARTS);
-            let (place, expected) = choose(now, &backlogs[instance], part, random.random());
-            backlogs[instance][place].add_own(expected);
-            engines[place].take(ms, instance, part, expected);
+            let (index, estimated) = choose(now, &backlogs[instance], part, random.random());
+            backlogs[instance][index].add_own(estimated);
+            engines[index].accept(ms, instance, part, estimated);
         }
     }
     waits.sort_unstable();
-    let taken = engines.iter().map(|engine| engine.taken);
+    let accepted = engines.iter().map(|engine| engine.accepted);
     let (most, all) = (
-        taken.clone().max().unwrap_or_default(),
-        taken.sum::<usize>(),
+        accepted.clone().max().unwrap_or_default(),
+        accepted.sum::<usize>(),
     );
     Outcome {
         waits,
@@ -114,33 +116,33 @@
     }
 }
 
-fn read(ms: u64, engine: &mut Engine, mut done: impl FnMut(Reading)) {
-    let mut budget = SPEED;
+fn prefill(ms: u64, engine: &mut Engine, mut on_finished: impl FnMut(Prefill)) {
+    let mut budget = PREFILL_TOKENS_PER_MS;
     while budget > 0
         && let Some(first) = engine.queue.first_mut()
     {
-        let part = budget.min(first.left);
-        first.left -= part;
+        let part = budget.min(first.remaining);
+        first.remaining -= part;
         budget -= part;
-        if first.left == 0 && first.since < ms {
-            done(engine.queue.remove(0));
-        } else if first.left == 0 {
+        if first.remaining == 0 && first.since < ms {
+            on_finished(engine.queue.remove(0));
+        } else if first.remaining == 0 {
             return;
         }
     }
 }
 
 impl Engine {
-    fn take(&mut self, ms: u64, instance: usize, part: usize, expected: u32) {
-        let kept = self.kept.contains(&part);
-        if !kept {
-            self.kept.push(part);
+    fn accept(&mut self, ms: u64, instance: usize, part: usize, estimated: u32) {
+        let cached = self.cached.contains(&part);
+        if !cached {
+            self.cached.push(part);
         }
-        self.taken += 1;
-        self.queue.push(Reading {
+        self.accepted += 1;
+        self.queue.push(Prefill {
             instance,
-            expected,
-            left: PROMPT.prefill_tokens(kept),
+            estimated,
+            remaining: PROMPT.prefill_tokens(cached),
             since: ms,
         });
     }
@@ -148,47 +150,48 @@
 
 fn choose(now: Instant, own: &[Backlog; 6], part: usize, draw: u64) -> (usize, u32) {
     let parts = format!("first,{part}");
-    let keeper = load::prefix_cache_server(PROMPT, &parts, ENGINES.iter().copied());
-    let unread = |place: usize| PROMPT.prefill_tokens(keeper == Some(ENGINES[place]));
+    let cache_server = load::prefix_cache_server(PROMPT, &parts, ENGINES.iter().copied());
+    let prefill_tokens = |index: usize| PROMPT.prefill_tokens(cache_server == Some(ENGINES[index]));
     let stats = Stats::default();
     let candidates: Vec<Candidate<'_>> = (0..6)
-        .map(|place| Candidate {
+        .map(|index| Candidate {
             stats: &stats,
             slots: 64,
             same_domain: true,
             other_requests: 0,
             prefill_ratio: load::prefill_time(
-                own[place].prefill_tokens(now) + f64::from(unread(place)),
+                own[index].prefill_tokens(now) + f64::from(prefill_tokens(index)),
             )
-            .div_duration_f64(AIM),
+            .div_duration_f64(OBJECTIVE),
         })
         .collect();
-    let place = routing::pick(now, &candidates, draw).expect("all have room");
-    (place, unread(place))
+    let index = routing::pick(now, &candidates, draw).expect("all engines have room");
+    (index, prefill_tokens(index))
 }
 
-fn prompts_are_read_in_time() {
+fn prefill_meets_objective() {
     for seed in 0..20 {
-        let outcome = play(seed, true);
+        let outcome = simulate(seed, true);
         assert!(
-            outcome.in_aim() >= 0.95,
+            outcome.ratio_within_objective() >= 0.95,
             "{} at seed {seed}",
-            outcome.in_aim()
+            outcome.ratio_within_objective()
         );
         assert!(outcome.busiest <= 1.8, "{} at seed {seed}", outcome.busiest);
     }
 }
 
-fn word_of_the_steward_helps() {
-    let late = |told| -> f64 {
-        let shares = (0..20).map(|seed| 1.0 - play(seed, told).in_aim());
+fn steward_reports_reduce_late_prompts() {
+    let late_share = |reports_enabled| -> f64 {
+        let shares =
+            (0..20).map(|seed| 1.0 - simulate(seed, reports_enabled).ratio_within_objective());
         shares.sum()
     };
-    assert!(late(true) <= late(false));
+    assert!(late_share(true) <= late_share(false));
 }
 
-fn parts_are_shared_out() {
-    let keepers = |first_alone: bool| {
+fn prefixes_are_spread_over_engines() {
+    let cache_servers = |first_alone: bool| {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for part in 0..PARTS {
             let parts = if first_alone {
@@ -196,21 +199,21 @@
             } else {
                 format!("first,{part}")
             };
-            let keeper = load::prefix_cache_server(PROMPT, &parts, ENGINES.iter().copied());
+            let cache_server = load::prefix_cache_server(PROMPT, &parts, ENGINES.iter().copied());
             *counts
-                .entry(keeper.expect("there are several"))
+                .entry(cache_server.expect("there are several engines"))
                 .or_default() += 1;
         }
         counts.len()
     };
-    assert_eq!((keepers(true), keepers(false)), (1, 6));
+    assert_eq!((cache_servers(true), cache_servers(false)), (1, 6));
 }
 
-fn own_requests_count_once() {
+fn own_requests_are_counted_once() {
     let mut backlog = Backlog::default();
     backlog.add_own(1000);
-    let told = backlog.report_own(3);
-    backlog.update_others(Instant(10), told + 500, 5);
+    let reported = backlog.report_own(3);
+    backlog.update_others(Instant(10), reported + 500, 5);
     assert_eq!(backlog.other_requests(Instant(10)), 2);
     assert_eq!(backlog.prefill_tokens(Instant(10)), 1500.0);
     backlog.remove_own(1000);
@@ -218,25 +221,25 @@
     assert_eq!(backlog.prefill_tokens(Instant(1000)), 0.0);
 }
 
-fn busiest_are_named() {
+fn most_loaded_engines_are_reported() {
     let ids = ["e1", "e2", "e3", "e4"].map(SmolStr::new);
     let loads = ids.iter().zip([50, 4000, 9000, 2000]);
-    let loads = loads.map(|(id, unread)| {
+    let loads = loads.map(|(id, tokens)| {
         let load = Load {
-            prefill_tokens: unread,
+            prefill_tokens: tokens,
             ..Load::new(id.clone())
         };
         (id, load)
     });
-    let named = load::most_loaded(loads.collect(), |_| 16, 2);
-    let named: Vec<(&str, u32)> = named
+    let reported = load::most_loaded(loads.collect(), |_| 16, 2);
+    let reported: Vec<(&str, u32)> = reported
         .iter()
         .map(|load| (load.server.as_str(), load.prefill_tokens))
         .collect();
-    assert_eq!(named, [("e2", 4000), ("e3", 9000)]);
+    assert_eq!(reported, [("e2", 4000), ("e3", 9000)]);
 }
 
-fn full_batches_are_named() {
+fn engines_with_full_batches_are_reported() {
     let ids = ["e1", "e2", "e3"].map(SmolStr::new);
     let loads = ids.iter().zip([7, 8, 40]);
     let loads = loads.map(|(id, requests)| {
@@ -246,15 +249,15 @@
         };
         (id, load)
     });
-    let named = load::most_loaded(loads.collect(), |_| 16, 3);
-    let named: Vec<(&str, u32)> = named
+    let reported = load::most_loaded(loads.collect(), |_| 16, 3);
+    let reported: Vec<(&str, u32)> = reported
         .iter()
         .map(|load| (load.server.as_str(), load.requests))
         .collect();
-    assert_eq!(named, [("e2", 8), ("e3", 40)]);
+    assert_eq!(reported, [("e2", 8), ("e3", 40)]);
 }
 
-fn old_word_of_requests_ends() {
+fn report_of_requests_expires() {
     let mut backlog = Backlog::default();
     backlog.update_others(Instant(10), 0, 24);
     assert_eq!(backlog.other_requests(Instant(500)), 24);
@@ -262,19 +265,23 @@
 }
 
 cases! {
-    /// Requests with short prompts fill an engine's batch while there is hardly anything to read.
-    full_batch => full_batches_are_named();
-    /// The steward dies, and with it the word that an engine is full. Believed for good, nobody would use that engine.
-    lost_steward => old_word_of_requests_ends();
-    /// With hundreds of engines a word of all of them would take more of a link than control may.
-    many_engines => busiest_are_named();
-    /// Each instance sends a prompt every few seconds and sees only its own. Were requests counted alike, or the others'
-    /// unknown, several long prompts would queue at one engine while others idle, and users wait for their first word.
-    busy_model => prompts_are_read_in_time();
-    /// The same with and without the word of the steward.
-    busy_model_untold => word_of_the_steward_helps();
-    /// Thousands of prompts begin alike. Sent by that beginning, they would all go to one engine.
-    common_beginning => parts_are_shared_out();
-    /// What an instance has told comes back to it in the sum.
-    own_word => own_requests_count_once();
+    /// Requests with short prompts fill an engine's batch while there are hardly any tokens to prefill.
+    short_prompts_fill_batch => engines_with_full_batches_are_reported();
+    /// The steward fails, and its last report says that an engine is full. If the report never expired, no
+    /// instance would use that engine again.
+    report_of_lost_steward_expires => report_of_requests_expires();
+    /// With hundreds of engines, a report on all of them would exceed the share of a link that control
+    /// traffic may use.
+    report_is_limited_to_most_loaded => most_loaded_engines_are_reported();
+    /// Each instance sends a prompt every few seconds and sees only its own. If requests were counted alike,
+    /// or those of others were unknown, several long prompts would queue at one engine while others idle, and
+    /// users would wait for their first token.
+    long_prompts_are_spread_over_engines => prefill_meets_objective();
+    /// Compares the same load with and without the steward's reports.
+    steward_reports_help_hot_model => steward_reports_reduce_late_prompts();
+    /// Thousands of prompts share their first part. If that part alone chose the engine, all would go to one
+    /// engine.
+    common_first_part_does_not_choose_engine => prefixes_are_spread_over_engines();
+    /// The totals that an instance receives include what it has reported itself.
+    own_load_is_not_counted_twice => own_requests_are_counted_once();
 }
--- a/crates/fireflywheel/tests/fleet/main.rs
+++ b/crates/fireflywheel/tests/fleet/main.rs
@@ -1,10 +1,9 @@
-//! Serving from a directory: the decisions, one module at a time.
+//! Tests of the `fleet` modules.
 
 mod adaptive_timeout;
 mod backoff;
 mod concurrency;
 mod config;
-mod crowd;
 mod demand;
 mod events;
 mod lease;
@@ -12,6 +11,7 @@
 mod link;
 mod load;
 mod organisation;
+mod overload;
 mod plan;
 mod quota;
 mod rate;
@@ -24,7 +24,7 @@
 mod timeout;
 mod tracker;
 
-/// Makes a test of each name and the check behind it.
+/// Defines one test for each name, with the expression behind it as its body.
 #[macro_export]
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $check:expr;)+) => {
