--- a/crates/fireflywheel/tests/fleet/plan.rs
+++ b/crates/fireflywheel/tests/fleet/plan.rs
@@ -1,4 +1,5 @@
-//! Which orders are sent, and that none overcommits an engine or asks the weight store for what a disk has.
+//! Tests of the load planner: the orders it chooses, that none overcommits an engine, and that none loads a
+//! model from the weight store that a disk has.
 
 mod world;
 
@@ -21,16 +22,16 @@
     }
 }
 
-fn unload(engine: usize, model: &str, wanted: &str) -> Step {
+fn unload(engine: usize, model: &str, replacement: &str) -> Step {
     Step::Unload {
         engine,
         model: model.into(),
-        wanted: wanted.into(),
+        replacement: replacement.into(),
     }
 }
 
-fn fetched(steps: &[Step]) -> usize {
-    let from_store = |step: &&Step| {
+fn count_fetches(steps: &[Step]) -> usize {
+    let is_fetch = |step: &&Step| {
         matches!(
             step,
             Step::Load {
@@ -39,181 +40,189 @@
             }
         )
     };
-    steps.iter().filter(from_store).count()
+    steps.iter().filter(is_fetch).count()
 }
 
-fn wanted_model_comes_from_a_disk() {
-    let world = World::new(3).all_on_disk(1).wanted("m3");
+fn pending_model_is_loaded_from_disk() {
+    let world = World::new(3).all_on_disk(1).pending("m3");
     assert!(world.steps().contains(&load(1, "m3", Tier::Disk)));
 }
 
-fn copy_on_a_busy_disk_is_waited_for() {
-    let world = World::new(3).all_on_disk(1).busy(1).wanted("m3");
+fn copy_on_busy_disk_is_waited_for() {
+    let world = World::new(3).all_on_disk(1).busy(1).pending("m3");
     assert_eq!(world.steps(), []);
 }
 
-fn least_wanted_model_makes_room() {
+fn least_requested_model_makes_room() {
     let world = World::new(1)
         .all_on_disk(0)
         .holding(0, "m0")
         .holding(0, "m1")
         .rate("m0", 0.1)
         .rate("m1", 5.0)
-        .wanted("m2");
+        .pending("m2");
     assert_eq!(world.steps(), [unload(0, "m0", "m2")]);
 }
 
-fn model_in_use_stays() {
+fn model_with_running_requests_stays() {
     let world = World::new(1)
         .all_on_disk(0)
         .holding(0, "m0")
         .holding(0, "m1")
         .running(0, "m0", 1)
         .running(0, "m1", 1)
-        .wanted("m2");
+        .pending("m2");
     assert_eq!(world.steps(), []);
 }
 
-fn model_that_others_wait_for_stays() {
+fn pending_model_stays() {
     let world = World::new(1)
         .all_on_disk(0)
         .holding(0, "m0")
         .holding(0, "m1")
-        .wanted("m0")
-        .wanted("m1")
-        .wanted("m2");
+        .pending("m0")
+        .pending("m1")
+        .pending("m2");
     assert_eq!(world.steps(), []);
 }
 
-fn room_is_made_once() {
+fn room_is_made_on_one_engine_only() {
     let world = World::new(2)
         .all_on_disk(0)
         .all_on_disk(1)
         .holding(0, "m0")
         .holding(1, "m1")
         .holding(1, "m2")
-        .wanted("m3");
-    let mut resting = world;
-    resting.engines[0].making_room_for = Some("m3".into());
-    resting.engines[0].order_pending = true;
-    assert_eq!(resting.steps(), []);
-    resting.engines[0].order_pending = false;
-    assert_eq!(resting.steps(), [load(0, "m3", Tier::Disk)]);
+        .pending("m3");
+    let mut pausing = world;
+    pausing.engines[0].making_room_for = Some("m3".into());
+    pausing.engines[0].order_pending = true;
+    assert_eq!(pausing.steps(), []);
+    pausing.engines[0].order_pending = false;
+    assert_eq!(pausing.steps(), [load(0, "m3", Tier::Disk)]);
 }
 
-fn room_for_a_load_from_the_store_counts_as_one() {
-    let mut world = World::new(8).fetching(0, "m0").wanted("m2");
-    world.fetches = 2;
+fn making_room_for_store_load_counts_as_load() {
+    let mut world = World::new(8).fetching(0, "m0").pending("m2");
+    world.max_fetches = 2;
     world.engines[1].making_room_for = Some("m3".into());
     assert_eq!(world.steps(), [load(1, "m3", Tier::Store)]);
 }
 
-fn few_loads_from_the_store_run_at_once() {
+fn store_loads_stay_within_limit() {
     let world = World::new(8).fetching(0, "m0").fetching(1, "m1");
-    assert_eq!(fetched(&world.steps()), 2);
+    assert_eq!(count_fetches(&world.steps()), 2);
 }
 
-fn no_second_copy_from_the_store_while_a_model_has_none() {
+fn store_replica_waits_for_models_without_copy() {
     let mut world = World::new(3).holding(0, "m0").running(0, "m0", 50);
-    let loads_m0 = |step: &&Step| matches!(step, Step::Load { model, .. } if model == "m0");
+    let is_load_of_m0 = |step: &&Step| matches!(step, Step::Load { model, .. } if model == "m0");
     world.config.slots = 64;
-    assert_eq!(world.steps().iter().filter(loads_m0).count(), 0);
-    let for_others = fetched(&world.steps());
-    assert!(for_others > 0);
-    // More than its engine runs at once: one copy comes, and the rest is for models that have none.
+    assert_eq!(world.steps().iter().filter(is_load_of_m0).count(), 0);
+    let fetches_of_others = count_fetches(&world.steps());
+    assert!(fetches_of_others > 0);
+    // With more requests than its engine runs at once, the model gets one replica, and the remaining loads go
+    // to models without a copy.
     world.config.slots = 8;
-    assert_eq!(world.steps().iter().filter(loads_m0).count(), 1);
-    assert_eq!(fetched(&world.steps()), for_others);
+    assert_eq!(world.steps().iter().filter(is_load_of_m0).count(), 1);
+    assert_eq!(count_fetches(&world.steps()), fetches_of_others);
 }
 
-fn few_long_prompts_are_a_crowd_too() {
+fn prefill_wait_adds_replica() {
     let world = |millis| {
         let world = World::new(2).holding(0, "m1").all_on_disk(1);
         world.running(0, "m1", 4).pressure(0, millis)
     };
-    let copy = Step::Load {
+    let disk_load = Step::Load {
         engine: 1,
         model: "m1".into(),
         tier: Tier::Disk,
     };
-    assert!(!world(100).steps().contains(&copy));
-    assert!(world(600).steps().contains(&copy));
+    assert!(!world(100).steps().contains(&disk_load));
+    assert!(world(600).steps().contains(&disk_load));
 }
 
-fn overwhelmed_engine_is_relieved_from_the_store() {
-    let relieved = |millis| {
+fn saturated_engine_is_relieved_from_store() {
+    let is_relieved = |millis| {
         let world = World::new(2).holding(0, "m1").running(0, "m1", 4);
         let mut world = world.pressure(0, millis);
-        world.fetches = 1;
+        world.max_fetches = 1;
         let mut steps = world.steps().into_iter();
         steps.any(|step| matches!(step, Step::Load { engine: 1, model, .. } if model == "m1"))
     };
-    assert!(!relieved(600), "models without a copy go first");
-    assert!(relieved(2000));
+    assert!(
+        !is_relieved(600),
+        "models without a copy must be fetched first"
+    );
+    assert!(is_relieved(2000));
 }
 
-fn crowd_goes_first_at_the_store() {
+fn full_replica_takes_precedence_at_store() {
     let world = |running| {
         let world = World::new(3).holding(0, "m0").running(0, "m0", running);
-        let mut world = world.wanted("m1").wanted("m0");
-        world.fetches = 1;
+        let mut world = world.pending("m1").pending("m0");
+        world.max_fetches = 1;
         world.steps()
     };
-    let fetches = |steps: &[Step], wanted: &str| {
+    let fetches = |steps: &[Step], name: &str| {
         let mut steps = steps.iter();
         steps.any(
-            |step| matches!(step, Step::Load { model, tier: Tier::Store, .. } if model == wanted),
+            |step| matches!(step, Step::Load { model, tier: Tier::Store, .. } if model == name),
         )
     };
-    assert!(fetches(&world(7), "m1"), "the engine has a place free");
+    assert!(fetches(&world(7), "m1"), "the engine has a free slot");
     assert!(fetches(&world(8), "m0"));
 }
 
-fn copy_from_the_store_is_no_reason_to_wait() {
-    let crowd = || {
+fn store_load_does_not_block_disk_load() {
+    let hot_world = || {
         World::new(4)
             .holding(0, "m0")
             .running(0, "m0", 50)
             .fetching(1, "m0")
     };
     assert!(
-        crowd()
+        hot_world()
             .on_disk(2, "m0")
             .steps()
             .contains(&load(2, "m0", Tier::Disk))
     );
-    let second = |step: &Step| matches!(step, Step::Load { model, .. } if model == "m0");
+    let is_second_replica = |step: &Step| matches!(step, Step::Load { model, .. } if model == "m0");
     assert!(
-        !crowd().steps().iter().any(second),
-        "one comes from the store"
+        !hot_world().steps().iter().any(is_second_replica),
+        "a replica is already being loaded from the store"
     );
 }
 
-fn crowd_waits_for_a_busy_disk() {
-    let crowd = World::new(3).holding(0, "m0").running(0, "m0", 50);
-    let steps = crowd.on_disk(1, "m0").busy(1).steps();
-    let second = |step: &Step| matches!(step, Step::Load { model, .. } if model == "m0");
-    assert!(!steps.iter().any(second));
+fn hot_model_is_not_fetched_while_disk_is_busy() {
+    let hot_world = World::new(3).holding(0, "m0").running(0, "m0", 50);
+    let steps = hot_world.on_disk(1, "m0").busy(1).steps();
+    let is_second_replica = |step: &Step| matches!(step, Step::Load { model, .. } if model == "m0");
+    assert!(!steps.iter().any(is_second_replica));
 }
 
-fn queue_of_full_engines_is_forecast() {
+fn queue_of_full_engines_has_forecast() {
     let world = |running| {
         let mut world = World::new(1).holding(0, "m0").running(0, "m0", running);
-        world.drains.insert("m0".into(), 10.0);
-        let world = world.wanted("m0").wanted_adapter("m0", Some("a1"));
+        world.drain_rates.insert("m0".into(), 10.0);
+        let world = world.pending("m0").pending_adapter("m0", Some("a1"));
         plan::forecast(&world.view())
     };
     assert_eq!(world(8), [("m0".into(), Duration::from_millis(200))]);
-    let beyond = [("m0".into(), Duration::from_millis(500))];
-    assert_eq!(world(11), beyond, "three wait at the engine itself");
-    assert_eq!(world(7), [], "a place is free");
+    let with_engine_queue = [("m0".into(), Duration::from_millis(500))];
+    assert_eq!(
+        world(11),
+        with_engine_queue,
+        "three requests wait at the engine itself"
+    );
+    assert_eq!(world(7), [], "a slot is free");
 }
 
-fn no_forecast_while_a_copy_comes() {
+fn no_forecast_while_local_load_runs() {
     let mut world = World::new(2).holding(0, "m0").running(0, "m0", 8).busy(1);
-    world.drains.insert("m0".into(), 10.0);
+    world.drain_rates.insert("m0".into(), 10.0);
     world.engines[1].loading = Some("m0".into());
-    let mut world = world.wanted("m0");
+    let mut world = world.pending("m0");
     assert_eq!(plan::forecast(&world.view()), []);
     world.engines[1].fetching = true;
     assert!(
@@ -223,7 +232,7 @@
     );
 }
 
-fn crowded_model_is_copied_from_a_disk() {
+fn hot_model_is_replicated_from_disk() {
     let world = World::new(2)
         .all_on_disk(0)
         .all_on_disk(1)
@@ -232,30 +241,30 @@
     assert_eq!(world.steps(), [load(1, "m0", Tier::Disk)]);
 }
 
-fn one_order_for_each_engine() {
+fn steps_use_distinct_engines() {
     let world = World::new(2)
         .all_on_disk(0)
         .all_on_disk(1)
-        .wanted("m1")
-        .wanted("m2")
-        .wanted("m3");
+        .pending("m1")
+        .pending("m2")
+        .pending("m3");
     let engines: Vec<usize> = world.steps().iter().map(Step::engine).collect();
     assert_eq!(engines.len(), 2);
     assert_ne!(engines[0], engines[1]);
 }
 
 fn unusable_engine_gets_no_order() {
-    let mut world = World::new(1).all_on_disk(0).wanted("m1");
+    let mut world = World::new(1).all_on_disk(0).pending("m1");
     world.engines[0].usable = false;
     assert_eq!(world.steps(), []);
 }
 
-fn adapter_is_brought_where_its_model_is() {
+fn adapter_is_loaded_beside_its_model() {
     let world = World::new(2)
         .all_on_disk(0)
         .all_on_disk(1)
         .holding(1, "m0")
-        .wanted_adapter("m0", Some("a1"));
+        .pending_adapter("m0", Some("a1"));
     let expected = Step::LoadAdapter {
         engine: 1,
         model: "m0".into(),
@@ -264,16 +273,16 @@
     assert_eq!(world.steps(), [expected]);
 }
 
-fn idle_adapter_makes_room() {
+fn unused_adapter_is_unloaded() {
     let mut world = World::new(1)
         .all_on_disk(0)
         .holding(0, "m0")
-        .wanted_adapter("m0", Some("a3"));
+        .pending_adapter("m0", Some("a3"));
     let adapters = world.engines[0]
         .held
         .models
         .get_mut("m0")
-        .expect("it is held");
+        .expect("the engine holds m0");
     adapters.extend([SmolStr::new("a1"), SmolStr::new("a2")]);
     let key = (SmolStr::new("m0"), Some(SmolStr::new("a1")));
     world.engines[0].running.insert(key, 1);
@@ -285,29 +294,29 @@
     assert_eq!(world.steps(), [expected]);
 }
 
-fn forecast_counts_what_is_ahead_at_the_store() {
+fn forecast_counts_store_loads_ahead() {
     let world = World::new(8)
         .fetching(0, "m8")
         .fetching(1, "m9")
         .fetching(2, "m7")
         .fetching(3, "m6")
         .on_disk(4, "m0")
-        .wanted("m0")
-        .wanted("m1");
+        .pending("m0")
+        .pending("m1");
     let expected = [(SmolStr::new("m1"), Duration::from_secs(12))];
     assert_eq!(plan::forecast(&world.view()), expected);
 }
 
-fn forecast_tells_when_a_running_load_ends() {
-    let mut world = World::new(2).fetching(0, "m8").wanted("m8");
+fn forecast_is_remaining_time_of_running_load() {
+    let mut world = World::new(2).fetching(0, "m8").pending("m8");
     world.engines[0].loading_since = Some(Instant(NOW.0 - 2000));
     let expected = [(SmolStr::new("m8"), Duration::from_secs(4))];
     assert_eq!(plan::forecast(&world.view()), expected);
 }
 
-/// Any state of the engines, any wants. No order may put more into an engine than it holds, go to an engine
-/// that carries one out, unload what runs, or pass the weight store's limit.
-fn any_plan_is_safe() {
+/// Plans from arbitrary states and demand. No order may exceed an engine's memory, go to an engine that is
+/// executing one, unload a model in use, or exceed the limit of the weight store.
+fn plans_from_arbitrary_states_are_safe() {
     arbtest(|u| {
         let mut world = World::new(u.int_in_range(1..=5)?);
         let models: Vec<SmolStr> = world.config.models.keys().cloned().collect();
@@ -328,25 +337,28 @@
             world.engines[engine].usable = u.ratio(4, 5)?;
         }
         for _ in 0..u.int_in_range(0..=6)? {
-            world = world.wanted(u.choose(&models)?);
+            world = world.pending(u.choose(&models)?);
         }
         let steps = world.steps();
-        let already = world
+        let active_fetches = world
             .engines
             .iter()
             .filter(|engine| engine.fetching)
             .count();
-        assert!(fetched(&steps) == 0 || already + fetched(&steps) <= world.fetches);
+        assert!(
+            count_fetches(&steps) == 0
+                || active_fetches + count_fetches(&steps) <= world.max_fetches
+        );
         let mut ordered = BTreeSet::new();
         for step in &steps {
-            assert!(ordered.insert(step.engine()), "two orders for one engine");
-            check(&world, step);
+            assert!(ordered.insert(step.engine()), "one engine got two orders");
+            check_step(&world, step);
         }
         Ok(())
     });
 }
 
-fn check(world: &World, step: &Step) {
+fn check_step(world: &World, step: &Step) {
     let engine = &world.engines[step.engine()];
     assert!(
         engine.usable && !engine.order_pending && !engine.held.busy,
@@ -370,82 +382,91 @@
     }
 }
 
-fn overloaded_engine(rate: f64, expected: &[Step]) {
+fn check_overloaded_engine(rate: f64, expected: &[Step]) {
     let world = World::new(2)
         .holding(0, "m0")
         .limited(0, 2.0)
         .all_on_disk(1)
         .rate("m0", rate)
-        .wanted("m0");
+        .pending("m0");
     assert_eq!(world.steps(), expected);
 }
 
-fn load_beside_an_overloaded_engine() {
+fn load_avoids_overloaded_engine() {
     let world = World::new(2).on_disk(0, "m0").on_disk(1, "m0");
-    let world = world.limited(0, 2.0).rate("m1", 1.0).wanted("m0");
-    let wanted = load(1, "m0", Tier::Disk);
-    assert_eq!(world.steps().first(), Some(&wanted));
+    let world = world.limited(0, 2.0).rate("m1", 1.0).pending("m0");
+    let expected = load(1, "m0", Tier::Disk);
+    assert_eq!(world.steps().first(), Some(&expected));
 }
 
 cases! {
-    /// Callers of a model would wait for an engine that takes fewer requests than they send.
-    copy_beside_an_overloaded_engine => overloaded_engine(5.0, &[load(1, "m0", Tier::Disk)]);
-    /// An engine that takes all requests of its models needs no second copy.
-    overloaded_engine_that_is_enough => overloaded_engine(1.0, &[]);
-    /// A load would take what little the engine can still do.
-    no_load_to_an_overloaded_engine => load_beside_an_overloaded_engine();
-    /// The weight store takes six seconds and is shared by all; a disk takes one.
-    disk_before_store => wanted_model_comes_from_a_disk();
+    /// An engine accepts fewer requests than its model receives, so callers would wait without a second
+    /// replica.
+    overloaded_engine_gets_replica_elsewhere => check_overloaded_engine(5.0, &[load(1, "m0", Tier::Disk)]);
+    /// An engine that accepts all requests of its models needs no second replica.
+    sufficient_engine_gets_no_replica => check_overloaded_engine(1.0, &[]);
+    /// A load on an overloaded engine would take what little capacity it has left.
+    overloaded_engine_gets_no_load => load_avoids_overloaded_engine();
+    /// A load takes six seconds from the shared weight store and one from a disk.
+    disk_is_preferred_to_store => pending_model_is_loaded_from_disk();
     /// The only disk with a copy belongs to an engine that is busy for a second. A load from the store would
-    /// keep another engine busy for six, and the store from a model that has no copy at all.
-    busy_disk_before_store => copy_on_a_busy_disk_is_waited_for();
-    /// Room is made. If the model that most ask for went, its callers would wait at once.
-    eviction_by_rate => least_wanted_model_makes_room();
-    /// An unload waits for its runs, and the engine takes no other order meanwhile.
-    no_eviction_in_use => model_in_use_stays();
-    /// Requests wait for three models where two fit. If they pushed each other out, none would ever be served.
-    no_thrashing => model_that_others_wait_for_stays();
-    /// An engine rests after an unload, while the model that it makes room for is still waited for.
-    swap_begun_is_finished => room_is_made_once();
+    /// occupy another engine for six seconds, and would delay a model that has no copy at all.
+    busy_disk_is_preferred_to_store => copy_on_busy_disk_is_waited_for();
+    /// If the most requested model were evicted, its callers would have to wait at once.
+    model_with_lowest_rate_is_evicted => least_requested_model_makes_room();
+    /// An unload waits for the running requests, and the engine accepts no other order meanwhile.
+    model_in_use_is_not_evicted => model_with_running_requests_stays();
+    /// Requests wait for three models where two fit. If the models evicted each other, none would ever be
+    /// served.
+    pending_models_do_not_evict_each_other => pending_model_stays();
+    /// An engine pauses after an unload. The next plan must not make room for the same model at another
+    /// engine.
+    started_swap_is_finished => room_is_made_on_one_engine_only();
     /// Two loads may run at the weight store, and one engine has yet to make room for the second.
-    store_limit_with_room => room_for_a_load_from_the_store_counts_as_one();
-    /// More loads at once are each slower in proportion, and keep more engines from swapping.
-    store_limit => few_loads_from_the_store_run_at_once();
-    /// A busy model calls for copies while others are nowhere; their callers would never be served. Only when its engines
-    /// are full it gets one, and the others still get the rest.
-    store_for_the_homeless => no_second_copy_from_the_store_while_a_model_has_none();
-    /// Requests crowd on one copy, and each makes all others of its batch slower.
-    copies_for_crowds => crowded_model_is_copied_from_a_disk();
-    /// Demand moves to a model with one copy. A few long prompts keep its engine reading for as long as their callers
-    /// wait; counted as requests they are no crowd, and all of them would come late.
-    copies_for_long_prompts => few_long_prompts_are_a_crowd_too();
-    /// The same while other models have no copy, which nobody asks for. If these went first, the callers of the one
-    /// in demand would be late or refused for as long as that takes, which may be ten seconds and more.
-    store_for_the_overwhelmed => overwhelmed_engine_is_relieved_from_the_store();
-    /// A model becomes popular whose only copy is full, and no other disk has it. Behind loads of models that one caller
-    /// asks for now and then, its copy came ten seconds later, and of thirty callers a second half were refused until then.
-    store_for_the_crowd => crowd_goes_first_at_the_store();
-    /// A crowd's next copy comes from the store, ten seconds away, when an engine with one on its disk becomes free.
-    disks_beside_the_store => copy_from_the_store_is_no_reason_to_wait();
-    /// The engine that has a copy on its disk is busy for half a second. Fetched elsewhere, it would come ten seconds later.
-    crowd_and_busy_disk => crowd_waits_for_a_busy_disk();
-    /// More come for a model than its engines can run. A caller that waits in vain learns that only when it is too late.
-    forecast_of_a_queue => queue_of_full_engines_is_forecast();
-    /// A copy comes from a disk within a second: sent away now, callers would miss it.
-    no_forecast_before_a_copy => no_forecast_while_a_copy_comes();
-    /// An engine refuses an order while it carries out another.
-    one_order_at_a_time => one_order_for_each_engine();
-    /// An engine that leaves would take a model with it.
-    leaving_engine => unusable_engine_gets_no_order();
-    /// An adapter without its model is an order that doesn't exist.
-    adapter_beside_its_model => adapter_is_brought_where_its_model_is();
-    /// All places for adapters are taken, one of them by a running request.
-    adapter_room => idle_adapter_makes_room();
-    /// A caller is told when to come back; a time that leaves out those ahead brings it back too early.
-    forecast => forecast_counts_what_is_ahead_at_the_store();
-    /// A model comes from the weight store, which takes longer than its callers can wait. Not told, they would wait in
-    /// vain and be refused only when it is too late to ask elsewhere.
-    forecast_of_a_running_load => forecast_tells_when_a_running_load_ends();
-    /// Any state of the engines.
-    any_state => any_plan_is_safe();
+    store_limit_counts_planned_loads => making_room_for_store_load_counts_as_load();
+    /// Each additional concurrent load is slower in proportion and keeps another engine from swapping.
+    store_loads_are_limited => store_loads_stay_within_limit();
+    /// A hot model needs replicas while other models have no copy at all. If it took all loads from the
+    /// store, the callers of those models would never be served. It gets one replica only when its engines
+    /// are full, and the other models still get the remaining loads.
+    models_without_copy_are_fetched_first => store_replica_waits_for_models_without_copy();
+    /// Many requests run on one replica, and each slows down all others of its batch.
+    hot_model_gets_replica => hot_model_is_replicated_from_disk();
+    /// Demand moves to a model with one replica. A few long prompts keep its engine prefilling for as long as
+    /// their callers wait. By the number of requests the model isn't hot, so all of them would be late.
+    long_prompts_add_replica => prefill_wait_adds_replica();
+    /// As above, while other models without a copy receive no requests. If those were fetched first, callers
+    /// of the model in demand would be late or refused for ten seconds and more.
+    saturated_engine_is_relieved_before_prefetch => saturated_engine_is_relieved_from_store();
+    /// A model becomes popular whose only replica is full and that no other disk stores. Queued behind models
+    /// that a single caller requests now and then, its replica came ten seconds later, and half of the thirty
+    /// callers per second were refused until then.
+    saturated_model_is_fetched_first => full_replica_takes_precedence_at_store();
+    /// The next replica of a hot model comes from the store, ten seconds away, when an engine that has the
+    /// model on its disk becomes free.
+    disk_replica_is_loaded_beside_store_load => store_load_does_not_block_disk_load();
+    /// The engine that has a copy on its disk is busy for half a second. A load from the store on another
+    /// engine would take ten seconds.
+    hot_model_waits_for_busy_disk => hot_model_is_not_fetched_while_disk_is_busy();
+    /// A model receives more requests than its engines can run. Without a forecast, a caller that waits in
+    /// vain learns it only when it is too late.
+    forecast_covers_queue_of_full_engines => queue_of_full_engines_has_forecast();
+    /// A replica is loaded from a disk within a second. Callers turned away now would miss it.
+    local_load_suppresses_forecast => no_forecast_while_local_load_runs();
+    /// An engine refuses an order while it executes another.
+    engine_gets_one_order_per_plan => steps_use_distinct_engines();
+    /// A model loaded on a leaving engine is lost with it.
+    leaving_engine_gets_no_order => unusable_engine_gets_no_order();
+    /// An adapter can only be loaded where its model is.
+    adapter_needs_its_model => adapter_is_loaded_beside_its_model();
+    /// All adapter slots are in use, one of them by a running request.
+    idle_adapter_is_evicted => unused_adapter_is_unloaded();
+    /// Callers are told when to retry. A forecast that ignores the loads ahead would bring them back too
+    /// early.
+    forecast_includes_loads_ahead => forecast_counts_store_loads_ahead();
+    /// A model is loaded from the weight store, which takes longer than its callers can wait. Without a
+    /// forecast they would wait in vain and be refused only when it is too late to go elsewhere.
+    forecast_covers_running_load => forecast_is_remaining_time_of_running_load();
+    /// Plans from arbitrary states keep all limits.
+    arbitrary_states => plans_from_arbitrary_states_are_safe();
 }
--- a/crates/fireflywheel/tests/fleet/plan/world.rs
+++ b/crates/fireflywheel/tests/fleet/plan/world.rs
@@ -1,4 +1,4 @@
-//! States from which plans are made.
+//! Builder of the states that plans are made from.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,18 +11,18 @@
 
 pub const NOW: Instant = Instant(100_000);
 
-/// A state from which a plan is made.
+/// A fleet state that a plan is made from. `max_fetches` is the limit of concurrent loads from the weight store.
 pub struct World {
     pub config: Engine,
     pub engines: Vec<EngineState>,
-    pub wants: Vec<Pending>,
-    pub rates: BTreeMap<SmolStr, f64>,
-    pub drains: BTreeMap<SmolStr, f64>,
-    pub fetches: usize,
+    pub pending: Vec<Pending>,
+    pub arrival_rates: BTreeMap<SmolStr, f64>,
+    pub drain_rates: BTreeMap<SmolStr, f64>,
+    pub max_fetches: usize,
 }
 
 impl World {
-    /// Engines that hold two of ten models of the same size.
+    /// Creates engines that each fit two of ten models of equal size.
     pub fn new(engines: usize) -> Self {
         let model = Model {
             memory_mb: 40.0,
@@ -48,10 +48,10 @@
         Self {
             config,
             engines: vec![engine; engines],
-            wants: Vec::new(),
-            rates: BTreeMap::new(),
-            drains: BTreeMap::new(),
-            fetches: concurrency::Estimate::default().limit(),
+            pending: Vec::new(),
+            arrival_rates: BTreeMap::new(),
+            drain_rates: BTreeMap::new(),
+            max_fetches: concurrency::Estimate::default().limit(),
         }
     }
 
@@ -102,16 +102,16 @@
     }
 
     pub fn rate(mut self, model: &str, rate: f64) -> Self {
-        self.rates.insert(model.into(), rate);
+        self.arrival_rates.insert(model.into(), rate);
         self
     }
 
-    pub fn wanted(self, model: &str) -> Self {
-        self.wanted_adapter(model, None)
+    pub fn pending(self, model: &str) -> Self {
+        self.pending_adapter(model, None)
     }
 
-    pub fn wanted_adapter(mut self, model: &str, adapter: Option<&str>) -> Self {
-        self.wants.push(Pending {
+    pub fn pending_adapter(mut self, model: &str, adapter: Option<&str>) -> Self {
+        self.pending.push(Pending {
             model: model.into(),
             adapter: adapter.map(SmolStr::new),
             waiting: 1,
@@ -126,10 +126,10 @@
             now: NOW,
             config: &self.config,
             engines: &self.engines,
-            pending: &self.wants,
-            arrival_rates: &self.rates,
-            drain_rates: &self.drains,
-            max_fetches: self.fetches,
+            pending: &self.pending,
+            arrival_rates: &self.arrival_rates,
+            drain_rates: &self.drain_rates,
+            max_fetches: self.max_fetches,
             concurrency: concurrency::Estimate::default(),
         }
     }
--- a/crates/fireflywheel/tests/fleet/routing.rs
+++ b/crates/fireflywheel/tests/fleet/routing.rs
@@ -1,4 +1,4 @@
-//! Requests go to the least loaded server that answers as it should.
+//! Tests of server selection: requests go to the least loaded server that responds correctly.
 
 use fireflywheel::clock::Instant;
 use fireflywheel::fleet::routing::{self, Candidate, Report, Stats};
@@ -17,12 +17,12 @@
     }
 }
 
-/// How often each of two servers is chosen over draws.
+/// Counts how often each of two servers is chosen over 100 draws.
 fn shares(first: Candidate<'_>, second: Candidate<'_>) -> [usize; 2] {
     let mut shares = [0; 2];
     for draw in 0..100 {
-        let place = routing::pick(NOW, &[first, second], draw).expect("one has room");
-        shares[place] += 1;
+        let index = routing::pick(NOW, &[first, second], draw).expect("both servers have room");
+        shares[index] += 1;
     }
     shares
 }
@@ -33,17 +33,17 @@
     stats
 }
 
-fn equals_share() {
+fn equal_servers_share_requests() {
     let stats = Stats::default();
     assert_eq!(shares(candidate(&stats), candidate(&stats)), [50, 50]);
 }
 
-fn less_loaded_wins() {
+fn less_loaded_server_is_chosen() {
     let (idle, busy) = (Stats::default(), loaded(3));
     assert_eq!(shares(candidate(&busy), candidate(&idle)), [0, 100]);
 }
 
-fn report_of_others_counts() {
+fn load_report_counts() {
     let (idle, mut busy) = (loaded(1), Stats::default());
     let report = Report {
         running: 6,
@@ -54,7 +54,7 @@
     assert_eq!(shares(candidate(&busy), candidate(&idle)), [0, 100]);
 }
 
-fn old_report_is_forgotten() {
+fn outdated_report_is_ignored() {
     let (loaded, mut stats) = (loaded(1), Stats::default());
     let report = Report {
         running: 8,
@@ -65,27 +65,27 @@
     assert_eq!(shares(candidate(&stats), candidate(&loaded)), [100, 0]);
 }
 
-fn failing_server_is_left_alone() {
+fn failing_server_is_avoided() {
     let (mut failing, busy) = (Stats::default(), loaded(4));
     failing.record_failure(NOW);
     failing.record_failure(NOW);
     assert_eq!(shares(candidate(&failing), candidate(&busy)), [0, 100]);
 }
 
-fn failing_server_gets_another_chance() {
+fn recovered_server_is_chosen() {
     let (mut failing, busy) = (Stats::default(), loaded(2));
     failing.record_failure(Instant(NOW.0 - 15_000));
     assert_eq!(shares(candidate(&failing), candidate(&busy)), [100, 0]);
 }
 
-fn unreachable_server_comes_last() {
+fn unreachable_server_is_last_choice() {
     let (mut down, full) = (Stats::default(), loaded(40));
     down.record_unreachable(NOW);
     assert_eq!(shares(candidate(&down), candidate(&full)), [0, 100]);
     assert_eq!(routing::pick(NOW, &[candidate(&down)], 0), Some(0));
 }
 
-fn full_server_is_not_asked_again_at_once() {
+fn full_server_is_skipped_briefly() {
     let mut full = Stats::default();
     full.record_full(NOW);
     assert_eq!(routing::pick(NOW, &[candidate(&full)], 0), None);
@@ -95,27 +95,28 @@
     );
 }
 
-/// A server with so much of the time of a first event to read.
-fn reading(stats: &Stats, reading: f64) -> Candidate<'_> {
+/// A server with a prefill time of `ratio` objectives.
+fn with_prefill(stats: &Stats, ratio: f64) -> Candidate<'_> {
     Candidate {
-        prefill_ratio: reading,
+        prefill_ratio: ratio,
         ..candidate(stats)
     }
 }
 
-fn server_that_keeps_the_prompt_wins_until_it_is_loaded() {
+fn cached_prefix_wins_until_server_is_loaded() {
     let (stats, busy) = (Stats::default(), loaded(3));
-    let (kept, anew) = (0.1, 0.3);
-    let shares_of = |keeper, other| shares(reading(other, anew), reading(keeper, kept));
+    let (cached, uncached) = (0.1, 0.3);
+    let shares_of =
+        |caching, other| shares(with_prefill(other, uncached), with_prefill(caching, cached));
     assert_eq!(shares_of(&stats, &stats), [0, 100]);
     assert_eq!(shares_of(&busy, &stats), [100, 0]);
     assert_eq!(
-        shares(reading(&stats, anew), reading(&stats, 0.4)),
+        shares(with_prefill(&stats, uncached), with_prefill(&stats, 0.4)),
         [100, 0]
     );
 }
 
-fn engine_that_others_fill_is_left_alone() {
+fn engine_filled_by_others_is_skipped() {
     let stats = Stats::default();
     let others = |others| Candidate {
         other_requests: others,
@@ -127,33 +128,35 @@
     assert_eq!(routing::pick(NOW, &[others(12)], 0), None);
 }
 
-fn own_requests_alone_say_nothing_of_room() {
+fn own_requests_do_not_fill_server() {
     let busy = loaded(20);
     assert!(routing::pick(NOW, &[candidate(&busy)], 0).is_some());
 }
 
 cases! {
-    /// A crowd on one engine, sent by instances that each see only their own requests. What waits there is late, and can't
-    /// go to the copy of its model that comes a moment later.
-    filled_by_others => engine_that_others_fill_is_left_alone();
-    /// No steward tells of others: an engine has room until it says otherwise, as far as an instance knows.
-    untold => own_requests_alone_say_nothing_of_room();
-    /// All instances see the same idle servers; if they chose alike, one server would get the whole burst.
-    equals => equals_share();
-    /// A batch that is fuller makes each token slower.
-    by_load => less_loaded_wins();
-    /// Other instances use the server too.
-    by_report => report_of_others_counts();
-    /// A report from before a quiet spell would keep a server idle for ever.
-    old_report => old_report_is_forgotten();
-    /// A server fails requests while its health check is good.
-    failing => failing_server_is_left_alone();
-    /// It was mended meanwhile. Left alone for ever, its room is lost.
-    another_chance => failing_server_gets_another_chance();
-    /// A server can't be reached; each try costs its request part of its time.
-    unreachable => unreachable_server_comes_last();
-    /// A server had no room a moment ago. Asked at once it would use up the repeats.
-    full => full_server_is_not_asked_again_at_once();
-    /// A long prompt was read there before.
-    warm => server_that_keeps_the_prompt_wins_until_it_is_loaded();
+    /// Instances that each see only their own requests fill one engine. Requests queued there are late and
+    /// can't move to the replica of their model that is loaded a moment later.
+    requests_of_others_fill_engine => engine_filled_by_others_is_skipped();
+    /// Without a steward's report, an engine has room until it refuses a request, as far as an instance
+    /// knows.
+    server_has_room_without_report => own_requests_do_not_fill_server();
+    /// All instances see the same idle servers. If they made the same choice, one server would receive the
+    /// whole burst.
+    ties_are_spread_over_servers => equal_servers_share_requests();
+    /// A fuller batch makes each token slower.
+    load_decides => less_loaded_server_is_chosen();
+    /// Other instances use the server too, which its load report shows.
+    report_of_other_load_decides => load_report_counts();
+    /// A report from before a quiet period would keep a server idle forever.
+    old_report_expires => outdated_report_is_ignored();
+    /// A server fails requests while its health check succeeds.
+    failing_server_is_skipped => failing_server_is_avoided();
+    /// The server has recovered. If it were never chosen again, its capacity would be lost.
+    failures_are_forgotten => recovered_server_is_chosen();
+    /// Each attempt at an unreachable server costs its request time.
+    unreachable_server_is_used_only_without_others => unreachable_server_is_last_choice();
+    /// A server had no room a moment ago. Retrying it at once would use up the retry budget.
+    server_without_room_is_not_retried_at_once => full_server_is_skipped_briefly();
+    /// A server has the prefix of a long prompt cached.
+    prefix_cache_decides => cached_prefix_wins_until_server_is_loaded();
 }
--- a/crates/fireflywheel/tests/fleet/timeout.rs
+++ b/crates/fireflywheel/tests/fleet/timeout.rs
@@ -1,4 +1,4 @@
-//! How long a request is kept, and when it should come back.
+//! Tests of request time-outs and retry delays.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Duration::from_millis(value)
 }
 
-fn route(kind: Kind, objective: u64, pause: Option<u64>) -> Route {
+fn route(kind: Kind, objective: u64, max_event_gap: Option<u64>) -> Route {
     Route {
         name: "r".into(),
         host: "h".into(),
@@ -19,7 +19,7 @@
         kind,
         timeout: millis(20_000),
         objective: millis(objective),
-        max_event_gap: pause.map(millis),
+        max_event_gap: max_event_gap.map(millis),
         rank: 0,
         targets: Vec::new(),
         attempts: 1,
@@ -27,54 +27,60 @@
     }
 }
 
-fn first_byte(kind: Kind, objective: u64, pause: Option<u64>, deadline: u64, expected: u64) {
-    let route = route(kind, objective, pause);
+fn check_first_byte(
+    kind: Kind,
+    objective: u64,
+    max_event_gap: Option<u64>,
+    deadline: u64,
+    expected: u64,
+) {
+    let route = route(kind, objective, max_event_gap);
     assert_eq!(
         timeout::first_byte(&route, millis(deadline)),
         millis(expected)
     );
 }
 
-fn retry_after(wait: u64, left: u64, expected: u64) {
+fn check_retry_after(wait: u64, remaining: u64, expected: u64) {
     assert_eq!(
-        timeout::retry_after(millis(wait), millis(left), 0.0),
+        timeout::retry_after(millis(wait), millis(remaining), 0.0),
         millis(expected)
     );
 }
 
-fn callers_are_spread() {
+fn retries_are_spread() {
     let waits = [0.0, 0.5, 1.0].map(|draw| timeout::retry_after(millis(1000), millis(9000), draw));
     assert_eq!(waits, [millis(1000), millis(1125), millis(1250)]);
 }
 
-fn outage(lasted: u64, expected: u64) {
-    assert_eq!(timeout::remaining_outage(millis(lasted)), millis(expected));
+fn check_remaining_outage(elapsed: u64, expected: u64) {
+    assert_eq!(timeout::remaining_outage(millis(elapsed)), millis(expected));
 }
 
 cases! {
-    /// Callers that were refused together come back together, and most are refused again.
-    no_wave => callers_are_spread();
-    /// An instance has just started, and will know its configuration in a moment.
-    just_started => outage(10, 300);
-    /// The store is silent after a start. Callers come back once; asked back within moments, all of them would use that up
-    /// while it is still silent.
-    long_outage => outage(1000, 4000);
-    /// A caller of a plain service waits for its deadline.
-    plain_service => first_byte(Kind::Once, 100, None, 600, 600);
-    /// The route's time ends before the caller's.
-    route_s_time => first_byte(Kind::Once, 100, None, 60_000, 20_000);
+    /// Callers that were refused together would retry together, and most would be refused again.
+    refused_callers_retry_at_different_times => retries_are_spread();
+    /// An instance has just started and will read its configuration in a moment.
+    short_outage_has_minimum_estimate => check_remaining_outage(10, 300);
+    /// The store doesn't answer after a start. Callers retry once; if they were asked to retry within
+    /// moments, all of them would use up that retry while it is still silent.
+    outage_estimate_grows_with_duration => check_remaining_outage(1000, 4000);
+    /// A caller of a non-streaming service waits until its deadline.
+    plain_request_waits_until_deadline => check_first_byte(Kind::Once, 100, None, 600, 600);
+    /// The route's time-out ends before the caller's deadline.
+    route_timeout_caps_wait => check_first_byte(Kind::Once, 100, None, 60_000, 20_000);
     /// A caller of a stream leaves after four objectives.
-    by_objective => first_byte(Kind::Stream, 2500, Some(400), 20_000, 10_000);
-    /// Or after eight pauses, where those are longer.
-    by_pause => first_byte(Kind::Stream, 600, Some(400), 20_000, 3200);
-    /// Or after two seconds.
-    at_least => first_byte(Kind::Resumable, 100, None, 20_000, 2000);
-    /// Its deadline comes first.
-    stream_deadline => first_byte(Kind::Stream, 2500, None, 1500, 1500);
-    /// What is ready in a second is worth coming back for then.
-    when_ready => retry_after(1000, 9000, 1000);
-    /// Callers come back within a third of what they have left.
-    within_reach => retry_after(8000, 9000, 3000);
-    /// A crowd that is sent away for no time comes back at once.
-    not_at_once => retry_after(0, 9000, 50);
+    stream_waits_four_objectives => check_first_byte(Kind::Stream, 2500, Some(400), 20_000, 10_000);
+    /// It leaves after eight event gaps where those are longer.
+    stream_waits_eight_event_gaps => check_first_byte(Kind::Stream, 600, Some(400), 20_000, 3200);
+    /// It waits for at least two seconds.
+    stream_waits_at_least_two_seconds => check_first_byte(Kind::Resumable, 100, None, 20_000, 2000);
+    /// The deadline of a stream's caller comes first.
+    deadline_caps_stream_wait => check_first_byte(Kind::Stream, 2500, None, 1500, 1500);
+    /// A caller retries when the model is expected to be ready.
+    caller_retries_when_ready => check_retry_after(1000, 9000, 1000);
+    /// Callers retry within a third of their remaining time.
+    retry_leaves_time_before_deadline => check_retry_after(8000, 9000, 3000);
+    /// Many callers that are refused without a wait would retry at once.
+    retry_is_never_immediate => check_retry_after(0, 9000, 50);
 }
--- a/crates/fireflywheel/tests/fleet/tracker.rs
+++ b/crates/fireflywheel/tests/fleet/tracker.rs
@@ -1,4 +1,4 @@
-//! What a plan is told of an engine between an order and its answer.
+//! Tests of the engine state that a plan sees between an order and its answer.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     tracker.engine_state(now, std::collections::BTreeMap::new(), 0)
 }
 
-/// An engine that has reported that it holds nothing.
+/// Creates a tracker whose engine has reported that it holds nothing.
 fn reported() -> Tracker {
     let mut tracker = Tracker::new("engines".into(), server());
     tracker.report_requested(NOW);
@@ -51,15 +51,15 @@
     }
 }
 
-fn unload(model: &str, wanted: &str) -> Step {
+fn unload(model: &str, replacement: &str) -> Step {
     Step::Unload {
         engine: 0,
         model: model.into(),
-        wanted: wanted.into(),
+        replacement: replacement.into(),
     }
 }
 
-fn order_counts_from_its_sending() {
+fn sent_order_counts_at_once() {
     let mut tracker = reported();
     tracker.order_sent(later(1), fetch("m1"));
     let state = state(&mut tracker, later(2));
@@ -68,7 +68,7 @@
     assert!(state.order_pending);
 }
 
-fn refused_order_counts_no_more() {
+fn refused_order_stops_counting() {
     let mut tracker = reported();
     tracker.order_sent(later(1), fetch("m1"));
     tracker.order_conflicted(later(3));
@@ -77,7 +77,7 @@
     assert!(!state.fetching);
 }
 
-fn unanswered_order_counts_until_a_report() {
+fn unanswered_order_counts_until_report() {
     let mut tracker = reported();
     tracker.order_sent(later(1), fetch("m1"));
     tracker.order_unanswered(later(700));
@@ -89,7 +89,7 @@
     assert!(!state.order_pending);
 }
 
-fn adapter_counts_from_its_sending() {
+fn sent_adapter_order_counts_at_once() {
     let mut tracker = reported();
     let step = Step::LoadAdapter {
         engine: 0,
@@ -97,11 +97,14 @@
         adapter: "a1".into(),
     };
     tracker.order_sent(later(1), step);
-    let coming = state(&mut tracker, later(2)).held.loading_adapters;
-    assert_eq!(coming, BTreeSet::from([("m1".into(), "a1".into())]));
+    let loading_adapters = state(&mut tracker, later(2)).held.loading_adapters;
+    assert_eq!(
+        loading_adapters,
+        BTreeSet::from([("m1".into(), "a1".into())])
+    );
 }
 
-fn room_is_kept_for_its_model() {
+fn freed_memory_stays_reserved() {
     let mut tracker = reported();
     let step = unload("m1", "m2");
     tracker.order_sent(later(1), step.clone());
@@ -110,7 +113,7 @@
         Some("m2")
     );
     tracker.order_accepted(later(3), &step, Duration::ZERO, 1);
-    // No order goes to it yet, so that a plan without one says nothing.
+    // The engine can't take an order yet, so a plan without one for it says nothing.
     tracker.not_planned(later(4));
     assert_eq!(
         state(&mut tracker, later(5)).making_room_for.as_deref(),
@@ -118,7 +121,7 @@
     );
 }
 
-fn room_is_given_up_when_a_plan_does_otherwise() {
+fn reservation_ends_without_order() {
     let mut tracker = reported();
     let step = unload("m1", "m2");
     tracker.order_sent(later(1), step.clone());
@@ -128,19 +131,22 @@
 }
 
 cases! {
-    /// Plans are made every few milliseconds while callers wait, and an engine's answer takes as long. If an order counted
-    /// only once it is answered, the next plan would send the same load to a second engine: the weight store, which bears
-    /// two at once, is asked for ten, and callers wait five times as long.
-    order_on_its_way => order_counts_from_its_sending();
-    /// An engine refuses an order. If it went on to count, the model would never be loaded elsewhere.
-    refused_order => refused_order_counts_no_more();
-    /// The answer to an order is lost. The engine may load all the same, which only its report tells.
-    lost_answer => unanswered_order_counts_until_a_report();
-    /// The same for an adapter, which would be loaded at each engine that holds its model.
-    adapter_on_its_way => adapter_counts_from_its_sending();
-    /// An engine rests for a moment after an unload. If the next plan forgot what that was for, it would unload a model
-    /// at another engine as well, and callers would find two models gone where one was to come.
-    room_while_it_rests => room_is_kept_for_its_model();
-    /// Nobody wants the model any more. The engine must be free for others.
-    room_no_longer_needed => room_is_given_up_when_a_plan_does_otherwise();
+    /// Plans are made every few milliseconds while callers wait, and an engine's answer takes as long. If an
+    /// order counted only once it is answered, the next plan would send the same load to a second engine: the
+    /// weight store, which runs two loads at full speed, would get ten, and callers would wait five times as
+    /// long.
+    order_in_flight_counts => sent_order_counts_at_once();
+    /// An engine refuses an order. If the order kept counting, the model would never be loaded elsewhere.
+    refused_order_does_not_count => refused_order_stops_counting();
+    /// The answer to an order is lost. The engine may have started the load anyway, which only its report
+    /// shows.
+    order_with_lost_answer_counts => unanswered_order_counts_until_report();
+    /// An adapter whose load isn't counted would be loaded on each engine that holds its model.
+    adapter_order_in_flight_counts => sent_adapter_order_counts_at_once();
+    /// An engine pauses briefly after an unload. If the next plan forgot the purpose of the unload, it would
+    /// unload a model on another engine as well, and callers would find two models gone for one that is
+    /// loaded.
+    reservation_survives_pause_after_unload => freed_memory_stays_reserved();
+    /// No request waits for the model any more. The engine must be available for other models.
+    unneeded_reservation_is_released => reservation_ends_without_order();
 }
