--- a/crates/fireflywheel_daemon/src/fleet/steward.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward.rs
@@ -1,12 +1,12 @@
-//! Holding the lease, planning and sending orders.
+//! The steward: holds the lease, plans placements and sends orders to engines.
 
+mod broadcast;
 mod lease;
 mod limits;
 mod link;
 mod orders;
 mod shares;
 mod state;
-mod tell;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -32,40 +32,43 @@
 
 use super::node;
 use super::platform;
+use broadcast::MAX_ENGINES_PER_FRAME;
 use link::{Heartbeat, Link};
-use state::{Due, State};
-use tell::ENGINES_A_FRAME;
+use state::State;
 
-/// Time between two looks at what is due, while orders are being carried out.
-const BUSY_LOOK: Duration = Duration::from_millis(25);
+/// Interval between planning passes while orders or permit requests are in progress.
+const BUSY_PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The same while nothing is wanted.
-const IDLE_LOOK: Duration = Duration::from_millis(250);
+/// Interval between planning passes while nothing is in progress.
+const IDLE_PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Demands that come together are planned for together.
-const GATHER: Duration = Duration::from_millis(2);
+/// Delay before a planning pass that a notification triggers, so that demands arriving together are planned
+/// together.
+const PLAN_DELAY: Duration = Duration::from_millis(2);
 
-/// A steward rests for so many times as long as a look took: with thousands of engines it would do nothing else.
-const REST: u32 = 2;
+/// After each planning pass the steward sleeps for this many times the duration of the pass: with thousands
+/// of engines it would otherwise do nothing but plan.
+const PLAN_REST_RATIO: u32 = 2;
 
-/// Time between two heartbeats to the instances that are linked.
+/// Interval between heartbeats to linked instances.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Instances that are named as standbys: some may be dead or cut off with the steward, and each more costs calls to the
-/// store at each takeover.
-const STANDBYS: usize = 5;
+/// Maximum number of standbys. Several are named because some may be dead or cut off together with the
+/// steward; each one adds store calls to every takeover.
+const MAX_STANDBYS: usize = 5;
 
-/// Frames that may wait for one instance. One that doesn't read loses its link, and reads all anew.
-const QUEUE: usize = 256;
+/// Frames that may be queued for one instance. An instance that does not read loses its link, and receives
+/// everything anew over the next one.
+const MAX_QUEUED_FRAMES: usize = 256;
 
-/// The steward's part of an instance, whether or not it holds the lease.
+/// The steward role of an instance, whether or not it holds the lease.
 #[derive(Debug)]
 pub struct Steward<P> {
     /// The instance.
     pub node: Arc<node::Node<P>>,
-    /// Told when there may be something to plan.
+    /// Notified when there may be something to plan.
     pub wake: Notify,
-    /// Told when the lease should be looked at.
+    /// Notified when the lease should be checked.
     pub lease_wake: Notify,
     state: Mutex<State>,
 }
@@ -74,7 +77,7 @@
 where
     P: platform::Platform,
 {
-    /// A steward's part that doesn't hold the lease.
+    /// Creates the steward role of an instance that does not hold the lease.
     #[must_use]
     pub fn new(node: Arc<node::Node<P>>) -> Self {
         let settings = &node.settings;
@@ -96,32 +99,32 @@
             links: BTreeMap::new(),
             subscriptions: subscription::Registry::default(),
             groups: BTreeSet::new(),
-            engines: BTreeSet::new(),
-            followed: (0, 0),
-            telling_all: true,
-            tell_all: settings.all_engines_limit,
-            fetches: VecDeque::new(),
-            pace: plan::concurrency::Estimate::default(),
+            engine_groups: BTreeSet::new(),
+            tracked_versions: (0, 0),
+            sends_all_engines: true,
+            all_engines_limit: settings.all_engines_limit,
+            recent_fetches: VecDeque::new(),
+            concurrency: plan::concurrency::Estimate::default(),
             standbys: Vec::new(),
             rival: None,
-            acting: None,
-            turned: clock::Instant::default(),
+            active_fencing: None,
+            role_changed_at: clock::Instant::default(),
             last_heartbeat: None,
-            told_version: 0,
+            sent_config_version: 0,
             config: None,
             config_bytes: settings.config_bytes,
             entries: BTreeMap::new(),
-            load: (clock::Instant::default(), false),
-            forecast: clock::Instant::default(),
+            loads_sent: (clock::Instant::default(), false),
+            forecasts_sent_at: clock::Instant::default(),
             forecasts: Vec::new(),
-            delays: BTreeMap::new(),
+            delays_logged_at: BTreeMap::new(),
             meter: meter::Meter::default(),
             pacer: pacer::Pacer::default(),
             limits_changed: false,
-            limits_told: clock::Instant::default(),
+            limits_sent_at: clock::Instant::default(),
             shares: Vec::new(),
-            shares_told: clock::Instant::default(),
-            shares_logged: BTreeMap::new(),
+            shares_sent_at: clock::Instant::default(),
+            shares_logged_at: BTreeMap::new(),
         };
         Self {
             node,
@@ -131,25 +134,25 @@
         }
     }
 
-    /// Whether this instance may order engines now.
+    /// Whether this instance may send orders to engines now.
     #[must_use]
     pub fn is_active(&self) -> bool {
         let now = self.node.now();
         self.lock().lease.fencing(now).is_some()
     }
 
-    /// The steward to link to, if it is another instance.
+    /// The steward to open a link to, if it is another instance.
     #[must_use]
     pub fn remote_steward(&self) -> Option<Record> {
         self.lock().lease.holder().cloned()
     }
 
-    /// A link to a steward that acts was made, or has ended.
+    /// Records that a link to an active steward was opened or has ended.
     pub fn set_linked(&self, linked: bool) {
         let mut state = self.lock();
         if state.linked == linked {
-            // While there is no steward, links are tried several times a second. A read of the lease for each would
-            // bring the store hundreds a second, just when it is overloaded.
+            // While there is no steward, links are tried several times a second. Reading the lease for each
+            // attempt would send the store hundreds of calls a second, just when it is overloaded.
             return;
         }
         state.lease_known &= linked;
@@ -158,25 +161,25 @@
         self.lease_wake.notify_one();
     }
 
-    /// Whether this instance has a link to a steward that acts.
+    /// Whether this instance has a link to an active steward.
     #[must_use]
     pub fn is_linked(&self) -> bool {
         self.lock().linked
     }
 
-    /// What this instance wants, and what it knows of the store.
+    /// This instance's demand, and what it knows of the store.
     #[must_use]
     pub fn own_demand(&self) -> demand::Demand {
         self.node.demand(self.node.platform.era())
     }
 
-    /// The steward says where the lease's record ends.
+    /// Records where the lease's record ends, as reported by the steward.
     pub fn observe_lease_end(&self, lease_end: Position) {
         let now = self.node.now();
         self.lock().lease.observe_end(now, lease_end);
     }
 
-    /// An instance says what it wants.
+    /// Records the demand of an instance.
     pub fn update_demand(&self, instance: &SmolStr, demand: demand::Demand) {
         let now = self.node.now();
         let mut state = self.lock();
@@ -190,19 +193,20 @@
         self.wake.notify_one();
     }
 
-    /// An instance is linked from now on; it is told all there is.
+    /// Registers the link of an instance and queues the frames with everything it has to know.
     #[must_use]
     pub fn open_link(&self, number: u64, peer: Record, cpu_share: f64) -> mpsc::Receiver<Bytes> {
         let now = self.node.now();
         let mut state = self.lock();
-        let capacity = QUEUE + state.trackers.len() / ENGINES_A_FRAME;
+        let capacity = MAX_QUEUED_FRAMES + state.trackers.len() / MAX_ENGINES_PER_FRAME;
         let (sender, receiver) = mpsc::channel(capacity);
         let heartbeat = self.heartbeat(&state, now);
-        // Last: from its first heartbeat on, an instance relies on what it was told. One that isn't steward knows no
-        // more than the other, and must not take its knowledge away.
-        let whole = heartbeat.active && state.tells_all(state.links.len() + 1);
+        // The heartbeat comes last: from its first heartbeat on, an instance relies on what it has received.
+        // An instance that is not steward knows no more than its peer, and must not replace what the peer
+        // knows.
+        let all_engines = heartbeat.active && state.should_send_all_engines(state.links.len() + 1);
         let mut frames = if heartbeat.active {
-            state.first_frames(now, whole)
+            state.first_frames(now, all_engines)
         } else {
             Vec::new()
         };
@@ -210,7 +214,7 @@
         frames.extend(known.cloned().map(frame::Frame::Steward));
         frames.push(heartbeat.frame(0));
         for frame in frames {
-            // The queue was made large enough.
+            // The queue has room for all of these frames.
             let _ = sender.try_send(frame.encode());
         }
         let link = Link {
@@ -222,28 +226,28 @@
             read_age: Duration::MAX,
             config_version: None,
             needs_config: false,
-            waits: false,
-            whole,
-            untold: BTreeSet::new(),
+            has_waiting: false,
+            all_engines,
+            changed_engines: BTreeSet::new(),
         };
         state.links.insert(number, link);
         receiver
     }
 
-    /// What this instance itself was asked for and admitted, and what it asks for.
+    /// Handles this instance's own usage of quotas, limits of servers and permit requests.
     pub fn handle_own_demand(&self, demand: &demand::Demand) {
         let now = self.node.now();
         let instance = &self.node.settings.instance;
         let mut state = self.lock();
         state.meter.record_usage(now, instance, &demand.usage);
-        state.hear_limits(now, &demand.limits);
-        let replies = state.answer_asks(now, pacer::Requester::Own, &demand.permits);
+        state.record_limits(now, &demand.limits);
+        let replies = state.answer_permit_requests(now, pacer::Requester::Own, &demand.permits);
         drop(state);
         self.count_permits(&replies);
         self.node.learn_permits(&replies);
     }
 
-    /// What a demand says of its sender.
+    /// Handles a demand that was received over a link.
     pub fn handle_demand(&self, number: u64, demand: &demand::Demand) {
         let now = self.node.now();
         let mut state = self.lock();
@@ -263,12 +267,14 @@
                 // The queue of a new link has room.
                 let _ = link.send(&frame::Frame::Limits(pacer.notices()));
             }
-            // Before the version is named, at which the instance would read the store.
+            // The configuration is sent before a heartbeat announces its version, upon which the instance
+            // would read the store.
             if heartbeat.active && link.needs_config && !link.send_config(config.as_ref()) {
                 links.remove(&number);
                 return;
             }
-            // What the steward tells stands only once it has answered a demand.
+            // What the steward sends is valid for the instance only once the steward has answered a demand,
+            // so the first demand is answered at once.
             if link.stamp_ms == 0 && !link.send(&heartbeat.frame(demand.stamp_ms)) {
                 links.remove(&number);
                 return;
@@ -277,52 +283,53 @@
             link.leaving = demand.leaving;
             link.stamp_ms = demand.stamp_ms;
             link.read_age = Duration::from_millis(demand.read_age_ms.into());
-            link.waits = !demand.queues.is_empty();
+            link.has_waiting = !demand.queues.is_empty();
         }
         if heartbeat.active {
-            state.hear_limits(now, &demand.limits);
-            let replies = state.answer_asks(now, pacer::Requester::Link(number), &demand.permits);
+            state.record_limits(now, &demand.limits);
+            let replies =
+                state.answer_permit_requests(now, pacer::Requester::Link(number), &demand.permits);
             self.count_permits(&replies);
-            state.tell_permits(number, replies);
+            state.send_permits(number, replies);
         }
         let arrived = demand.arrived.iter().map(|count| &count.model);
         for model in arrived.chain(demand.queues.iter().map(|queue| &queue.model)) {
             state.subscriptions.renew(now, number, model);
         }
-        state.answer(now, number, &demand.subscriptions);
+        state.subscribe(now, number, &demand.subscriptions);
     }
 
-    /// The steward hands the lease over to this instance.
-    pub fn accept_hand_over(&self, given: HandOver) {
+    /// Accepts the lease that the steward hands over to this instance.
+    pub fn accept_hand_over(&self, hand_over: HandOver) {
         let now = self.node.now();
         let mut state = self.lock();
-        state.lease.receive(now, given);
+        state.lease.receive(now, hand_over);
         state.lease_known = true;
         drop(state);
-        log::info!(fencing = given.fencing; "lease received");
+        log::info!(fencing = hand_over.fencing; "lease received");
         self.lease_wake.notify_one();
         self.wake.notify_one();
     }
 
-    /// Another process answers at the address of the one that held the lease.
+    /// Records that another process answers at the address of the one that held the lease.
     pub fn holder_ended(&self, incarnation: u64) {
         self.lock().lease.holder_ended(incarnation);
         self.lease_wake.notify_one();
     }
 
-    /// The steward says that another instance has the lease now.
+    /// Records that another instance holds the lease now, as reported by the steward.
     pub fn holder_moved(&self, holder: Record) {
         let now = self.node.now();
         self.lock().lease.holder_moved(now, holder);
     }
 
-    /// Another instance has a link to this steward.
+    /// Records the steward that another instance has a link to.
     pub fn redirect(&self, holder: Record) {
         let now = self.node.now();
         self.lock().lease.redirect(now, holder);
     }
 
-    /// This instance has a link to a steward, which may be another than it knew of.
+    /// Records the steward that this instance has a link to, which may not be the known one.
     pub fn observe_steward(&self, holder: &Record) {
         let known = self.remote_steward().map(|known| known.incarnation);
         if known != Some(holder.incarnation) {
@@ -330,7 +337,7 @@
         }
     }
 
-    /// The steward names its standbys.
+    /// Stores the standbys that the steward has named.
     pub fn set_standbys(&self, standbys: Vec<Record>) {
         let mut state = self.lock();
         state.lease.set_standbys(&standbys);
@@ -340,7 +347,8 @@
         self.node.set_standby(standby == Some(true));
     }
 
-    /// The instance to ask whether another one is steward: this one acts, but nobody has a link to it and the store doesn't answer.
+    /// The instance to ask whether another one is steward, if this one has no links and the store does not
+    /// answer it.
     #[must_use]
     pub fn instance_to_query(&self) -> Option<Record> {
         let mut state = self.lock();
@@ -352,7 +360,7 @@
         rival.or_else(|| self.standby())
     }
 
-    /// Whether another instance, which acts and whose record ends at `end`, has taken the lease from this one.
+    /// Whether another active instance, whose lease record ends at `end`, has taken the lease from this one.
     #[must_use]
     pub fn is_overtaken(&self, holder: &Record, end: Position) -> bool {
         let now = self.node.now();
@@ -364,23 +372,23 @@
         overtaken
     }
 
-    /// Another instance has a link to this steward, which this one doesn't know of.
+    /// Records a steward that another instance has a link to and that this instance does not know of.
     pub fn record_rival(&self, rival: Record) {
         self.lock().rival = Some(rival);
     }
 
-    /// One of the standbys that were named last, at random.
+    /// A random one of the standbys that were named last, other than this instance.
     #[must_use]
     pub fn standby(&self) -> Option<Record> {
-        let me = &self.node.settings.instance;
+        let own_name = &self.node.settings.instance;
         let state = self.lock();
         let others = state.standbys.iter();
-        let others: Vec<&Record> = others.filter(|other| other.instance != *me).collect();
-        let place = rand::random_range(0..others.len().max(1));
-        others.get(place).map(|standby| (*standby).clone())
+        let others: Vec<&Record> = others.filter(|other| other.instance != *own_name).collect();
+        let index = rand::random_range(0..others.len().max(1));
+        others.get(index).map(|standby| (*standby).clone())
     }
 
-    /// An instance's link has ended.
+    /// Removes the link of an instance after it has ended.
     pub fn close_link(&self, number: u64, process: &str, instance: &SmolStr) {
         let now = self.node.now();
         let mut state = self.lock();
@@ -390,77 +398,81 @@
         self.wake.notify_one();
     }
 
-    /// Plans and sends orders, as long as this instance holds the lease, for ever.
+    /// Plans and sends orders while this instance holds the lease. Never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let pause = if self.is_busy() { BUSY_LOOK } else { IDLE_LOOK };
+            let interval = if self.is_busy() {
+                BUSY_PLAN_INTERVAL
+            } else {
+                IDLE_PLAN_INTERVAL
+            };
             tokio::select! {
-                () = self.wake.notified() => time::sleep(GATHER).await,
-                () = time::sleep(pause) => {}
+                () = self.wake.notified() => time::sleep(PLAN_DELAY).await,
+                () = time::sleep(interval) => {}
             }
-            let begun = self.node.now();
-            self.look();
-            // Links are read and written between looks.
-            time::sleep(self.node.now().since(begun) * REST).await;
+            let started_at = self.node.now();
+            self.run_pass();
+            // Other tasks read and write the links between planning passes.
+            time::sleep(self.node.now().since(started_at) * PLAN_REST_RATIO).await;
         }
     }
 
-    fn look(self: &Arc<Self>) {
+    fn run_pass(self: &Arc<Self>) {
         let now = self.node.now();
         let Some(config) = self.node.config() else {
             return;
         };
         let mut state = self.lock();
-        self.follow_era(now, &mut state);
-        let acting = state.lease.fencing(now);
-        if acting != state.acting {
-            state.turn(now, acting);
-            self.node.metrics.set_steward(acting.is_some());
-            self.node.set_acting_steward(acting.is_some());
-            self.node.set_steward_link(acting.is_some());
+        self.update_era(now, &mut state);
+        let active_fencing = state.lease.fencing(now);
+        if active_fencing != state.active_fencing {
+            state.change_role(now, active_fencing);
+            self.node.metrics.set_steward(active_fencing.is_some());
+            self.node.set_acting_steward(active_fencing.is_some());
+            self.node.set_steward_link(active_fencing.is_some());
             self.node
                 .steward_reads
                 .send_replace(node::StewardReads::default());
-            log::info!(acts = acting.is_some(), fencing = acting.unwrap_or_default(); "stewardship changed");
+            log::info!(acts = active_fencing.is_some(), fencing = active_fencing.unwrap_or_default(); "stewardship changed");
         }
         let heartbeat = self.heartbeat(&state, now);
-        let Some(fencing) = acting else {
+        let Some(fencing) = active_fencing else {
             state.send_heartbeat(now, &heartbeat);
             return;
         };
-        if self.pass_on(now, &mut state) {
+        if self.hand_over_if_needed(now, &mut state) {
             drop(state);
             self.wake.notify_one();
             return;
         }
-        let mut due = Vec::new();
+        let mut orders = Vec::new();
         let mut forecasts = Vec::new();
         let version = (config.version, self.node.directory_version());
-        let followed = std::mem::replace(&mut state.followed, version);
+        let tracked_versions = std::mem::replace(&mut state.tracked_versions, version);
         state.groups = config.groups.keys().cloned().collect();
-        state.engines = engines(&config).map(|(name, _)| name.clone()).collect();
+        state.engine_groups = engines(&config).map(|(name, _)| name.clone()).collect();
         for (name, engine) in engines(&config) {
-            if version != followed {
-                state.follow(name, self.node.engines(name));
+            if version != tracked_versions {
+                state.update_engines(name, self.node.engines(name));
             }
-            due.extend(state.plan(now, name, engine, fencing, &mut forecasts));
+            orders.extend(state.plan(now, name, engine, fencing, &mut forecasts));
         }
-        state.tell_forecasts(now, forecasts);
-        let shares = state.tell_shares(
+        state.send_forecasts(now, forecasts);
+        let shares = state.send_shares(
             now,
             &config,
             self.node.instances(),
             self.node.settings.quotas.window,
         );
-        if version != followed {
-            state.tell_directory(self.node.entries());
+        if version != tracked_versions {
+            state.send_directory(self.node.entries());
         }
-        state.tell_config(&config);
+        state.send_config(&config);
         state.send_heartbeat(now, &heartbeat);
-        state.tell_waiting(now);
-        let notices = state.tell_limits(now);
+        state.send_prompt_changes(now);
+        let notices = state.send_limits(now);
         let permits = state.grant_due(now);
-        let loads = state.tell_load(now);
+        let loads = state.send_loads(now);
         let instances = state.links.len() + 1;
         let local = state.forecasts.clone();
         let reports = state.reports_due(now);
@@ -477,11 +489,11 @@
             self.node.learn_limits(&notices);
         }
         self.node.learn_permits(&permits);
-        for order in due {
-            self.send(order);
+        for order in orders {
+            self.spawn_order(order);
         }
         for server in reports {
-            self.ask(server);
+            self.spawn_report(server);
         }
     }
 
@@ -495,7 +507,10 @@
             era: self.node.platform.era(),
             config_version: version,
             read_age: self.node.read_age(),
-            standbys_read: successor::standbys_read(self.own(), &lease::peers(state).1),
+            standbys_read: successor::standbys_read(
+                self.own_candidate(),
+                &lease::successor_candidates(state).1,
+            ),
         }
     }
 
@@ -507,8 +522,9 @@
 
     fn is_busy(&self) -> bool {
         let state = self.lock();
-        let awaited = state.pacer.has_waiting() || state.limits_changed;
-        state.acting.is_some() && (awaited || state.trackers.values().any(Tracker::is_busy))
+        let has_pending = state.pacer.has_waiting() || state.limits_changed;
+        state.active_fencing.is_some()
+            && (has_pending || state.trackers.values().any(Tracker::is_busy))
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/fireflywheel_daemon/src/fleet/steward/lease.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/lease.rs
@@ -1,4 +1,4 @@
-//! Reading and renewing the lease.
+//! Takes, renews and hands over the lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,51 +13,56 @@
 use super::Steward;
 use super::state::State;
 
-/// Time between two reads while this instance watches the lease of another: it sees a term lapse without any read,
-/// so a read only finds one that was given up or handed over.
-const WATCH: Duration = Duration::from_millis(1000);
-/// Time between two looks while there is nothing to do.
-const QUIET: Duration = Duration::from_millis(250);
-/// Instances that see the lease lapse don't all write at once.
-const SPREAD_MS: u64 = 60;
-/// An instance with a whole processor writes this long after it sees the lease lapse, one with a tenth of it ten
-/// times as long.
-const HEAD_START: Duration = Duration::from_millis(20);
-/// An instance that is no standby writes this much later: a standby that waits for the store to come back tries it after
-/// 300 ms at the latest. If the weakest instance were first, it could not open the links of a large fleet for seconds.
-const BEHIND_STANDBYS: Duration = Duration::from_millis(400);
-/// Below this share of a processor the wait grows no longer.
-const LEAST_SHARE: f64 = 0.05;
-
-/// The links of a steward, and what choosing a successor needs of each.
-pub(super) fn peers(state: &State) -> (Vec<u64>, Vec<successor::Peer>) {
+/// Maximum interval between reads while this instance watches another one's lease. It sees a term lapse
+/// without a read, so a read only finds a lease that was released or handed over.
+const MAX_WATCH_INTERVAL: Duration = Duration::from_millis(1000);
+/// Interval between checks while there is nothing to do.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Upper bound of the random delay before a takeover, in milliseconds, so that instances that see the lease
+/// lapse do not all write at once.
+const MAX_TAKEOVER_JITTER_MS: u64 = 60;
+/// Delay before an instance with a whole processor takes over a lapsed lease. An instance with a tenth of a
+/// processor waits ten times as long.
+const BASE_TAKEOVER_DELAY: Duration = Duration::from_millis(20);
+/// Additional delay before an instance that is not a standby takes over: a standby that waits for the store
+/// to recover retries after 300 ms at the latest. If the weakest instance came first, it could not open the
+/// links of a large fleet for seconds.
+const NON_STANDBY_DELAY: Duration = Duration::from_millis(400);
+/// CPU share below which the delay before a takeover no longer grows.
+const MIN_CPU_SHARE: f64 = 0.05;
+
+/// The steward's links, and what the choice of a successor needs to know of each.
+pub(super) fn successor_candidates(state: &State) -> (Vec<u64>, Vec<successor::Peer>) {
     let links = state.links.iter();
-    links.map(|(number, link)| (*number, link.peer())).unzip()
+    links
+        .map(|(number, link)| (*number, link.successor_candidate()))
+        .unzip()
 }
 
-/// Gives the lease to the instance of a link, and tells all others; whether it could.
+/// Hands the lease over to the instance of a link and notifies all others. Returns whether it was handed
+/// over.
 fn hand_over_to(now: clock::Instant, state: &mut State, number: u64) -> bool {
     let Some(peer) = state.links.get(&number).map(|link| link.peer.clone()) else {
         return false;
     };
-    let Some(given) = state.lease.hand_over(now, peer) else {
+    let Some(hand_over) = state.lease.hand_over(now, peer) else {
         return false;
     };
     let Some(successor) = state.links.remove(&number) else {
         return false;
     };
     log::info!(
-        instance = successor.peer.instance.as_str(), fencing = given.fencing, cpu_share = successor.cpu_share,
+        instance = successor.peer.instance.as_str(), fencing = hand_over.fencing, cpu_share = successor.cpu_share,
         read_ms = clock::millis(successor.read_age);
         "lease handed over"
     );
-    // One that doesn't read loses its link, and the lease lapses as if this instance had died.
-    let _ = successor.send(&frame::Frame::HandOver(given));
+    // A successor that does not read loses its link, and the lease lapses as if this instance had died.
+    let _ = successor.send(&frame::Frame::HandOver(hand_over));
     state.broadcast(&frame::Frame::Moved(successor.peer));
     true
 }
 
-/// What is to be done for the lease.
+/// The next step for the lease.
 enum Task {
     Nothing,
     Read,
@@ -68,20 +73,20 @@
 where
     P: platform::Platform,
 {
-    /// Watches the lease, takes it when it is free, and renews it, for ever.
+    /// Watches the lease, takes it when it is free, and renews it. Never returns.
     pub async fn keep_lease(self: Arc<Self>) {
         loop {
             if !matches!(self.lease_task(), Task::Nothing) {
                 self.node.wait_for_store().await;
             }
-            // Another instance may have become steward meanwhile.
+            // Another instance may have become steward in the meantime.
             match self.lease_task() {
                 Task::Nothing => {}
                 Task::Read => self.read_lease().await,
                 Task::Write(end, record) => {
                     if record.fencing.is_none() {
-                        time::sleep(self.spread()).await;
-                        // It may have heard of another holder meanwhile.
+                        time::sleep(self.takeover_delay()).await;
+                        // This instance may have learned of another holder in the meantime.
                         if !matches!(self.lease_task(), Task::Write(..)) {
                             continue;
                         }
@@ -90,17 +95,18 @@
                     continue;
                 }
             }
-            let pause = self.lease_pause();
+            let delay = self.lease_check_delay();
             tokio::select! {
                 () = self.lease_wake.notified() => {}
-                () = time::sleep(pause) => {}
+                () = time::sleep(delay) => {}
             }
         }
     }
 
-    /// Gives the lease to another instance by its link, or else up, so that another can take it at once.
+    /// Hands the lease over to another instance by its link, or else releases it so that another instance can
+    /// take it at once.
     pub async fn release(&self) {
-        if self.hand_over() {
+        if self.hand_over_by_link() {
             return;
         }
         let record = self.lock().lease.release();
@@ -113,34 +119,36 @@
         log::info!(end = end.offset, given_up = matches!(result, Ok(platform::WriteOutcome::Stored(_))); "lease released");
     }
 
-    /// The store may be away, and reading it takes time; a link is there.
-    fn hand_over(&self) -> bool {
+    /// Hands the lease over by a link, which needs no store: the store may be unreachable, and reading it
+    /// takes time.
+    fn hand_over_by_link(&self) -> bool {
         let now = self.node.now();
         let mut state = self.lock();
-        let (numbers, peers) = peers(&state);
-        let successor = successor::of_stopping(&peers).map(|place| numbers[place]);
-        let given = successor.is_some_and(|number| hand_over_to(now, &mut state, number));
+        let (numbers, peers) = successor_candidates(&state);
+        let successor = successor::of_stopping(&peers).map(|index| numbers[index]);
+        let handed_over = successor.is_some_and(|number| hand_over_to(now, &mut state, number));
         drop(state);
         self.wake.notify_one();
-        given
+        handed_over
     }
 
-    /// Hands over to an instance that should be steward in place of this one, if there is any. A steward acts for a term at
-    /// least: two that the store turns away by turns would pass the lease to and fro.
-    pub(super) fn pass_on(&self, now: clock::Instant, state: &mut State) -> bool {
-        if now.since(state.turned) < self.node.settings.lease.term {
+    /// Hands over to an instance that should be steward in place of this one, if there is one. A steward
+    /// stays active for at least one term: otherwise two instances that the store rejects in turn would pass
+    /// the lease back and forth.
+    pub(super) fn hand_over_if_needed(&self, now: clock::Instant, state: &mut State) -> bool {
+        if now.since(state.role_changed_at) < self.node.settings.lease.term {
             return false;
         }
-        let own = self.own();
+        let own = self.own_candidate();
         let settings = &self.node.settings;
-        let obey = settings.leaving_deadline.min(settings.config_deadline);
-        let (numbers, peers) = peers(state);
-        let successor = successor::of_staying(own, &peers, obey).map(|place| numbers[place]);
+        let deadline = settings.leaving_deadline.min(settings.config_deadline);
+        let (numbers, peers) = successor_candidates(state);
+        let successor = successor::of_staying(own, &peers, deadline).map(|index| numbers[index]);
         successor.is_some_and(|number| hand_over_to(now, state, number))
     }
 
-    /// What choosing a successor needs of this instance.
-    pub(super) fn own(&self) -> successor::Own {
+    /// What the choice of a successor needs to know of this instance.
+    pub(super) fn own_candidate(&self) -> successor::Own {
         successor::Own {
             cpu_share: self.node.settings.cpu_share,
             store_fails: self.node.store_fails(),
@@ -148,17 +156,18 @@
         }
     }
 
-    /// A steward has work in proportion to the number of instances, so the strong ones go first.
-    fn spread(&self) -> Duration {
-        let share = self.node.settings.cpu_share.max(LEAST_SHARE);
-        let luck = Duration::from_millis(rand::random_range(0..SPREAD_MS));
-        let others = self.lock().lease.is_standby() == Some(false);
-        let behind = if others {
-            BEHIND_STANDBYS
+    /// Delay before this instance takes over a lapsed lease. A steward's work grows with the number of
+    /// instances, so strong instances come first.
+    fn takeover_delay(&self) -> Duration {
+        let share = self.node.settings.cpu_share.max(MIN_CPU_SHARE);
+        let jitter = Duration::from_millis(rand::random_range(0..MAX_TAKEOVER_JITTER_MS));
+        let is_not_standby = self.lock().lease.is_standby() == Some(false);
+        let standby_delay = if is_not_standby {
+            NON_STANDBY_DELAY
         } else {
             Duration::ZERO
         };
-        HEAD_START.div_f64(share) + luck + behind
+        BASE_TAKEOVER_DELAY.div_f64(share) + jitter + standby_delay
     }
 
     fn lease_task(&self) -> Task {
@@ -166,8 +175,8 @@
         let state = self.lock();
         let known = state.lease_known && !state.lease.needs_read();
         let holds = state.lease.release().is_some();
-        let left = state.lease.defers_to_standbys(now);
-        if self.node.is_draining() || (state.linked && !holds) || left {
+        let defers = state.lease.defers_to_standbys(now);
+        if self.node.is_draining() || (state.linked && !holds) || defers {
             return Task::Nothing;
         }
         match state.lease.proposal(now) {
@@ -177,75 +186,80 @@
         }
     }
 
-    fn lease_pause(&self) -> Duration {
+    fn lease_check_delay(&self) -> Duration {
         let now = self.node.now();
         let state = self.lock();
-        let due = state.lease.due(now).unwrap_or(QUIET);
-        let most = if state.linked { QUIET } else { WATCH };
-        due.clamp(Duration::from_millis(5), most)
+        let due = state.lease.due(now).unwrap_or(IDLE_CHECK_INTERVAL);
+        let max_delay = if state.linked {
+            IDLE_CHECK_INTERVAL
+        } else {
+            MAX_WATCH_INTERVAL
+        };
+        due.clamp(Duration::from_millis(5), max_delay)
     }
 
-    /// Takes in what is known of the store's era. A steward rests until its lease stands in that era.
-    pub(super) fn follow_era(&self, now: clock::Instant, state: &mut State) {
+    /// Updates the lease to the store's era, as far as it is known. A steward pauses until its lease is
+    /// written in that era.
+    pub(super) fn update_era(&self, now: clock::Instant, state: &mut State) {
         let Some(era) = self.node.platform.era() else {
             return;
         };
-        let acted = state.lease.fencing(now).is_some();
+        let was_active = state.lease.fencing(now).is_some();
         if !state.lease.enter_era(now, era) {
             return;
         }
         state.lease_known = false;
-        log::info!(era = era.0, acted = acted; "lease to be read again: the store is in another era");
+        log::info!(era = era.0, acted = was_active; "store is in a new era; reading the lease again");
         self.lease_wake.notify_one();
     }
 
     async fn read_lease(&self) {
-        let asked = self.node.now();
+        let requested_at = self.node.now();
         let result = self.node.platform.read_lease().await;
         self.node.record_store_call("read lease", result.is_ok());
         match result {
             Ok(reading) => {
                 let mut state = self.lock();
-                self.follow_era(self.node.now(), &mut state);
-                state.lease.observe(asked, reading);
+                self.update_era(self.node.now(), &mut state);
+                state.lease.observe(requested_at, reading);
                 state.lease_known = true;
             }
-            Err(fault) => {
-                log::debug!(why = fault.to_string().as_str(); "lease not read");
-                self.lock().lease.unanswered(asked);
+            Err(error) => {
+                log::debug!(why = error.to_string().as_str(); "could not read lease");
+                self.lock().lease.unanswered(requested_at);
             }
         }
     }
 
     async fn write_lease(&self, end: Position, record: &super::Record) {
-        let sent = self.node.now();
+        let sent_at = self.node.now();
         let result = self.node.platform.write_lease(end, record).await;
         self.node.record_store_call("write lease", result.is_ok());
-        let taken = record.fencing.is_none();
+        let is_takeover = record.fencing.is_none();
         match result {
-            Ok(platform::WriteOutcome::Stored(place)) => {
+            Ok(platform::WriteOutcome::Stored(position)) => {
                 let mut state = self.lock();
-                self.follow_era(self.node.now(), &mut state);
-                state.lease.accepted(sent, place, record);
+                self.update_era(self.node.now(), &mut state);
+                state.lease.accepted(sent_at, position, record);
                 drop(state);
-                if taken {
-                    log::info!(offset = place.offset, era = place.era.0; "lease taken");
+                if is_takeover {
+                    log::info!(offset = position.offset, era = position.era.0; "lease taken");
                 }
                 self.wake.notify_one();
             }
             Ok(platform::WriteOutcome::Conflict) => {
-                log::info!(end = end.offset, taken = taken; "lease written by another");
+                log::info!(end = end.offset, taken = is_takeover; "lease write rejected: another instance has written the lease");
                 let mut state = self.lock();
-                self.follow_era(self.node.now(), &mut state);
+                self.update_era(self.node.now(), &mut state);
                 state.lease.refused(end);
                 state.lease_known = false;
             }
-            Err(fault) => {
+            Err(error) => {
                 let mut state = self.lock();
-                state.lease.unanswered(sent);
+                state.lease.unanswered(sent_at);
                 state.lease_known = false;
                 drop(state);
-                log::info!(end = end.offset, why = fault.to_string().as_str(); "lease not written for certain");
+                log::info!(end = end.offset, why = error.to_string().as_str(); "lease write had no usable answer");
             }
         }
     }
--- a/crates/fireflywheel_daemon/src/fleet/steward/limits.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of backend servers, as the steward keeps and tells them.
+//! Limits of backend servers, as collected and sent by the steward.
 
 use std::time::Duration;
 
@@ -9,31 +9,32 @@
 
 use super::state::State;
 
-/// Limits are told again after this, as long as there are any.
-const RETELL: Duration = Duration::from_secs(2);
+/// Interval at which limits are sent again while there are any.
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 impl State {
-    /// An instance tells what answers of servers say.
-    pub(super) fn hear_limits(&mut self, now: clock::Instant, notices: &[limit::Notice]) {
+    /// Records the limits that an instance has seen in answers of servers.
+    pub(super) fn record_limits(&mut self, now: clock::Instant, notices: &[limit::Notice]) {
         for notice in notices {
             self.limits_changed |= self.pacer.update_limit(now, notice);
         }
     }
 
     /// Decides on permit requests.
-    pub(super) fn answer_asks(
+    pub(super) fn answer_permit_requests(
         &mut self,
         now: clock::Instant,
         requester: pacer::Requester,
-        asks: &[limit::Request],
+        requests: &[limit::Request],
     ) -> Vec<limit::Reply> {
-        let asks = asks.iter();
-        asks.map(|ask| self.pacer.request(now, requester, ask))
+        let requests = requests.iter();
+        requests
+            .map(|request| self.pacer.request(now, requester, request))
             .collect()
     }
 
-    /// Tells one instance what became of its asks.
-    pub(super) fn tell_permits(&mut self, number: u64, replies: Vec<limit::Reply>) {
+    /// Sends an instance the replies to its permit requests.
+    pub(super) fn send_permits(&mut self, number: u64, replies: Vec<limit::Reply>) {
         if replies.is_empty() {
             return;
         }
@@ -47,15 +48,16 @@
         }
     }
 
-    /// Tells all limits when they have changed, and now and then again; returns them for this instance itself.
-    pub(super) fn tell_limits(&mut self, now: clock::Instant) -> Option<Vec<limit::Notice>> {
+    /// Sends all limits when they have changed, and repeats them at intervals. Returns them for this instance
+    /// itself.
+    pub(super) fn send_limits(&mut self, now: clock::Instant) -> Option<Vec<limit::Notice>> {
         let notices = self.pacer.notices();
-        let again = !notices.is_empty() && now.since(self.limits_told) >= RETELL;
-        if !self.limits_changed && !again {
+        let resend = !notices.is_empty() && now.since(self.limits_sent_at) >= RESEND_INTERVAL;
+        if !self.limits_changed && !resend {
             return None;
         }
         self.limits_changed = false;
-        self.limits_told = now;
+        self.limits_sent_at = now;
         let bytes = frame::Frame::Limits(notices.clone()).encode();
         self.links.retain(|_, link| {
             link.config_version.is_none() || link.sender.try_send(bytes.clone()).is_ok()
@@ -63,13 +65,13 @@
         Some(notices)
     }
 
-    /// Tells those whose turn has come; returns what is for this instance itself.
+    /// Sends the permits that are due. Returns the replies for this instance itself.
     pub(super) fn grant_due(&mut self, now: clock::Instant) -> Vec<limit::Reply> {
         let mut own = Vec::new();
         for (requester, reply) in self.pacer.grant_due(now) {
             match requester {
                 pacer::Requester::Own => own.push(reply),
-                pacer::Requester::Link(number) => self.tell_permits(number, vec![reply]),
+                pacer::Requester::Link(number) => self.send_permits(number, vec![reply]),
             }
         }
         own
--- a/crates/fireflywheel_daemon/src/fleet/steward/link.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/link.rs
@@ -1,4 +1,4 @@
-//! A link to another instance, as the steward sees it.
+//! The steward's end of a link to another instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,24 +20,25 @@
     pub(super) peer: lease::Record,
     pub(super) cpu_share: f64,
     pub(super) leaving: bool,
-    /// Of its last demand.
+    /// Time stamp of its last demand in milliseconds, by its own clock; 0 before the first one.
     pub(super) stamp_ms: u64,
-    /// How old its own reads of the store are.
+    /// Age of its own reads of the store.
     pub(super) read_age: Duration,
-    /// The newest configuration that it has, or that was sent to it. None before it has told, or if its release takes no configurations
-    /// and no limits from a link: a frame that it can't read would end the link.
+    /// The newest configuration version that it has or was sent. `None` until it has reported one, or if its
+    /// release accepts no configurations and no limits over a link: a frame that it can't read would end the
+    /// link.
     pub(super) config_version: Option<u64>,
-    /// The store doesn't answer it.
+    /// Whether the store does not answer it, so that it needs the configuration from the steward.
     pub(super) needs_config: bool,
-    /// Requests wait there, so that each change of an engine may matter to it at once.
-    pub(super) waits: bool,
-    /// It is told of all engines.
-    pub(super) whole: bool,
-    /// Engines that have changed since it was told.
-    pub(super) untold: BTreeSet<SmolStr>,
+    /// Whether requests wait there, so that each change of an engine may matter to it at once.
+    pub(super) has_waiting: bool,
+    /// Whether it receives all engines.
+    pub(super) all_engines: bool,
+    /// Engines that have changed since it last received them.
+    pub(super) changed_engines: BTreeSet<SmolStr>,
 }
 
-/// What the steward says of itself.
+/// The steward's state, as sent in heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Heartbeat {
     pub(super) incarnation: u64,
@@ -51,8 +52,8 @@
 }
 
 impl Link {
-    /// What choosing a successor needs of it.
-    pub(super) fn peer(&self) -> successor::Peer {
+    /// What the choice of a successor needs to know of it.
+    pub(super) fn successor_candidate(&self) -> successor::Peer {
         successor::Peer {
             cpu_share: self.cpu_share,
             leaving: self.leaving,
@@ -60,16 +61,16 @@
         }
     }
 
-    /// Tells of the engines that have changed; whether the link still has room.
-    pub(super) fn tell(
+    /// Sends the engines that have changed. Returns whether the link still has room.
+    pub(super) fn send_changes(
         &mut self,
         now: clock::Instant,
         trackers: &BTreeMap<SmolStr, tracker::Tracker>,
     ) -> bool {
-        if self.untold.is_empty() {
+        if self.changed_engines.is_empty() {
             return true;
         }
-        let changed = std::mem::take(&mut self.untold);
+        let changed = std::mem::take(&mut self.changed_engines);
         let engines = changed
             .iter()
             .filter_map(|server| Some(trackers.get(server)?.holding(now)));
@@ -79,7 +80,7 @@
         }))
     }
 
-    /// Sends the configuration if the instance has an earlier one; whether the link still has room.
+    /// Sends the configuration if the instance has an earlier one. Returns whether the link still has room.
     pub(super) fn send_config(&mut self, config: Option<&(u64, Bytes)>) -> bool {
         let is_later = |known: u64| config.filter(|(version, _)| *version > known);
         let Some((version, bytes)) = self.config_version.and_then(is_later) else {
@@ -89,7 +90,7 @@
         self.sender.try_send(bytes.clone()).is_ok()
     }
 
-    /// Whether the link still has room.
+    /// Sends a frame. Returns whether the link still has room.
     pub(super) fn send(&self, frame: &frame::Frame) -> bool {
         self.sender.try_send(frame.encode()).is_ok()
     }
--- a/crates/fireflywheel_daemon/src/fleet/steward/orders.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/orders.rs
@@ -1,4 +1,4 @@
-//! Sending orders, and asking engines for reports.
+//! Sends orders to engines and requests their reports.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,35 +14,36 @@
 
 use super::super::platform;
 use super::super::pool;
-use super::{Due, Steward};
+use super::Steward;
+use super::state;
 
-/// How long an engine may take to answer an order or a report; both are answered from its memory.
-const ANSWER_LIMIT: Duration = Duration::from_millis(700);
-/// The largest report, in bytes.
-const REPORT_BYTES: usize = 1 << 20;
-/// Connections for orders and reports to one engine, beside those for requests.
-const CONNECTIONS: usize = usize::MAX;
+/// How long an engine may take to answer an order or a report request; it answers both from memory.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum size of a report, in bytes.
+const MAX_REPORT_BYTES: usize = 1 << 20;
+/// Maximum number of connections to one engine for orders and reports, beside those for requests.
+const MAX_CONNECTIONS: usize = usize::MAX;
 
-/// Why an order or a report has no answer.
+/// Why an order or a report request has no answer.
 #[derive(Clone, Copy, Debug)]
-enum NoAnswer {
+enum ExchangeError {
     Fault(pool::Fault),
-    Broken,
-    /// The engine may be slow, or this instance itself.
-    Late,
+    IncompleteBody,
+    /// Either the engine or this instance itself may be slow.
+    TimedOut,
 }
 
-impl NoAnswer {
+impl ExchangeError {
     fn as_str(self) -> &'static str {
         match self {
             Self::Fault(fault) => fault.as_str(),
-            Self::Broken => "response broke off",
-            Self::Late => "no answer in time",
+            Self::IncompleteBody => "response body is incomplete or too large",
+            Self::TimedOut => "timed out waiting for the answer",
         }
     }
 }
 
-/// What an order asks for, for the engine and for the log.
+/// The change that an order makes, for the engine and for the log.
 fn change(step: &plan::Step) -> platform::Change<'_> {
     match step {
         plan::Step::Load { model, .. } => platform::Change {
@@ -92,84 +93,88 @@
 where
     P: platform::Platform,
 {
-    /// Sends an order that was counted as sent.
-    pub(super) fn send(self: &Arc<Self>, due: Due) {
+    /// Sends an order that is already counted as sent, in its own task.
+    pub(super) fn spawn_order(self: &Arc<Self>, order: state::Order) {
         let steward = Arc::clone(self);
-        tokio::spawn(async move { steward.order(due).await });
+        tokio::spawn(async move { steward.send_order(order).await });
     }
 
-    /// Asks an engine for a report.
-    pub(super) fn ask(self: &Arc<Self>, server: SmolStr) {
+    /// Requests a report from an engine, in its own task.
+    pub(super) fn spawn_report(self: &Arc<Self>, server: SmolStr) {
         let steward = Arc::clone(self);
-        tokio::spawn(async move { steward.report(server).await });
+        tokio::spawn(async move { steward.request_report(server).await });
     }
 
-    async fn order(&self, due: Due) {
-        let Some((server, after)) = self.target(&due.server) else {
+    async fn send_order(&self, order: state::Order) {
+        let Some((server, after)) = self.find_target(&order.server) else {
             return;
         };
-        // The process may have stood still since the plan was made: the lease is looked at last.
+        // The process may have been suspended since the plan was made, so the lease is checked last.
         let fencing = self.lock().lease.fencing(self.node.now());
-        if fencing != Some(due.fencing) {
+        if fencing != Some(order.fencing) {
             return;
         }
         let request = self.node.platform.order(&platform::Order {
-            server: &due.server,
+            server: &order.server,
             holder: &self.node.settings.instance,
-            fencing: due.fencing,
+            fencing: order.fencing,
             after,
-            change: change(&due.step),
+            change: change(&order.step),
         });
-        let answer = self.exchange(&server, request).await;
+        let answer = self.send_request(&server, request).await;
         let status = answer.as_ref().ok().map(|(status, _)| *status);
-        self.ordered(&due, status);
+        self.handle_order_answer(&order, status);
     }
 
-    fn ordered(&self, due: &Due, status: Option<StatusCode>) {
+    fn handle_order_answer(&self, order: &state::Order, status: Option<StatusCode>) {
         let now = self.node.now();
-        let kind = kind(&due.step);
+        let kind = kind(&order.step);
         let result = status.map_or(0, |status| status.as_u16());
         self.node.metrics.count_order(kind, &result.to_string());
-        let change = change(&due.step);
+        let change = change(&order.step);
         log::info!(
-            server = due.server.as_str(), kind = kind, model = change.model,
-            adapter = change.adapter.unwrap_or_default(), fencing = due.fencing, status = u64::from(result);
-            "engine ordered"
+            server = order.server.as_str(), kind = kind, model = change.model,
+            adapter = change.adapter.unwrap_or_default(), fencing = order.fencing, status = u64::from(result);
+            "order sent to engine"
         );
-        let takes = self.expected(&due.server, &due.step);
+        let expected_duration = self.expected_duration(&order.server, &order.step);
         let mut state = self.lock();
         if status == Some(StatusCode::PRECONDITION_FAILED) {
-            // A later holder has ordered this engine. This number is never used again.
+            // A later holder has sent orders to this engine. This fencing number is never used again.
             state.lease.lost();
             drop(state);
             self.lease_wake.notify_one();
             return;
         }
-        let first = state.loading_from_store() + 1;
-        let Some(tracker) = state.trackers.get_mut(&due.server) else {
+        let concurrent_loads = state.loading_from_store() + 1;
+        let Some(tracker) = state.trackers.get_mut(&order.server) else {
             return;
         };
         match status {
-            Some(StatusCode::ACCEPTED) => tracker.order_accepted(now, &due.step, takes, first),
-            Some(StatusCode::OK) if matches!(due.step, plan::Step::UnloadAdapter { .. }) => {
-                tracker.order_accepted(now, &due.step, takes, first);
+            Some(StatusCode::ACCEPTED) => {
+                tracker.order_accepted(now, &order.step, expected_duration, concurrent_loads);
+            }
+            Some(StatusCode::OK) if matches!(order.step, plan::Step::UnloadAdapter { .. }) => {
+                tracker.order_accepted(now, &order.step, expected_duration, concurrent_loads);
             }
             Some(StatusCode::CONFLICT) => tracker.order_conflicted(now),
             _ => tracker.order_unanswered(now),
         }
         let holding = tracker.holding(now);
-        state.tell_held(&due.server);
+        state.mark_changed(&order.server);
         drop(state);
-        self.known(holding);
+        self.publish_holding(holding);
     }
 
-    async fn report(&self, id: SmolStr) {
-        let Some((server, _)) = self.target(&id) else {
+    async fn request_report(&self, id: SmolStr) {
+        let Some((server, _)) = self.find_target(&id) else {
             return;
         };
-        let asked = self.node.now();
-        let answer = self.exchange(&server, self.node.platform.report()).await;
-        let reached = !matches!(answer, Err(NoAnswer::Fault(pool::Fault::Unreachable)));
+        let requested_at = self.node.now();
+        let answer = self
+            .send_request(&server, self.node.platform.report())
+            .await;
+        let reached = !matches!(answer, Err(ExchangeError::Fault(pool::Fault::Unreachable)));
         let report = match answer {
             Ok((StatusCode::OK, body)) => self
                 .node
@@ -177,7 +182,7 @@
                 .read_report(&body)
                 .map_err(|error| error.to_string()),
             Ok((status, _)) => Err(status.to_string()),
-            Err(why) => Err(why.as_str().to_owned()),
+            Err(error) => Err(error.as_str().to_owned()),
         };
         let now = self.node.now();
         let mut state = self.lock();
@@ -186,19 +191,19 @@
         };
         let report = match report {
             Ok(report) => report,
-            Err(why) => {
+            Err(reason) => {
                 if tracker.report_failed(now, reached) {
-                    state.tell_held(&id);
+                    state.mark_changed(&id);
                 }
                 drop(state);
-                log::info!(server = id.as_str(), why = why.as_str(); "no report");
+                log::info!(server = id.as_str(), why = reason.as_str(); "engine sent no usable report");
                 return;
             }
         };
-        let changed = tracker.report_received(asked, now, report);
+        let changed = tracker.report_received(requested_at, now, report);
         if let Some(fetched) = tracker.take_fetched() {
-            let alone = self.alone(&server.group, &fetched.model);
-            state.fetched(&fetched, alone);
+            let unshared_time = self.unshared_load_time(&server.group, &fetched.model);
+            state.record_fetch(&fetched, unshared_time);
         }
         if !changed {
             return;
@@ -207,25 +212,25 @@
             return;
         };
         let holding = tracker.holding(now);
-        state.tell_held(&id);
+        state.mark_changed(&id);
         drop(state);
-        self.known(holding);
+        self.publish_holding(holding);
     }
 
-    /// What an engine holds is known anew, here first.
-    fn known(&self, holding: frame::Holding) {
+    /// Publishes a change in what an engine holds, first to this instance itself.
+    fn publish_holding(&self, holding: frame::Holding) {
         self.node.learn_held(holding);
         self.wake.notify_one();
     }
 
-    fn target(&self, id: &str) -> Option<(server::Server, u64)> {
+    fn find_target(&self, id: &str) -> Option<(server::Server, u64)> {
         let state = self.lock();
         let tracker = state.trackers.get(id)?;
         Some((tracker.server.clone(), tracker.orders))
     }
 
-    /// How long an order should take.
-    fn expected(&self, server: &str, step: &plan::Step) -> Duration {
+    /// Expected duration of an order; zero unless it is a load.
+    fn expected_duration(&self, server: &str, step: &plan::Step) -> Duration {
         let plan::Step::Load { model, tier, .. } = step else {
             return Duration::ZERO;
         };
@@ -242,8 +247,8 @@
         known.map_or(Duration::ZERO, |known| tier.load_time(&known))
     }
 
-    /// How long a load of a model from the weight store takes by itself.
-    fn alone(&self, group: &str, model: &str) -> Duration {
+    /// How long a load of a model from the weight store takes when no other load runs.
+    fn unshared_load_time(&self, group: &str, model: &str) -> Duration {
         let config = self.node.config();
         let group = config.as_ref().and_then(|config| config.groups.get(group));
         let engine = group.and_then(|group| group.engine.as_ref());
@@ -251,26 +256,26 @@
         known.map_or(Duration::ZERO, |known| known.store_load_time)
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         server: &server::Server,
         request: Request<Full<Bytes>>,
-    ) -> Result<(StatusCode, Bytes), NoAnswer> {
-        let whole = async {
+    ) -> Result<(StatusCode, Bytes), ExchangeError> {
+        let exchange = async {
             let sending =
                 self.node
                     .pool
-                    .send(self.node.now(), server.address, CONNECTIONS, request);
-            let (response, connection) = sending.await.map_err(NoAnswer::Fault)?;
+                    .send(self.node.now(), server.address, MAX_CONNECTIONS, request);
+            let (response, connection) = sending.await.map_err(ExchangeError::Fault)?;
             let (head, body) = response.into_parts();
-            let keep = self.node.platform.read_reply(&head).keep_alive;
-            let body = Limited::new(body, REPORT_BYTES).collect().await;
-            let body = body.map_err(|_| NoAnswer::Broken)?.to_bytes();
-            self.node.pool.keep(self.node.now(), connection, keep);
+            let keep_alive = self.node.platform.read_reply(&head).keep_alive;
+            let body = Limited::new(body, MAX_REPORT_BYTES).collect().await;
+            let body = body.map_err(|_| ExchangeError::IncompleteBody)?.to_bytes();
+            self.node.pool.keep(self.node.now(), connection, keep_alive);
             Ok((head.status, body))
         };
-        time::timeout(ANSWER_LIMIT, whole)
+        time::timeout(ANSWER_TIMEOUT, exchange)
             .await
-            .unwrap_or(Err(NoAnswer::Late))
+            .unwrap_or(Err(ExchangeError::TimedOut))
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/steward/shares.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of quotas, as the steward tells them.
+//! Shares of quotas, as sent by the steward.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 use fireflywheel::fleet::frame;
 use fireflywheel::fleet::quota;
 
-use super::state::{DELAY_LOG, State};
+use super::state::{DELAY_LOG_INTERVAL, State};
 
-/// Shares of quotas are told after this while all are one: they tell instances what part is theirs without a steward.
-const SHARES: Duration = Duration::from_secs(1);
+/// Interval between broadcasts of the shares while all of them are one: even then they tell each instance
+/// which part of a quota is its own without a steward.
+const IDLE_SHARES_INTERVAL: Duration = Duration::from_secs(1);
 
 impl State {
-    /// Tells the shares of quotas: soon while some are below one, and else when use has changed for a while. Returns them
-    /// for this instance itself.
-    pub(super) fn tell_shares(
+    /// Sends the shares of quotas: at short intervals while some are below one, and otherwise once a
+    /// second. Returns them for this instance itself.
+    pub(super) fn send_shares(
         &mut self,
         now: clock::Instant,
         config: &config::Config,
@@ -23,43 +24,43 @@
         window: Duration,
     ) -> Option<Vec<quota::Share>> {
         let organisations = config.organisations.as_ref()?;
-        let tight = |shares: &[quota::Share]| shares.iter().any(|share| share.admit < 1.0);
-        let pause = if tight(&self.shares) {
-            self.news_pause()
+        let is_reduced = |shares: &[quota::Share]| shares.iter().any(|share| share.admit < 1.0);
+        let interval = if is_reduced(&self.shares) {
+            self.broadcast_interval()
         } else {
-            SHARES
+            IDLE_SHARES_INTERVAL
         };
-        let due = now.since(self.shares_told) >= pause;
-        let may_be = now.since(self.shares_told) >= self.news_pause();
-        if !due && !may_be {
+        let due = now.since(self.shares_sent_at) >= interval;
+        let can_send = now.since(self.shares_sent_at) >= self.broadcast_interval();
+        if !due && !can_send {
             return None;
         }
         let shares = self.meter.shares(now, organisations, instances, window);
-        if !due && !tight(&shares) {
+        if !due && !is_reduced(&shares) {
             return None;
         }
-        self.shares_told = now;
+        self.shares_sent_at = now;
         self.shares = shares;
         self.log_shares(now);
         self.broadcast(&frame::Frame::Shares(self.shares.clone()));
         Some(self.shares.clone())
     }
 
-    /// Logs why organisations are refused, once a second for each.
+    /// Logs why requests of organisations are refused, once a second for each organisation.
     fn log_shares(&mut self, now: clock::Instant) {
-        self.shares_logged
-            .retain(|_, at| now.since(*at) < DELAY_LOG);
+        self.shares_logged_at
+            .retain(|_, at| now.since(*at) < DELAY_LOG_INTERVAL);
         for share in self.shares.iter().filter(|share| share.admit < 1.0) {
             let name = &share.organisation;
-            let figures = self.meter.figures(now, name);
-            let Some(figures) = figures.filter(|_| !self.shares_logged.contains_key(name)) else {
+            let usage = self.meter.figures(now, name);
+            let Some(usage) = usage.filter(|_| !self.shares_logged_at.contains_key(name)) else {
                 continue;
             };
-            self.shares_logged.insert(name.clone(), now);
+            self.shares_logged_at.insert(name.clone(), now);
             log::info!(
-                organisation = name.as_str(), admit = f64::from(share.admit), offered = figures.offered,
-                used = figures.used, left = figures.level, reserved = figures.reserved;
-                "organisation over its quota"
+                organisation = name.as_str(), admit = f64::from(share.admit), offered = usage.offered,
+                used = usage.used, left = usage.level, reserved = usage.reserved;
+                "organisation is over its quota"
             );
         }
     }
--- a/crates/fireflywheel_daemon/src/fleet/steward/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/state.rs
@@ -1,4 +1,4 @@
-//! What a steward knows and decides, behind its lock.
+//! The steward's knowledge and decisions, behind its lock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -20,113 +20,120 @@
 
 use super::link;
 
-/// The share of the weight store's rate that is used: a load may begin later than it was ordered.
-pub(super) const STORE_SHARE: f64 = 0.9;
+/// The part of the weight store's rate that is used: a load may begin later than it was ordered.
+pub(super) const STORE_RATE_RATIO: f64 = 0.9;
 
-/// Loads from the weight store are counted over this window.
-pub(super) const STORE_WINDOW: Duration = Duration::from_secs(5);
+/// Window over which loads from the weight store are counted.
+pub(super) const STORE_RATE_WINDOW: Duration = Duration::from_secs(5);
 
-/// A wait that is worth a line in the log: twice a swap from a disk.
-pub(super) const LONG_WAIT: Duration = Duration::from_millis(1500);
+/// Waits from this length on are logged: twice the duration of a swap from disk.
+pub(super) const LONG_WAIT_THRESHOLD: Duration = Duration::from_millis(1500);
 
-/// Time between two such lines for one model.
-pub(super) const DELAY_LOG: Duration = Duration::from_secs(1);
+/// Minimum interval between such log lines for one model or organisation.
+pub(super) const DELAY_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reports that are asked for at once.
-const REPORTS_AT_ONCE: usize = 48;
+/// Maximum number of reports that are requested at the same time.
+const MAX_PENDING_REPORTS: usize = 48;
 
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) lease: lease::Lease,
-    /// This instance has a link to a steward that acts.
+    /// Whether this instance has a link to an active steward.
     pub(super) linked: bool,
-    /// The lease was read since it was last written, and since the last link ended.
+    /// Whether the lease was read since it was last written, and since the last link ended.
     pub(super) lease_known: bool,
     pub(super) demands: demand::Aggregator,
     pub(super) trackers: BTreeMap<SmolStr, tracker::Tracker>,
     pub(super) links: BTreeMap<u64, link::Link>,
-    /// Which links are told of which engines.
+    /// Which links receive which engines.
     pub(super) subscriptions: subscription::Registry,
     /// All groups of the configuration.
     pub(super) groups: BTreeSet<SmolStr>,
-    /// Groups of engines.
-    pub(super) engines: BTreeSet<SmolStr>,
-    /// The versions of configuration and directory that were followed last.
-    pub(super) followed: (u64, u64),
-    /// All instances are told of all engines.
-    pub(super) telling_all: bool,
-    /// Up to so many links times engines.
-    pub(super) tell_all: usize,
-    pub(super) fetches: VecDeque<clock::Instant>,
-    pub(super) pace: plan::concurrency::Estimate,
-    /// Standbys as they were told last, by this instance or by the steward.
+    /// Groups that consist of engines.
+    pub(super) engine_groups: BTreeSet<SmolStr>,
+    /// The versions of configuration and directory that the trackers correspond to.
+    pub(super) tracked_versions: (u64, u64),
+    /// Whether all instances receive all engines.
+    pub(super) sends_all_engines: bool,
+    /// Maximum product of links and engines at which all instances receive all engines.
+    pub(super) all_engines_limit: usize,
+    /// When loads from the weight store were ordered within the last window.
+    pub(super) recent_fetches: VecDeque<clock::Instant>,
+    pub(super) concurrency: plan::concurrency::Estimate,
+    /// Standbys as they were last announced, by this instance or by the steward.
     pub(super) standbys: Vec<lease::Record>,
-    /// An instance that is steward as another one says, while this one believes that it is.
+    /// The steward that another instance reports while this instance believes to be steward itself.
     pub(super) rival: Option<lease::Record>,
-    pub(super) acting: Option<u64>,
-    /// Since when it acts, or doesn't.
-    pub(super) turned: clock::Instant,
+    /// The fencing number of this instance while it is the active steward.
+    pub(super) active_fencing: Option<u64>,
+    /// When this instance last became active or inactive as steward.
+    pub(super) role_changed_at: clock::Instant,
     pub(super) last_heartbeat: Option<clock::Instant>,
-    pub(super) told_version: u64,
-    /// The newest configuration in the form in which it is sent, with its version.
+    pub(super) sent_config_version: u64,
+    /// The newest configuration as an encoded frame, with its version.
     pub(super) config: Option<(u64, Bytes)>,
-    /// A new one is sent to all if that is no more: more would hold up heartbeats until links are taken for dead.
+    /// Maximum total size in bytes at which a new configuration is sent to all instances: more would delay
+    /// heartbeats until links are taken for dead.
     pub(super) config_bytes: usize,
-    /// The directory as it was told last.
+    /// The directory as it was last sent.
     pub(super) entries: BTreeMap<SmolStr, frame::Entry>,
-    /// When it was last told what engines have to read, and whether that was anything.
-    pub(super) load: (clock::Instant, bool),
-    pub(super) forecast: clock::Instant,
+    /// When the loads of engines were last sent, and whether there were any.
+    pub(super) loads_sent: (clock::Instant, bool),
+    pub(super) forecasts_sent_at: clock::Instant,
     pub(super) forecasts: Vec<frame::Forecast>,
-    /// When it was last logged that a model is waited for.
-    pub(super) delays: BTreeMap<SmolStr, clock::Instant>,
+    /// When a long wait for each model was last logged.
+    pub(super) delays_logged_at: BTreeMap<SmolStr, clock::Instant>,
     /// What instances admit for organisations.
     pub(super) meter: meter::Meter,
-    /// Limits that servers name, and who may send to these.
+    /// Limits that servers announce, and the permits for sending to these servers.
     pub(super) pacer: pacer::Pacer,
-    /// Limits have changed since they were told, and when that was.
+    /// Whether limits have changed since they were last sent.
     pub(super) limits_changed: bool,
-    pub(super) limits_told: clock::Instant,
-    /// Shares of quotas as they were told last, and when.
+    /// When limits were last sent.
+    pub(super) limits_sent_at: clock::Instant,
+    /// Shares of quotas as they were last sent.
     pub(super) shares: Vec<quota::Share>,
-    pub(super) shares_told: clock::Instant,
-    /// When it was last logged that an organisation is over its quota.
-    pub(super) shares_logged: BTreeMap<SmolStr, clock::Instant>,
+    /// When shares were last sent.
+    pub(super) shares_sent_at: clock::Instant,
+    /// When each organisation was last logged as over its quota.
+    pub(super) shares_logged_at: BTreeMap<SmolStr, clock::Instant>,
 }
 
-/// An order that is to be sent.
+/// An order that is due to be sent.
 #[derive(Clone, Debug)]
-pub(super) struct Due {
+pub(super) struct Order {
     pub(super) server: SmolStr,
     pub(super) fencing: u64,
     pub(super) step: plan::Step,
 }
 
 impl State {
-    /// The lease was won or lost.
-    pub(super) fn turn(&mut self, now: clock::Instant, acting: Option<u64>) {
-        self.acting = acting;
-        self.turned = now;
+    /// Resets the state after the lease was won or lost.
+    pub(super) fn change_role(&mut self, now: clock::Instant, active_fencing: Option<u64>) {
+        self.active_fencing = active_fencing;
+        self.role_changed_at = now;
         self.trackers.clear();
         self.subscriptions = subscription::Registry::default();
-        self.followed = (0, 0);
+        self.tracked_versions = (0, 0);
         for link in self.links.values_mut() {
-            link.whole = false;
+            link.all_engines = false;
         }
         self.forecasts.clear();
         self.meter = meter::Meter::default();
         self.shares.clear();
         self.pacer = pacer::Pacer::default();
         self.limits_changed = true;
-        // Loads of the steward before may have begun a moment ago: as many count as may run at once.
-        self.fetches.clear();
-        let before = self.pace.limit();
-        self.fetches.extend(std::iter::repeat_n(now, before));
+        // Loads ordered by the previous steward may have begun a moment ago, so as many are counted as may
+        // run at once.
+        self.recent_fetches.clear();
+        let previous_limit = self.concurrency.limit();
+        self.recent_fetches
+            .extend(std::iter::repeat_n(now, previous_limit));
         self.last_heartbeat = None;
     }
 
-    /// Takes in what the directory says of a group's engines.
-    pub(super) fn follow(&mut self, group: &SmolStr, engines: Vec<server::Server>) {
+    /// Updates the trackers of a group to its engines in the directory.
+    pub(super) fn update_engines(&mut self, group: &SmolStr, engines: Vec<server::Server>) {
         self.trackers.retain(|id, tracker| {
             tracker.group != *group || engines.iter().any(|server| server.id == *id)
         });
@@ -137,17 +144,18 @@
                 .get(&id)
                 .map(|tracker| tracker.server.started_ms);
             let is_new = known != Some(server.started_ms);
-            let fresh = || tracker::Tracker::new(group.clone(), server.clone());
-            let tracker = self.trackers.entry(id.clone()).or_insert_with(fresh);
+            let new_tracker = || tracker::Tracker::new(group.clone(), server.clone());
+            let tracker = self.trackers.entry(id.clone()).or_insert_with(new_tracker);
             tracker.update_server(server);
             if is_new {
-                // Its entry says what it holds. Reports of thousands of engines take a new steward seconds.
-                self.tell_held(&id);
+                // The entry says what the engine holds. A new steward needs seconds to receive reports from
+                // thousands of engines.
+                self.mark_changed(&id);
             }
         }
     }
 
-    /// The orders that are due in a group, counted as sent.
+    /// Plans the orders that are due in a group, and counts them as sent.
     pub(super) fn plan(
         &mut self,
         now: clock::Instant,
@@ -155,7 +163,7 @@
         engine: &config::Engine,
         fencing: u64,
         forecasts: &mut Vec<frame::Forecast>,
-    ) -> Vec<Due> {
+    ) -> Vec<Order> {
         let ids: Vec<SmolStr> = self
             .trackers
             .iter()
@@ -167,89 +175,90 @@
         let mut engines = Vec::with_capacity(ids.len());
         for (id, tracker) in &mut self.trackers {
             if tracker.group == *group {
-                let unread = loads.get(id).map_or(0, |load| load.prefill_tokens);
+                let prefill_tokens = loads.get(id).map_or(0, |load| load.prefill_tokens);
                 let running = running.remove(id).unwrap_or_default();
                 engines.push(plan::EngineState {
                     limit: self.pacer.limit(id),
-                    ..tracker.engine_state(now, running, unread)
+                    ..tracker.engine_state(now, running, prefill_tokens)
                 });
             }
         }
-        let wants = self.demands.pending(group);
+        let pending = self.demands.pending(group);
         let models = engine.models.keys();
-        let rates = models
+        let arrival_rates = models
             .map(|model| (model.clone(), self.demands.arrival_rate(now, group, model)))
             .collect();
-        let drains = self.demands.drain_rates(now, group);
+        let drain_rates = self.demands.drain_rates(now, group);
         let view = plan::View {
             now,
             config: engine,
             engines: &engines,
-            pending: &wants,
-            arrival_rates: &rates,
-            drain_rates: &drains,
-            max_fetches: self.fetch_room(now, engine, &engines),
-            concurrency: self.pace,
+            pending: &pending,
+            arrival_rates: &arrival_rates,
+            drain_rates: &drain_rates,
+            max_fetches: self.fetch_limit(now, engine, &engines),
+            concurrency: self.concurrency,
         };
-        let expected = plan::forecast(&view).into_iter();
-        forecasts.extend(expected.map(|(model, wait)| frame::Forecast {
+        let forecast = plan::forecast(&view).into_iter();
+        forecasts.extend(forecast.map(|(model, wait)| frame::Forecast {
             group: group.clone(),
             model,
             wait_ms: frame::millis(wait),
         }));
-        log_delays(&view, &mut self.delays);
+        log_delays(&view, &mut self.delays_logged_at);
         let steps = plan::steps(&view);
         self.count_as_sent(now, &ids, &steps);
-        let due = steps.into_iter().map(|step| Due {
+        let orders = steps.into_iter().map(|step| Order {
             server: ids[step.engine()].clone(),
             fencing,
             step,
         });
-        due.collect()
+        orders.collect()
     }
 
     /// Counts the orders of a plan for these engines as sent.
     fn count_as_sent(&mut self, now: clock::Instant, ids: &[SmolStr], steps: &[plan::Step]) {
         let by_engine: BTreeMap<usize, &plan::Step> =
             steps.iter().map(|step| (step.engine(), step)).collect();
-        for (place, id) in ids.iter().enumerate() {
+        for (index, id) in ids.iter().enumerate() {
             let tracker = self
                 .trackers
                 .get_mut(id)
-                .expect("it is an engine of this plan");
-            match by_engine.get(&place) {
+                .expect("each engine of the plan has a tracker");
+            match by_engine.get(&index) {
                 Some(step) => tracker.order_sent(now, (*step).clone()),
                 None => tracker.not_planned(now),
             }
         }
         let fetches = steps.iter().filter(|step| step.is_fetch()).count();
-        self.fetches.extend(std::iter::repeat_n(now, fetches));
+        self.recent_fetches
+            .extend(std::iter::repeat_n(now, fetches));
     }
 
-    /// Loads from the weight store that may run at once, by its rate.
-    pub(super) fn fetch_room(
+    /// Maximum number of loads from the weight store that may run at once, by the store's rate.
+    pub(super) fn fetch_limit(
         &mut self,
         now: clock::Instant,
         engine: &config::Engine,
         engines: &[plan::EngineState],
     ) -> usize {
         while self
-            .fetches
+            .recent_fetches
             .front()
-            .is_some_and(|at| now.since(*at) > STORE_WINDOW)
+            .is_some_and(|at| now.since(*at) > STORE_RATE_WINDOW)
         {
-            self.fetches.pop_front();
+            self.recent_fetches.pop_front();
         }
-        let allowed = engine.loads_per_second * STORE_WINDOW.as_secs_f64() * STORE_SHARE;
-        let left = (allowed - self.fetches.len() as f64).max(0.0) as usize;
+        let allowed = engine.loads_per_second * STORE_RATE_WINDOW.as_secs_f64() * STORE_RATE_RATIO;
+        let remaining = (allowed - self.recent_fetches.len() as f64).max(0.0) as usize;
         let running = engines
             .iter()
             .filter(|engine_state| engine_state.fetching)
             .count();
-        self.pace.limit().min(running + left)
+        self.concurrency.limit().min(running + remaining)
     }
 
-    /// Loads from the weight store that engines have accepted.
+    /// Number of loads from the weight store that engines have accepted.
     pub(super) fn loading_from_store(&self) -> usize {
         let trackers = self.trackers.values();
         trackers
@@ -257,42 +266,44 @@
             .count()
     }
 
-    /// A load from the weight store has ended that takes `alone` by itself.
-    pub(super) fn fetched(&mut self, fetched: &tracker::Fetched, alone: Duration) {
-        // Half of those that run now have come or gone since it began.
-        let at_once = (fetched.first + self.loading_from_store() + 1).div_ceil(2);
-        self.pace
-            .observe(fetched.first, at_once, alone, fetched.took);
+    /// Records that a load from the weight store has ended, which takes `unshared_time` when no other load
+    /// runs.
+    pub(super) fn record_fetch(&mut self, fetched: &tracker::Fetched, unshared_time: Duration) {
+        // The load is assumed to have shared the store with the mean of the numbers of loads at its start and
+        // at its end, as loads start and end while it runs.
+        let concurrent_loads = (fetched.first + self.loading_from_store() + 1).div_ceil(2);
+        self.concurrency
+            .observe(fetched.first, concurrent_loads, unshared_time, fetched.took);
         log::info!(
-            model = fetched.model.as_str(), took_ms = clock::millis(fetched.took), at_once = at_once as u64,
-            now_at_once = self.pace.limit() as u64;
+            model = fetched.model.as_str(), took_ms = clock::millis(fetched.took), at_once = concurrent_loads as u64,
+            now_at_once = self.concurrency.limit() as u64;
             "load from the weight store ended"
         );
     }
 
-    /// A link has ended, unless its instance has made another one since.
+    /// Removes a link that has ended. The meter keeps its instance if that has opened another link since.
     pub(super) fn remove_link(&mut self, now: clock::Instant, number: u64, instance: &SmolStr) {
         self.links.remove(&number);
         self.pacer.remove(pacer::Requester::Link(number));
         self.subscriptions.remove_link(number);
-        let again = self
+        let has_other_link = self
             .links
             .values()
             .any(|other| other.peer.instance == *instance);
-        if !again {
+        if !has_other_link {
             self.meter.link_closed(now, instance);
         }
     }
 
-    /// Engines that are to be asked for a report now. A new steward needs one of each engine: asked all at once, thousands of
-    /// answers would hold up its links until these are taken for dead.
+    /// Engines from which a report is to be requested now. A new steward needs a report from each engine: if
+    /// it requested all at once, thousands of answers would block its links until these are taken for dead.
     pub(super) fn reports_due(&mut self, now: clock::Instant) -> Vec<SmolStr> {
-        let asking = self
+        let pending = self
             .trackers
             .values()
             .filter(|tracker| tracker.is_report_pending())
             .count();
-        let room = REPORTS_AT_ONCE.saturating_sub(asking);
+        let room = MAX_PENDING_REPORTS.saturating_sub(pending);
         let due = self.trackers.iter_mut();
         let due = due
             .filter(|(_, tracker)| tracker.needs_report(now))
@@ -306,19 +317,23 @@
 }
 
 /// Logs what keeps callers waiting for long, once a second for each model.
-pub(super) fn log_delays(view: &plan::View<'_>, logged: &mut BTreeMap<SmolStr, clock::Instant>) {
-    logged.retain(|_, at| view.now.since(*at) < DELAY_LOG);
-    for want in view.pending.iter().filter(|want| want.adapter.is_none()) {
-        let waited = view.now.since(want.since);
-        if waited < LONG_WAIT || logged.contains_key(&want.model) {
+pub(super) fn log_delays(view: &plan::View<'_>, logged_at: &mut BTreeMap<SmolStr, clock::Instant>) {
+    logged_at.retain(|_, at| view.now.since(*at) < DELAY_LOG_INTERVAL);
+    for pending in view
+        .pending
+        .iter()
+        .filter(|pending| pending.adapter.is_none())
+    {
+        let waited = view.now.since(pending.since);
+        if waited < LONG_WAIT_THRESHOLD || logged_at.contains_key(&pending.model) {
             continue;
         }
-        logged.insert(want.model.clone(), view.now);
+        logged_at.insert(pending.model.clone(), view.now);
         log::info!(
-            model = want.model.as_str(), waiting = want.waiting,
+            model = pending.model.as_str(), waiting = pending.waiting,
             waited_ms = clock::millis(waited),
-            why = plan::blocked_reason(view, &want.model);
-            "model waited for"
+            why = plan::blocked_reason(view, &pending.model);
+            "requests wait for model"
         );
     }
 }
