--- a/crates/fireflywheel_daemon/src/fleet/node.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! What an instance knows, behind one lock that is never held across a wait.
+//! The state of an instance, behind one lock that is never held across an await point.
 
 mod choice;
 mod demand;
@@ -32,50 +32,50 @@
 /// One instance.
 #[derive(Debug)]
 pub struct Node<P> {
-    /// What translates.
+    /// Translates between the fleet and the platform's interfaces.
     pub platform: P,
-    /// What it was told at its start.
+    /// The settings that it was started with.
     pub settings: settings::Settings,
-    /// Its clock.
+    /// The clock of this process.
     pub clock: Clock,
     /// Its connections to backend servers.
     pub pool: pool::Pool,
-    /// What it counts.
+    /// Its metrics.
     pub metrics: metrics::Metrics,
-    /// When it started.
+    /// When the process started.
     pub started: Instant,
-    /// Tells two processes of one name apart.
+    /// Random number that distinguishes two processes of one instance name.
     pub incarnation: u64,
-    /// Changes when a request that waits may find something else.
+    /// Changes when the choice of a server for a waiting request may have changed.
     pub changed: watch::Sender<u64>,
-    /// Told when more, or something else, is wanted of the steward.
+    /// Notified when the demand for the steward grows or changes.
     pub demand_changed: Notify,
-    /// Told when requests in progress begin or end.
+    /// Notified when requests in flight start or end.
     pub usage_changed: Notify,
-    /// Told when the store answers again after calls that failed.
+    /// Notified when the store answers again after failed calls.
     pub store_recovered: Notify,
-    /// What the steward says of its own reads of the store.
+    /// The steward's reads of the store, as it reports them.
     pub steward_reads: watch::Sender<StewardReads>,
     state: Mutex<State>,
 }
 
-/// What the steward says of its own reads of the store.
+/// The steward's reads of the store, as it reports them.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StewardReads {
-    /// Until then its reads stand for reads of this instance's own.
+    /// Until when its reads replace this instance's own.
     pub until: Option<Instant>,
-    /// When it read the store last, or later.
+    /// When it last read the store, or a later time.
     pub read: Option<Instant>,
-    /// The newest configuration that it knows of.
+    /// The newest configuration version that it knows of.
     pub version: u64,
 }
 
-/// The configuration that an instance decides by, and how sure it is that there is no later one.
+/// The configuration that an instance uses, and how certain it is that there is no later one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ConfigStatus {
-    /// The version; 0 for none.
+    /// The version; 0 if there is none.
     pub version: u64,
-    /// How long ago the store was read last; none if it never was.
+    /// Time since the store was last read; `None` if it never was.
     pub age: Option<Duration>,
     /// Who read it.
     pub source: ConfigSource,
@@ -88,7 +88,7 @@
     Unknown,
     /// The instance itself.
     Own,
-    /// The steward, which told it.
+    /// The steward, which reported it to the instance.
     Steward,
     /// An instance that has a link to this one.
     Peer,
@@ -107,14 +107,14 @@
     }
 }
 
-/// Where requests wait for the same thing.
+/// Identifies the queue of requests that wait for the same thing.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueueKey {
     /// The group.
     pub group: SmolStr,
-    /// The model, for engines.
+    /// The model, if the group consists of engines.
     pub model: Option<SmolStr>,
-    /// The adapter on it.
+    /// The adapter of that model.
     pub adapter: Option<SmolStr>,
 }
 
@@ -122,7 +122,7 @@
 where
     P: Send + Sync,
 {
-    /// An instance that knows nothing yet.
+    /// Creates an instance that knows of no configuration and no servers.
     #[must_use]
     pub fn new(platform: P, settings: settings::Settings, metrics: metrics::Metrics) -> Self {
         let clock = Clock::new();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The time.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Instant {
         self.clock.now()
@@ -157,25 +157,25 @@
         self.lock().config.clone()
     }
 
-    /// Puts a configuration in force, unless that one or a later one is.
+    /// Applies a configuration, unless that one or a later one is in force.
     pub fn apply_config(&self, config: Arc<config::Config>, source: ConfigSource) {
         let (version, routes) = (config.version, config.routes.len() as u64);
-        let taken = self.lock().configure(config);
-        if taken {
+        let is_new = self.lock().apply_config(config);
+        if is_new {
             self.metrics.set_version(version);
             self.wake();
         }
-        log::info!(version = version, routes = routes, taken = taken, reader = source.as_str(); "configuration read");
+        log::info!(version = version, routes = routes, taken = is_new, reader = source.as_str(); "configuration read");
     }
 
-    /// The configuration was read at this time.
-    pub fn record_config_read(&self, asked: Instant) {
+    /// Records a read of the configuration that was requested at this time.
+    pub fn record_config_read(&self, requested_at: Instant) {
         let mut state = self.lock();
-        state.config_read = Some(asked);
+        state.config_read_at = Some(requested_at);
         state.needs_config = false;
     }
 
-    /// The store didn't answer a read of the configuration: the steward is to send it.
+    /// Records that the store did not answer a read of the configuration, which the steward has to send.
     pub fn config_read_failed(&self) {
         self.lock().needs_config = true;
         self.demand_changed.notify_one();
@@ -188,40 +188,40 @@
         self.config().filter(|config| config.version > known)
     }
 
-    /// The directory was read at this time, in this era of the store.
-    pub fn record_directory_read(&self, asked: Instant, era: Era) {
+    /// Records a read of the directory that was requested at this time, in this era of the store.
+    pub fn record_directory_read(&self, requested_at: Instant, era: Era) {
         let mut state = self.lock();
-        state.directory_read = Some(asked);
+        state.directory_read_at = Some(requested_at);
         state.era = era;
     }
 
-    /// How long ago the older of both was read.
+    /// Time since the older of the last reads of configuration and directory.
     #[must_use]
     pub fn read_age(&self) -> Duration {
         let now = self.now();
         self.lock().read_age(now)
     }
 
-    /// How long ago the configuration was read; zero while the steward reads it for this instance.
+    /// Time since the configuration was read; zero while the steward reads it for this instance.
     #[must_use]
     pub fn config_age(&self) -> Duration {
         if self.steward_reads_valid() {
             return Duration::ZERO;
         }
-        let read = self.lock().config_read;
+        let read = self.lock().config_read_at;
         read.map_or(Duration::MAX, |at| self.now().since(at))
     }
 
-    /// The configuration in force, and the last read of the store behind it.
+    /// The configuration in force, and the last read of the store that confirms it.
     #[must_use]
     pub fn config_status(&self) -> ConfigStatus {
         let now = self.now();
-        let told = self.steward_reads.borrow().read;
+        let steward_read = self.steward_reads.borrow().read;
         let state = self.lock();
-        let read = told.max(state.config_read);
+        let read = steward_read.max(state.config_read_at);
         let source = match read {
             None => ConfigSource::Unknown,
-            Some(_) if told > state.config_read => ConfigSource::Steward,
+            Some(_) if steward_read > state.config_read_at => ConfigSource::Steward,
             Some(_) => ConfigSource::Own,
         };
         ConfigStatus {
@@ -231,60 +231,60 @@
         }
     }
 
-    /// Whether the steward's reads of the store stand for this instance's own.
+    /// Whether the steward's reads of the store replace this instance's own.
     #[must_use]
     pub fn steward_reads_valid(&self) -> bool {
         let until = self.steward_reads.borrow().until;
         until.is_some_and(|until| self.now() < until)
     }
 
-    /// Whether this instance's reads stand for those of others.
+    /// Whether this instance is the active steward, whose reads replace those of others.
     #[must_use]
     pub fn is_acting_steward(&self) -> bool {
-        self.lock().relaying
+        self.lock().is_acting_steward
     }
 
-    /// This instance is steward from now on, or no more.
-    pub fn set_acting_steward(&self, relaying: bool) {
+    /// Sets whether this instance is the active steward.
+    pub fn set_acting_steward(&self, is_acting: bool) {
         let mut state = self.lock();
-        state.relaying = relaying;
-        if relaying {
-            state.live = None;
-            state.asks.clear();
+        state.is_acting_steward = is_acting;
+        if is_acting {
+            state.subscriptions = None;
+            state.pending_subscriptions.clear();
         }
     }
 
-    /// Instances that share limits, as far as known.
+    /// Number of instances that share limits, as far as it is known.
     #[must_use]
     pub fn instances(&self) -> usize {
         self.lock().instances.count()
     }
 
-    /// Whether it has heard of backend servers, or that there are none.
+    /// Whether the backend servers are known, or that there are none.
     #[must_use]
     pub fn knows_servers(&self) -> bool {
         let state = self.lock();
-        state.directory_read.is_some() || !state.servers.is_empty()
+        state.directory_read_at.is_some() || !state.servers.is_empty()
     }
 
-    /// Whether callers should be sent here.
+    /// Whether callers should be sent to this instance.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let state = self.lock();
-        state.config.is_some() && state.stops.is_none()
+        state.config.is_some() && state.stop_deadline.is_none()
     }
 
-    /// A planned stop has begun, and will be over after `grace`.
+    /// Begins a planned stop, which will be over after `grace`.
     pub fn drain(&self, grace: Duration) {
-        let stops = self.now().after(grace);
-        self.lock().stops = Some(stops);
+        let deadline = self.now().after(grace);
+        self.lock().stop_deadline = Some(deadline);
         self.wake();
     }
 
     /// When a planned stop will be over, once one has begun.
     #[must_use]
     pub fn stop_deadline(&self) -> Option<Instant> {
-        self.lock().stops
+        self.lock().stop_deadline
     }
 
     /// Whether a planned stop has begun.
@@ -299,6 +299,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic while it was held")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/choice.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/choice.rs
@@ -1,4 +1,4 @@
-//! Where a request can go, and counting it there.
+//! Chooses servers for requests, and counts the requests at each server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,76 +16,78 @@
 use super::{Node, QueueKey};
 use crate::fleet::platform;
 
-/// A route's objective counts as this long at least, so that one of zero divides nothing.
-const SHORTEST_OBJECTIVE: Duration = Duration::from_millis(1);
+/// Lower bound of a route's objective, so that an objective of zero causes no division by zero.
+const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
 
 /// A backend server that was chosen.
 #[derive(Clone, Debug)]
 pub struct Chosen {
     /// Its id.
     pub server: SmolStr,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Connections that this instance may have to it.
+    /// Maximum number of connections of this instance to it.
     pub connections: usize,
-    /// Tokens of the prompt that it has to read, as far as known.
+    /// Prompt tokens that it has to prefill, as far as it is known.
     pub prefill_tokens: u32,
 }
 
-/// What there is for a request now.
+/// The result of choosing a server for a request.
 #[derive(Clone, Debug)]
 pub enum Choice {
-    /// A server that can run it.
+    /// A server that can run the request.
     Server(Chosen),
-    /// Those that can run it have no room at this moment; the wait is what the steward expects.
+    /// The servers that can run the request have no room at the moment; contains the wait that the steward
+    /// expects.
     Full(Option<Duration>),
-    /// Those that can run it name a limit, and its turn hasn't come; the wait is what the steward expects.
+    /// The servers that can run the request announce a limit, and there is no permit for it yet; contains the
+    /// wait that the steward expects.
     Limited(Option<Duration>),
-    /// Those that can run it couldn't be reached a moment ago.
+    /// The servers that can run the request could not be reached a moment ago.
     Unreachable,
-    /// None holds its model; the wait is what the steward expects.
+    /// No server holds the model; contains the wait that the steward expects.
     NotLoaded(Option<Duration>),
-    /// The steward is asked which engines hold its model.
+    /// The steward has been asked which engines hold the model.
     Subscribing,
     /// The group has no server.
     NoServer,
 }
 
-/// A request that is to go somewhere.
+/// A request that needs a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
     /// Its route.
     pub route: &'a config::Route,
-    /// Where it waits.
+    /// The queue that it waits in.
     pub queue: &'a QueueKey,
-    /// What it says.
+    /// Its parsed form.
     pub call: &'a platform::Call,
-    /// Servers that it was sent to already; left out if there are others.
+    /// Servers that it was already sent to; they are left out if there are others.
     pub tried: &'a [SmolStr],
-    /// How long it can wait for a server.
+    /// How long it can still wait for a server.
     pub left: Duration,
 }
 
 /// A server that was picked.
 #[derive(Clone, Copy, Debug)]
 struct Picked<'a> {
-    known: &'a state::Known,
-    /// Tokens of the prompt that it has to read, as far as known.
-    unread: u32,
+    known: &'a state::ServerState,
+    /// Prompt tokens that it has to prefill, as far as it is known.
+    prefill_tokens: u32,
 }
 
-/// What became of an attempt, as far as its server is concerned.
+/// The outcome of an attempt, as far as its server is concerned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerOutcome {
-    /// It did as it should.
+    /// The server behaved correctly.
     Good,
-    /// It failed a request.
+    /// The server failed the request.
     Failed,
-    /// It couldn't be reached.
+    /// The server could not be reached.
     Unreachable,
-    /// It had no room.
+    /// The server had no room.
     Full,
-    /// Another server has its address.
+    /// Another server listens on its address.
     Replaced,
 }
 
@@ -93,7 +95,7 @@
 where
     P: Send + Sync,
 {
-    /// Where a request can go now.
+    /// Chooses a server that the request can go to now.
     #[must_use]
     pub fn choose(&self, query: Query<'_>) -> Choice {
         let Query { queue, tried, .. } = query;
@@ -106,29 +108,29 @@
             return Choice::NoServer;
         };
         if let Some(model) = &queue.model
-            && !state.knows_model(now, model)
+            && !state.ensure_model_known(now, model)
         {
             drop(state);
             self.demand_changed.notify_one();
             return Choice::Subscribing;
         }
-        let mut servers: Vec<&state::Known> = state.usable(now, queue).collect();
+        let mut servers: Vec<&state::ServerState> = state.usable_servers(now, queue).collect();
         if servers.is_empty() {
-            // Of engines only those are known that hold what this instance is asked for.
-            let is_told = state.live.is_some() && queue.model.is_some();
-            return match is_told {
-                true => Choice::NotLoaded(expected(&state, queue, now)),
+            // With subscriptions, an instance knows only the engines that hold the models it was asked for.
+            let is_subscribed = state.subscriptions.is_some() && queue.model.is_some();
+            return match is_subscribed {
+                true => Choice::NotLoaded(forecast_wait(&state, queue, now)),
                 false => Choice::NoServer,
             };
         }
         if let (Some(_), Some(model)) = (&group.engine, &queue.model) {
-            let told_stands = state.told_stands(now);
+            let prefer_steward = state.steward_data_valid(now);
             servers.retain(|known| {
-                let held = known.held(told_stands);
+                let held = known.held(prefer_steward);
                 held.holds(model, queue.adapter.as_deref())
             });
             if servers.is_empty() {
-                return Choice::NotLoaded(expected(&state, queue, now));
+                return Choice::NotLoaded(forecast_wait(&state, queue, now));
             }
         }
         if servers
@@ -146,31 +148,31 @@
             .copied()
             .filter(|known| known.limit.is_open(view))
             .collect();
-        // A server that names a limit is overloaded: others go first.
+        // A server that announces a limit is overloaded, so servers without a limit come first.
         let picked = self
             .pick(now, query, &open)
             .or_else(|| self.pick(now, query, &permitted));
         let Some(picked) = picked else {
-            let full = !open.is_empty() || !permitted.is_empty();
-            let limited: Vec<SmolStr> = ids(&limited).cloned().collect();
-            let expected = expected(&state, queue, now);
-            if state.want_permit(view, query.left, &limited) {
+            let is_full = !open.is_empty() || !permitted.is_empty();
+            let limited: Vec<SmolStr> = server_ids(&limited).cloned().collect();
+            let expected = forecast_wait(&state, queue, now);
+            if state.request_permit(view, query.left, &limited) {
                 self.demand_changed.notify_one();
             }
-            return match full {
+            return match is_full {
                 true => Choice::Full(expected),
-                false => Choice::Limited(state.expected_turn(now, &limited)),
+                false => Choice::Limited(state.expected_permit_wait(now, &limited)),
             };
         };
         let chosen = Chosen {
             server: picked.known.server.id.clone(),
             address: picked.known.server.address,
             connections: (group.connections / state.instances.count()).max(1),
-            prefill_tokens: picked.unread,
+            prefill_tokens: picked.prefill_tokens,
         };
-        let down = queue.model.is_some() && picked.known.stats.is_down(now);
+        let is_down = queue.model.is_some() && picked.known.stats.is_down(now);
         if let Some(known) = state.servers.get_mut(&chosen.server) {
-            if down && !known.stats.try_probe(now) {
+            if is_down && !known.stats.try_probe(now) {
                 return Choice::Unreachable;
             }
             known.limit.use_permit(view);
@@ -178,19 +180,21 @@
         Choice::Server(chosen)
     }
 
-    /// The best of some servers; none when they have no room.
+    /// Picks the best of some servers; `None` if none of them has room.
     fn pick<'a>(
         &self,
         now: clock::Instant,
         query: Query<'_>,
-        servers: &[&'a state::Known],
+        servers: &[&'a state::ServerState],
     ) -> Option<Picked<'a>> {
         let Query { route, call, .. } = query;
         let prompt = prompt(call);
         let parts = call.shared.as_ref().map_or("", |shared| &shared.parts);
-        let keeper = load::prefix_cache_server(prompt, parts, ids(servers).map(SmolStr::as_str));
-        let unread =
-            |known: &state::Known| prompt.prefill_tokens(keeper == Some(known.server.id.as_str()));
+        let cached_server =
+            load::prefix_cache_server(prompt, parts, server_ids(servers).map(SmolStr::as_str));
+        let prefill_tokens = |known: &state::ServerState| {
+            prompt.prefill_tokens(cached_server == Some(known.server.id.as_str()))
+        };
         let candidates: Vec<routing::Candidate<'_>> = servers
             .iter()
             .map(|known| routing::Candidate {
@@ -198,14 +202,14 @@
                 slots: known.server.slots,
                 same_domain: known.server.domain == self.settings.domain,
                 other_requests: known.backlog.other_requests(now),
-                prefill_ratio: reading(now, route, known, unread(known)),
+                prefill_ratio: prefill_ratio(now, route, known, prefill_tokens(known)),
             })
             .collect();
-        let place = routing::pick(now, &candidates, rand::random())?;
-        let known = servers[place];
+        let index = routing::pick(now, &candidates, rand::random())?;
+        let known = servers[index];
         Some(Picked {
             known,
-            unread: unread(known),
+            prefill_tokens: prefill_tokens(known),
         })
     }
 
@@ -214,18 +218,18 @@
             now,
             instance: &self.settings.instance,
             instances: state.instances.count(),
-            steward: state.steward,
+            steward: state.has_steward,
         }
     }
 
-    /// How long callers of a model will wait, as far as the steward tells.
+    /// How long callers of a model are expected to wait, as far as the steward has reported.
     #[must_use]
     pub fn expected_wait(&self, queue: &QueueKey) -> Option<Duration> {
         let now = self.now();
-        expected(&self.lock(), queue, now)
+        forecast_wait(&self.lock(), queue, now)
     }
 
-    /// Counts a request at a server from now on.
+    /// Counts a request at a server until the returned guard is dropped.
     #[must_use]
     pub fn register_in_flight(
         self: &Arc<Self>,
@@ -238,29 +242,29 @@
             queue.adapter.clone(),
         );
         let mut state = self.lock();
-        let mut born = 0;
+        let mut server_started_ms = 0;
         if let Some(known) = state.servers.get_mut(server) {
             known.stats.in_flight += 1;
             known.backlog.add_own(chosen.prefill_tokens);
             let running = known.running.entry(key.clone()).or_default();
             running.count += 1;
-            running.unread += chosen.prefill_tokens;
-            born = known.server.started_ms;
+            running.prefill_tokens += chosen.prefill_tokens;
+            server_started_ms = known.server.started_ms;
         }
         drop(state);
         self.usage_changed.notify_one();
         guard::InFlight {
             node: Arc::clone(self),
             server: server.clone(),
-            born,
+            server_started_ms,
             key,
-            unread: chosen.prefill_tokens,
-            ran: false,
+            prefill_tokens: chosen.prefill_tokens,
+            has_run: false,
             group: queue.group.clone(),
         }
     }
 
-    /// Counts a request as waiting from now on.
+    /// Counts a request as waiting until the returned guard is dropped.
     #[must_use]
     pub fn register_waiting(
         self: &Arc<Self>,
@@ -269,8 +273,8 @@
         until: clock::Instant,
     ) -> guard::Waiter<P> {
         let mut state = self.lock();
-        state.next_waiting += 1;
-        let number = state.next_waiting;
+        state.next_waiter += 1;
+        let number = state.next_waiter;
         let waiting = state::Waiting { since, until };
         state
             .queues
@@ -286,31 +290,33 @@
         }
     }
 
-    /// A request is sent for the first time.
+    /// Records the first attempt of a request in the group's retry budget.
     pub fn record_first_attempt(&self, group: &SmolStr) {
         let now = self.now();
         self.lock()
-            .budget(group, &self.settings)
+            .retry_budget(group, &self.settings)
             .record_request(now);
     }
 
-    /// Takes one repeat out of the group's budget.
+    /// Takes one retry out of the group's budget. Returns whether there was one.
     #[must_use]
     pub fn try_retry(&self, group: &SmolStr) -> bool {
         let now = self.now();
         let mut state = self.lock();
         let instances = state.instances.count();
         state
-            .budget(group, &self.settings)
+            .retry_budget(group, &self.settings)
             .try_retry(now, instances)
     }
 }
 
-fn ids<'a>(servers: &[&'a state::Known]) -> impl ExactSizeIterator<Item = &'a SmolStr> {
+fn server_ids<'a>(
+    servers: &[&'a state::ServerState],
+) -> impl ExactSizeIterator<Item = &'a SmolStr> {
     servers.iter().map(|known| &known.server.id)
 }
 
-fn expected(state: &state::State, queue: &QueueKey, now: clock::Instant) -> Option<Duration> {
+fn forecast_wait(state: &state::State, queue: &QueueKey, now: clock::Instant) -> Option<Duration> {
     let key = (queue.group.clone(), queue.model.clone()?);
     Some(state.forecasts.get(&key)?.since(now))
 }
@@ -323,12 +329,18 @@
     }
 }
 
-/// Until a prompt with `unread` tokens is read at a server, as a share of the route's objective.
-fn reading(now: clock::Instant, route: &config::Route, known: &state::Known, unread: u32) -> f64 {
-    if unread == 0 {
+/// Expected time until a server has finished prefill of a prompt with this many uncached tokens, relative to
+/// the route's objective.
+fn prefill_ratio(
+    now: clock::Instant,
+    route: &config::Route,
+    known: &state::ServerState,
+    prefill_tokens: u32,
+) -> f64 {
+    if prefill_tokens == 0 {
         return 0.0;
     }
-    let tokens = known.backlog.prefill_tokens(now) + f64::from(unread);
-    let objective = route.objective.max(SHORTEST_OBJECTIVE);
+    let tokens = known.backlog.prefill_tokens(now) + f64::from(prefill_tokens);
+    let objective = route.objective.max(MIN_OBJECTIVE);
     load::prefill_time(tokens).div_duration_f64(objective)
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/demand.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/demand.rs
@@ -1,4 +1,4 @@
-//! What this instance tells the steward.
+//! The demand that this instance reports to the steward.
 
 use std::collections::BTreeMap;
 
@@ -27,24 +27,28 @@
             .collect()
     }
 
-    /// Rises with each change of the directory.
+    /// A number that increases with each change of the directory.
     #[must_use]
     pub fn directory_version(&self) -> u64 {
         self.lock().directory_version
     }
 
-    /// All that this instance wants and has running. `era` is the store's, as far as known.
+    /// The demand of this instance and its requests in flight, with the counts since the last call. `era` is
+    /// the store's era, as far as it is known.
     #[must_use]
     pub fn demand(&self, era: Option<Era>) -> demand::Demand {
         let now = self.now();
         let mut state = self.lock();
         let arrived = std::mem::take(&mut state.arrived);
         let finished = std::mem::take(&mut state.finished);
-        let denied = std::mem::take(&mut state.denied);
-        let asks = state.asks.iter_mut().filter(|(_, ask)| !ask.sent);
-        let asks = asks
-            .map(|(model, ask)| {
-                ask.sent = true;
+        let denied = std::mem::take(&mut state.servers_to_check);
+        let subscriptions = state
+            .pending_subscriptions
+            .iter_mut()
+            .filter(|(_, pending)| !pending.is_sent);
+        let subscriptions = subscriptions
+            .map(|(model, pending)| {
+                pending.is_sent = true;
                 model.clone()
             })
             .collect();
@@ -53,7 +57,7 @@
             limits.extend(known.limit.take_notice(now, id));
             permits.extend(known.limit.take_request(now, id));
         }
-        let gates = state.gates.iter_mut();
+        let gates = state.quota_gates.iter_mut();
         let usage = gates
             .filter_map(|(organisation, gate)| gate.take_usage(now, organisation))
             .collect();
@@ -67,20 +71,20 @@
             arrived: counts(arrived),
             finished: counts(finished),
             stamp_ms: now.0,
-            leaving: state.stops.is_some(),
+            leaving: state.stop_deadline.is_some(),
             denied: denied.into_iter().collect(),
             usage,
             era,
             limits,
             permits,
-            subscriptions: asks,
+            subscriptions,
             config_version: Some(state.config.as_ref().map_or(0, |config| config.version)),
             needs_config: state.needs_config,
             read_age_ms: frame::millis(state.read_age(now)),
         }
     }
 
-    /// A request for a model came.
+    /// Counts the arrival of a request for a model.
     pub fn count_arrival(&self, group: &SmolStr, model: &SmolStr) {
         let mut state = self.lock();
         *state
@@ -119,7 +123,7 @@
     })
 }
 
-fn running(known: &mut state::Known) -> impl Iterator<Item = demand::Running> {
+fn running(known: &mut state::ServerState) -> impl Iterator<Item = demand::Running> {
     known.backlog.report_own(known.stats.in_flight);
     let server = &known.server.id;
     let running = known.running.iter();
@@ -128,6 +132,6 @@
         model: model.clone(),
         adapter: adapter.clone(),
         count: running.count,
-        prefill_tokens: running.unread,
+        prefill_tokens: running.prefill_tokens,
     })
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/guard.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/guard.rs
@@ -1,4 +1,4 @@
-//! Requests that are counted as long as something of them lives.
+//! Guards that count a request as long as they live.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use super::{Node, QueueKey};
 
-/// A request in progress at a server, counted as long as this lives.
+/// A request in flight at a server, counted until this guard is dropped.
 #[derive(Debug)]
 pub struct InFlight<P>
 where
@@ -14,16 +14,16 @@
 {
     pub(super) node: Arc<Node<P>>,
     pub(super) server: SmolStr,
-    pub(super) born: u64,
+    pub(super) server_started_ms: u64,
     pub(super) key: (SmolStr, Option<SmolStr>),
-    /// Tokens of its prompt that the server hasn't read yet.
-    pub(super) unread: u32,
-    /// The server has run it.
-    pub(super) ran: bool,
+    /// Prompt tokens that the server has not prefilled yet.
+    pub(super) prefill_tokens: u32,
+    /// Whether the server has run the request.
+    pub(super) has_run: bool,
     pub(super) group: SmolStr,
 }
 
-/// A request that waits, counted as long as this lives.
+/// A waiting request, counted until this guard is dropped.
 #[derive(Debug)]
 pub struct Waiter<P>
 where
@@ -38,22 +38,22 @@
 where
     P: Send + Sync,
 {
-    /// The server has read its prompt, and runs it.
+    /// Records that the server has finished prefill of the prompt, and runs the request.
     pub fn prefill_done(&mut self) {
-        self.ran = true;
-        self.count_as_read();
+        self.has_run = true;
+        self.finish_prefill();
     }
 
-    fn count_as_read(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
-        if unread == 0 {
+    fn finish_prefill(&mut self) {
+        let prefill_tokens = std::mem::take(&mut self.prefill_tokens);
+        if prefill_tokens == 0 {
             return;
         }
         let mut state = self.node.lock();
         if let Some(known) = state.servers.get_mut(&self.server)
-            && known.server.started_ms == self.born
+            && known.server.started_ms == self.server_started_ms
         {
-            known.read(&self.key, unread);
+            known.record_prefill(&self.key, prefill_tokens);
         }
         drop(state);
         self.node.usage_changed.notify_one();
@@ -65,16 +65,16 @@
     P: Send + Sync,
 {
     fn drop(&mut self) {
-        self.count_as_read();
+        self.finish_prefill();
         let mut state = self.node.lock();
-        if self.ran && !self.key.0.is_empty() {
+        if self.has_run && !self.key.0.is_empty() {
             let key = (self.group.clone(), self.key.0.clone());
             *state.finished.entry(key).or_default() += 1;
         }
         let Some(known) = state.servers.get_mut(&self.server) else {
             return;
         };
-        if known.server.started_ms != self.born {
+        if known.server.started_ms != self.server_started_ms {
             return;
         }
         known.stats.in_flight = known.stats.in_flight.saturating_sub(1);
--- a/crates/fireflywheel_daemon/src/fleet/node/knowledge.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the directory, the steward and the servers themselves say.
+//! Updates from the directory, the steward and the backend servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,38 +18,38 @@
 where
     P: Send + Sync,
 {
-    /// Takes in news of the directory. Entries that are gone are kept for `patience`, in case they lapsed
-    /// only because the store was away.
-    pub fn update_directory(&self, news: platform::DirectoryUpdate, patience: Duration) {
+    /// Applies an update of the directory. Servers whose entries are gone are kept for `missing_timeout`, in
+    /// case the entries expired only because the store was unreachable.
+    pub fn update_directory(&self, update: platform::DirectoryUpdate, missing_timeout: Duration) {
         let now = self.now();
         let mut state = self.lock();
-        match news {
+        match update {
             platform::DirectoryUpdate::Full(servers) => {
                 for known in state.servers.values_mut() {
                     if servers.iter().all(|server| server.id != known.server.id) {
-                        known.missing.get_or_insert(now);
+                        known.missing_since.get_or_insert(now);
                     }
                 }
                 for server in servers {
-                    state.enter(server);
+                    state.upsert_server(server);
                 }
             }
             platform::DirectoryUpdate::Partial(changes) => {
                 for (id, server) in changes {
                     match server {
-                        Some(server) => state.enter(server),
-                        None => state.miss(&id, now),
+                        Some(server) => state.upsert_server(server),
+                        None => state.mark_missing(&id, now),
                     }
                 }
             }
         }
-        state.forget_missing(now, patience);
+        state.remove_missing(now, missing_timeout);
         drop(state);
         self.wake();
     }
 
-    /// All entries of the directory, for other instances. Those that are missing for a moment are among them: others have no patience of
-    /// their own for what the steward tells.
+    /// All entries of the directory, for other instances. Entries that went missing a moment ago are
+    /// included: the other instances remove a server at once if the steward's entries lack it.
     #[must_use]
     pub fn entries(&self) -> BTreeMap<SmolStr, frame::Entry> {
         let now = self.now();
@@ -60,11 +60,11 @@
             .collect()
     }
 
-    /// The steward says what has changed in the directory.
+    /// Applies the changes of the directory that the steward has sent.
     pub fn learn_entries(&self, changes: frame::Changes) {
         let now = self.now();
         let mut state = self.lock();
-        state.entries_told = true;
+        state.steward_entries_received = true;
         let named: BTreeSet<&SmolStr> = changes.entries.iter().map(|entry| &entry.id).collect();
         let unnamed = state.servers.values().filter(|known| {
             let server = &known.server;
@@ -76,16 +76,17 @@
         let servers = changes.entries.into_iter().map(|entry| entry.server(now));
         let changed = servers.map(|server| (server.id.clone(), Some(server)));
         let gone = gone.into_iter().map(|id| (id, None));
-        let news = platform::DirectoryUpdate::Partial(changed.chain(gone).collect());
-        self.update_directory(news, Duration::ZERO);
+        let update = platform::DirectoryUpdate::Partial(changed.chain(gone).collect());
+        self.update_directory(update, Duration::ZERO);
     }
 
-    /// Whether the steward has told of entries since this was asked last: they may be older than own reads.
+    /// Whether the steward has sent entries since the last call: they may be older than this instance's own
+    /// reads.
     pub fn take_entries_told(&self) -> bool {
-        std::mem::take(&mut self.lock().entries_told)
+        std::mem::take(&mut self.lock().steward_entries_received)
     }
 
-    /// The steward tells what engines hold.
+    /// Stores what engines hold, as sent by the steward.
     pub fn learn_holdings(&self, holdings: frame::Holdings) {
         let now = self.now();
         let mut state = self.lock();
@@ -95,22 +96,22 @@
             .map(|holding| holding.entry.id.clone())
             .collect();
         for holding in holdings.engines {
-            state.enter_held(holding, now);
+            state.store_holding(holding, now);
         }
         for model in holdings.complete {
-            state.complete(now, &model, &holders);
+            state.complete_subscription(now, &model, &holders);
         }
         drop(state);
         self.wake();
     }
 
-    /// This instance, as steward, knows anew what an engine holds.
+    /// Stores what an engine holds, as learned by this instance as steward.
     pub fn learn_held(&self, holding: frame::Holding) {
         let mut state = self.lock();
         if let Some(known) = state.servers.get_mut(&holding.entry.id)
             && known.server.started_ms == holding.entry.started_ms
         {
-            known.told = Some(server::Held {
+            known.steward_held = Some(server::Held {
                 models: holding.models,
                 ..server::Held::default()
             });
@@ -119,14 +120,14 @@
         self.wake();
     }
 
-    /// A link to the steward was made. What it was asked before is asked anew.
+    /// Handles a new link to the steward. What the steward was asked over an earlier link is asked again.
     pub fn link_opened(&self) {
         let mut state = self.lock();
-        state.whole = false;
-        for ask in state.asks.values_mut() {
-            ask.sent = false;
+        state.all_engines = false;
+        for pending in state.pending_subscriptions.values_mut() {
+            pending.is_sent = false;
         }
-        for gate in state.gates.values_mut() {
+        for gate in state.quota_gates.values_mut() {
             gate.link_opened();
         }
         for known in state.servers.values_mut() {
@@ -134,40 +135,41 @@
         }
     }
 
-    /// The steward tells of all engines from now on, or of those that hold what it is asked for.
-    pub fn set_all_engines(&self, whole: bool) {
+    /// Sets whether the steward sends all engines, or only those that hold the models this instance
+    /// subscribes to.
+    pub fn set_all_engines(&self, all_engines: bool) {
         let mut state = self.lock();
-        state.whole = whole;
-        state.live = (!whole).then(BTreeMap::new);
-        state.asks.clear();
+        state.all_engines = all_engines;
+        state.subscriptions = (!all_engines).then(BTreeMap::new);
+        state.pending_subscriptions.clear();
         drop(state);
         self.wake();
     }
 
-    /// The steward tells what engines hold from now on, or doesn't any more.
-    pub fn set_steward_link(&self, told: bool) {
-        let until = self.now().after(state::TOLD);
+    /// Sets whether the steward sends what engines hold.
+    pub fn set_steward_link(&self, linked: bool) {
+        let catches_up_at = self.now().after(state::DIRECTORY_CATCH_UP_TIME);
         let mut state = self.lock();
-        state.steward = told;
-        if !told {
-            state.live = None;
-            state.whole = false;
-            state.asks.clear();
+        state.has_steward = linked;
+        if !linked {
+            state.subscriptions = None;
+            state.all_engines = false;
+            state.pending_subscriptions.clear();
         }
-        match (told, state.told_until) {
+        match (linked, state.directory_catches_up_at) {
             (true, _) => {
-                if !state.whole && !state.relaying && state.live.is_none() {
-                    state.live = Some(BTreeMap::new());
-                    state.forget_unused_engines();
+                if !state.all_engines && !state.is_acting_steward && state.subscriptions.is_none() {
+                    state.subscriptions = Some(BTreeMap::new());
+                    state.remove_idle_engines();
                 }
-                state.told_until = None;
+                state.directory_catches_up_at = None;
             }
-            (false, None) => state.told_until = Some(until),
+            (false, None) => state.directory_catches_up_at = Some(catches_up_at),
             (false, Some(_)) => {}
         }
     }
 
-    /// The steward says when models can be used; replaces what it said before.
+    /// Stores when models become available, as forecast by the steward; replaces its earlier forecasts.
     pub fn learn_forecasts(&self, forecasts: Vec<frame::Forecast>) {
         let now = self.now();
         let mut state = self.lock();
@@ -182,26 +184,26 @@
         self.wake();
     }
 
-    /// The steward says what engines have to do, in the order of their ids.
+    /// Stores the loads of engines, as sent by the steward in the order of the engines' ids.
     pub fn learn_load(&self, loads: &[load::Load]) {
         let now = self.now();
         let mut state = self.lock();
         for known in state.servers.values_mut() {
-            let place = loads.binary_search_by(|load| load.server.cmp(&known.server.id));
-            let (unread, requests) = place.map_or((0, 0), |place| {
-                (loads[place].prefill_tokens, loads[place].requests)
+            let index = loads.binary_search_by(|load| load.server.cmp(&known.server.id));
+            let (prefill_tokens, requests) = index.map_or((0, 0), |index| {
+                (loads[index].prefill_tokens, loads[index].requests)
             });
-            known.backlog.update_others(now, unread, requests);
+            known.backlog.update_others(now, prefill_tokens, requests);
         }
     }
 
-    /// How many instances the steward counts.
+    /// Stores the number of instances that the steward counts.
     pub fn learn_instances(&self, instances: usize) {
         let now = self.now();
         self.lock().instances.update(now, instances);
     }
 
-    /// A response to a request of a route began after `took`.
+    /// Records that the response to a request of a route began after `took`.
     pub fn observe_response_time(&self, route: &SmolStr, took: Duration) {
         let mut state = self.lock();
         if !state.response_times.contains_key(route) {
@@ -214,26 +216,28 @@
         }
     }
 
-    /// After so long without a response to a request of a route it is lost, as far as known.
+    /// How long a request of a route can go without a response before it counts as lost, as far as it is
+    /// known.
     #[must_use]
     pub fn response_timeout(&self, route: &str) -> Option<Duration> {
         self.lock().response_times.get(route)?.timeout()
     }
 
-    /// Remembers how a server did.
-    pub fn record_outcome(&self, id: &str, verdict: ServerOutcome) {
+    /// Records the outcome of an attempt at a server.
+    pub fn record_outcome(&self, id: &str, outcome: ServerOutcome) {
         let now = self.now();
         let mut state = self.lock();
         let Some(known) = state.servers.get_mut(id) else {
             return;
         };
-        match verdict {
+        match outcome {
             ServerOutcome::Good => known.stats.record_success(now),
             ServerOutcome::Failed => known.stats.record_failure(now),
             ServerOutcome::Unreachable => {
                 known.stats.record_unreachable(now);
-                // The steward asks it, and has its models loaded elsewhere if it doesn't answer.
-                state.denied.insert(id.into());
+                // The steward requests a report from this server, and has its models loaded elsewhere if it
+                // does not answer.
+                state.servers_to_check.insert(id.into());
                 drop(state);
                 self.demand_changed.notify_one();
             }
@@ -242,7 +246,7 @@
         }
     }
 
-    /// A server reported its load.
+    /// Records the load that a server has reported.
     pub fn record_load_report(&self, id: &str, report: routing::Report) {
         let now = self.now();
         if let Some(known) = self.lock().servers.get_mut(id) {
@@ -250,17 +254,18 @@
         }
     }
 
-    /// A server said that it doesn't hold a model which it was thought to hold. The steward is told: somebody else
-    /// may have ordered the server, and all instances would go on to send it requests that it refuses.
+    /// Records that a server does not hold a model which it was thought to hold. The steward is informed:
+    /// somebody else may have sent orders to the server, and all instances would go on sending it requests
+    /// that it refuses.
     pub fn report_missing_model(&self, id: &str, queue: &QueueKey) {
         let Some(model) = &queue.model else {
             return;
         };
         let mut state = self.lock();
-        state.denied.insert(id.into());
+        state.servers_to_check.insert(id.into());
         if let Some(known) = state.servers.get_mut(id) {
-            let told = known.told.iter_mut();
-            for held in told.chain([&mut known.server.held]) {
+            let steward_held = known.steward_held.iter_mut();
+            for held in steward_held.chain([&mut known.server.held]) {
                 match &queue.adapter {
                     None => {
                         held.models.remove(model);
--- a/crates/fireflywheel_daemon/src/fleet/node/limit.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/limit.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers name, at this instance.
+//! Limits that backend servers announce, at this instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 use super::{Node, state};
 
-/// What the answer of a server says of its limit.
+/// What a server's answer says of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer {
-    /// Requests a second that it takes from all instances together, if it says so.
+    /// Requests per second that the server accepts from all instances together, if the answer says so.
     pub per_second: Option<f64>,
     /// When the request was sent.
     pub sent: clock::Instant,
-    /// The server made the answer itself, and would have named its limit.
+    /// Whether the server made the answer itself, and so would have announced its limit.
     pub authentic: bool,
 }
 
@@ -25,22 +25,22 @@
 where
     P: Send + Sync,
 {
-    /// A server has answered.
+    /// Records what a server's answer says of its limit.
     pub fn observe_limit(&self, id: &str, answer: Answer) {
         let now = self.now();
         let mut state = self.lock();
         let Some(known) = state.servers.get_mut(id) else {
             return;
         };
-        let news = match answer.per_second {
+        let is_changed = match answer.per_second {
             Some(per_second) => known.limit.observe_limit(now, per_second),
             None => answer.authentic && known.limit.observe_no_limit(answer.sent),
         };
-        if !news {
+        if !is_changed {
             return;
         }
         let per_second = known.limit.per_second();
-        let limited = limited(&state);
+        let limited = count_limited(&state);
         drop(state);
         self.metrics.set_limited_servers(limited);
         log_limit(id, per_second, "own");
@@ -48,33 +48,36 @@
         self.demand_changed.notify_one();
     }
 
-    /// The steward tells the limits of all servers that name one.
+    /// Applies the limits of all servers that announce one, as sent by the steward.
     pub fn learn_limits(&self, notices: &[limit::Notice]) {
         let now = self.now();
-        let told: BTreeMap<&SmolStr, f64> = notices
+        let reported: BTreeMap<&SmolStr, f64> = notices
             .iter()
             .filter_map(|notice| Some((&notice.server, notice.per_second?)))
             .collect();
         let mut state = self.lock();
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for (id, known) in &mut state.servers {
-            if known.limit.update_from_steward(now, told.get(id).copied()) {
-                news.push((id.clone(), known.limit.per_second()));
+            if known
+                .limit
+                .update_from_steward(now, reported.get(id).copied())
+            {
+                changed.push((id.clone(), known.limit.per_second()));
             }
         }
-        let limited = limited(&state);
+        let limited = count_limited(&state);
         drop(state);
-        if news.is_empty() {
+        if changed.is_empty() {
             return;
         }
         self.metrics.set_limited_servers(limited);
-        for (id, per_second) in news {
+        for (id, per_second) in changed {
             log_limit(&id, per_second, "steward");
         }
         self.wake();
     }
 
-    /// The steward answers permit requests.
+    /// Applies the steward's replies to permit requests.
     pub fn learn_permits(&self, replies: &[limit::Reply]) {
         if replies.is_empty() {
             return;
@@ -92,40 +95,42 @@
 }
 
 impl state::State {
-    /// A request that can wait for `left` would go to one of some servers that name a limit. Returns whether the steward is to be asked.
-    /// Permits of several servers for one request would be lost for others, so only one of them is asked for.
-    pub(super) fn want_permit(
+    /// Requests a permit for a request that can wait for `remaining` and would go to one of some servers that
+    /// announce a limit. Returns whether the steward has to be asked. A permit is requested from only one of
+    /// these servers: permits of several servers for one request would be lost for other requests.
+    pub(super) fn request_permit(
         &mut self,
         view: gate::View<'_>,
-        left: Duration,
+        remaining: Duration,
         servers: &[SmolStr],
     ) -> bool {
-        let waits = |gate: &gate::Gate| gate.is_waiting(view.now);
-        if servers.is_empty() || self.gates_of(servers).any(waits) {
+        let is_waiting = |gate: &gate::Gate| gate.is_waiting(view.now);
+        if servers.is_empty() || self.limit_gates(servers).any(is_waiting) {
             return false;
         }
         let id = &servers[rand::random_range(0..servers.len())];
         let known = self.servers.get_mut(id);
-        known.is_some_and(|known| known.limit.request_permit(view, left))
+        known.is_some_and(|known| known.limit.request_permit(view, remaining))
     }
 
-    /// When a request can go to one of some servers that name a limit, as far as the steward tells.
-    pub(super) fn expected_turn(
+    /// Expected wait until a request can go to one of some servers that announce a limit, as far as the
+    /// steward has reported.
+    pub(super) fn expected_permit_wait(
         &self,
         now: clock::Instant,
         servers: &[SmolStr],
     ) -> Option<Duration> {
-        let turns = self.gates_of(servers);
-        turns.filter_map(|gate| gate.expected_wait(now)).min()
+        let gates = self.limit_gates(servers);
+        gates.filter_map(|gate| gate.expected_wait(now)).min()
     }
 
-    fn gates_of(&self, servers: &[SmolStr]) -> impl Iterator<Item = &gate::Gate> {
+    fn limit_gates(&self, servers: &[SmolStr]) -> impl Iterator<Item = &gate::Gate> {
         let known = servers.iter().filter_map(|id| self.servers.get(id));
         known.map(|known| &known.limit)
     }
 }
 
-fn limited(state: &state::State) -> usize {
+fn count_limited(state: &state::State) -> usize {
     let servers = state.servers.values();
     servers.filter(|known| known.limit.is_limited()).count()
 }
@@ -133,8 +138,8 @@
 fn log_limit(server: &str, per_second: Option<f64>, by: &str) {
     match per_second {
         Some(per_second) => {
-            log::info!(server = server, per_second = per_second, by = by; "backend server names a limit");
+            log::info!(server = server, per_second = per_second, by = by; "backend server announces a limit");
         }
-        None => log::info!(server = server, by = by; "backend server names no limit any more"),
+        None => log::info!(server = server, by = by; "backend server no longer announces a limit"),
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/quota.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/quota.rs
@@ -10,8 +10,9 @@
 
 use super::Node;
 
-/// Instances that share quotas while nothing was ever told of how many there are: too few would make parts too large.
-const UNTOLD_INSTANCES: usize = 300;
+/// Number of instances assumed to share quotas, at least, until the steward has reported any shares: with too
+/// few, each instance's part would be too large.
+const MIN_ASSUMED_INSTANCES: usize = 300;
 
 /// A request that counts against its organisation's quota.
 #[derive(Clone, Debug)]
@@ -24,11 +25,11 @@
 where
     P: Send + Sync,
 {
-    /// Counts a request against its organisation's quota; none if it has no quota.
+    /// Charges a request to its organisation's quota; `None` if the organisation has no quota.
     ///
     /// # Errors
     ///
-    /// How long until one like it is likely to be admitted.
+    /// Returns the time until a similar request is likely to be admitted.
     pub fn charge(
         &self,
         organisation: &organisation::Organisation,
@@ -40,18 +41,22 @@
         let now = self.now();
         let cost = quota.cost(tokens);
         let mut state = self.lock();
-        let told = state.shares_until.filter(|_| self.settings.quotas.shared);
-        let least = if told.is_none() { UNTOLD_INSTANCES } else { 1 };
+        let shares_until = state.shares_until.filter(|_| self.settings.quotas.shared);
+        let min_instances = if shares_until.is_none() {
+            MIN_ASSUMED_INSTANCES
+        } else {
+            1
+        };
         let view = gate::View {
             now,
             window: self.settings.quotas.window,
-            instances: state.instances.count().max(least),
-            shares_valid: (state.relaying && self.settings.quotas.shared)
-                || told.is_some_and(|until| now < until),
+            instances: state.instances.count().max(min_instances),
+            shares_valid: (state.is_acting_steward && self.settings.quotas.shared)
+                || shares_until.is_some_and(|until| now < until),
         };
-        let fresh = || gate::Gate::new(rand::random());
-        let gate = state.gates.entry(organisation.name.clone());
-        let admitted = gate.or_insert_with(fresh).admit(view, quota, cost);
+        let new_gate = || gate::Gate::new(rand::random());
+        let gate = state.quota_gates.entry(organisation.name.clone());
+        let admitted = gate.or_insert_with(new_gate).admit(view, quota, cost);
         drop(state);
         self.usage_changed.notify_one();
         self.metrics
@@ -64,30 +69,31 @@
         })
     }
 
-    /// A request that was counted has not run and won't.
+    /// Refunds the charge of a request that has not run and will not run.
     pub fn refund(&self, charge: &Charge) {
         let now = self.now();
-        if let Some(gate) = self.lock().gates.get_mut(&charge.organisation) {
+        if let Some(gate) = self.lock().quota_gates.get_mut(&charge.organisation) {
             gate.refund(now, charge.cost);
         }
     }
 
-    /// The steward tells which share of each organisation's requests to admit.
+    /// Applies the share of each organisation's requests to admit, as sent by the steward.
     pub fn learn_shares(&self, shares: Vec<quota::Share>) {
         let now = self.now();
         let mut state = self.lock();
-        for gate in state.gates.values_mut() {
+        for gate in state.quota_gates.values_mut() {
             gate.update_share(now, None);
         }
         for share in shares {
-            let fresh = || gate::Gate::new(rand::random());
-            let gate = state.gates.entry(share.organisation.clone());
-            gate.or_insert_with(fresh).update_share(now, Some(share));
+            let new_gate = || gate::Gate::new(rand::random());
+            let gate = state.quota_gates.entry(share.organisation.clone());
+            gate.or_insert_with(new_gate).update_share(now, Some(share));
         }
     }
 
-    /// The steward has heard what this instance said at `asked`: its shares are followed until it should have heard again.
-    pub fn extend_shares(&self, asked: clock::Instant) {
-        self.lock().shares_until = Some(asked.after(gate::SHARES_TTL));
+    /// Extends the validity of the steward's shares. The steward has received what this instance sent at
+    /// `sent_at`; its shares are valid until it should have received the next report.
+    pub fn extend_shares(&self, sent_at: clock::Instant) {
+        self.lock().shares_until = Some(sent_at.after(gate::SHARES_TTL));
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/store.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/store.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to call the platform's store.
+//! Coordinates the calls to the platform's store.
 
 use std::time::Duration;
 
@@ -6,11 +6,13 @@
 
 use super::Node;
 
-/// The steward's reads and renewals stand for the whole fleet, and its few standbys should be first when the store is
-/// back: while it fails, they try again after this at the latest, so that several tries fit into a term.
-const STEWARD_PAUSE: Duration = Duration::from_millis(300);
-/// Others try again this many times while a change must be obeyed that is accepted as soon as the store is back.
-const TRIES: u32 = 3;
+/// Maximum delay between attempts of the steward and its standbys to call the store while it fails, so that
+/// several attempts fit into a lease term. The steward's reads and renewals serve the whole fleet, and its
+/// few standbys should come first when the store has recovered.
+const MAX_STEWARD_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Number of attempts that other instances make within the time in which they must apply a change that is
+/// accepted as soon as the store has recovered.
+const ATTEMPTS_PER_DEADLINE: u32 = 3;
 
 impl<P> Node<P>
 where
@@ -19,79 +21,84 @@
     /// Waits until this instance may call the store.
     pub async fn wait_for_store(&self) {
         loop {
-            let back = self.store_recovered.notified();
-            tokio::pin!(back);
-            // From here on a success elsewhere isn't missed.
-            back.as_mut().enable();
-            let left = self.claim_store();
-            if left.is_zero() {
+            let recovered = self.store_recovered.notified();
+            tokio::pin!(recovered);
+            // Enabled before the check, so that a recovery in between is not missed.
+            recovered.as_mut().enable();
+            let delay = self.claim_store();
+            if delay.is_zero() {
                 return;
             }
             tokio::select! {
-                () = &mut back => {}
-                () = time::sleep(left) => {}
+                () = &mut recovered => {}
+                () = time::sleep(delay) => {}
             }
         }
     }
 
-    /// The steward has named this instance a standby, or not.
+    /// Sets whether the steward has named this instance a standby.
     pub fn set_standby(&self, standby: bool) {
-        self.lock().standby = standby;
+        self.lock().is_standby = standby;
     }
 
     /// Whether the steward has named this instance a standby.
     #[must_use]
     pub fn is_standby(&self) -> bool {
-        self.lock().standby
+        self.lock().is_standby
     }
 
     /// Whether the last call to the store had no usable answer.
     #[must_use]
     pub fn store_fails(&self) -> bool {
-        self.lock().store.is_failing()
+        self.lock().store_backoff.is_failing()
     }
 
-    /// How long a read may wait at the store for news that usually waits for `usual`.
+    /// How long a read may wait at the store for changes, if it usually waits for `usual_wait`.
     #[must_use]
-    pub fn store_wait(&self, response_times: Duration) -> Duration {
-        self.lock().store.wait(response_times)
+    pub fn store_wait(&self, usual_wait: Duration) -> Duration {
+        self.lock().store_backoff.wait(usual_wait)
     }
 
-    /// The store answered a call, or there was no usable answer.
+    /// Records whether a call to the store had a usable answer.
     pub fn record_store_call(&self, call: &str, answered: bool) {
         self.metrics.count_store_call(call, answered);
         let now = self.now();
-        let most = self.longest_pause();
+        let max_delay = self.max_retry_delay();
         let mut state = self.lock();
         if !answered {
-            state.store.record_failure(now, most, rand::random());
-        } else if state.store.record_success() {
+            state
+                .store_backoff
+                .record_failure(now, max_delay, rand::random());
+        } else if state.store_backoff.record_success() {
             drop(state);
             self.store_recovered.notify_waiters();
         }
     }
 
-    /// The steward reads the store, so it is back, whatever this instance's last call met.
+    /// Records that the store has recovered, since the steward reads it, whatever the result of this
+    /// instance's last call.
     pub fn record_store_recovery(&self) {
-        if self.lock().store.record_success() {
+        if self.lock().store_backoff.record_success() {
             self.store_recovered.notify_waiters();
         }
     }
 
     fn claim_store(&self) -> Duration {
         let now = self.now();
-        let most = self.longest_pause();
-        self.lock().store.claim(now, most, rand::random())
+        let max_delay = self.max_retry_delay();
+        self.lock()
+            .store_backoff
+            .claim(now, max_delay, rand::random())
     }
 
-    fn longest_pause(&self) -> Duration {
-        if self.is_acting_steward() || self.lock().standby {
-            STEWARD_PAUSE
+    fn max_retry_delay(&self) -> Duration {
+        if self.is_acting_steward() || self.lock().is_standby {
+            MAX_STEWARD_RETRY_DELAY
         } else {
             self.settings
                 .leaving_deadline
                 .min(self.settings.config_deadline)
-                / TRIES
+                / ATTEMPTS_PER_DEADLINE
         }
     }
 }
