--- a/crates/fireflywheel_daemon/src/fleet/access.rs
+++ b/crates/fireflywheel_daemon/src/fleet/access.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether its organisation may ask for more.
+//! Authentication of callers and quotas of their organisations.
 
 use fireflywheel::fleet::config;
 use fireflywheel::fleet::organisation;
@@ -8,15 +8,16 @@
 
 use super::node;
 use super::platform;
-use super::relay::{Relay, come_back, unavailable};
+use super::relay::{Relay, retry_after, unavailable};
 use crate::errors;
 
 impl<P> Relay<P>
 where
     P: platform::Platform,
 {
-    /// The organisation whose request it is; none where the configuration names none, or the route needs none.
-    pub(super) fn organisation<'a>(
+    /// Returns the organisation that a request's key belongs to; `None` if the configuration has no organisations, or
+    /// if the route allows anonymous requests and the request has no known key.
+    pub(super) fn identify_organisation<'a>(
         &self,
         config: &'a config::Config,
         route: &config::Route,
@@ -47,7 +48,8 @@
         }
     }
 
-    /// A key that isn't known here may be new if the configuration wasn't read for longer than one may take to be in force.
+    /// Returns the refusal for an unknown key. The key may be new if the configuration was last read longer ago than a
+    /// new configuration may take to be in force.
     fn unknown_key(&self, call: &platform::Call) -> errors::Problem {
         let age = self.node.config_age();
         if age <= self.node.settings.config_deadline {
@@ -55,11 +57,11 @@
         }
         let left = call.deadline.unwrap_or(age);
         unavailable("stale", "the key may be newer than the configuration")
-            .with_retry_after(come_back(timeout::remaining_outage(age), left))
+            .with_retry_after(retry_after(timeout::remaining_outage(age), left))
     }
 
-    /// Counts a request against its organisation's quota.
-    pub(super) fn charge(
+    /// Charges a request to its organisation's quota.
+    pub(super) fn charge_quota(
         &self,
         organisation: &organisation::Organisation,
         call: &platform::Call,
@@ -68,7 +70,7 @@
             let left = call.deadline.unwrap_or(wait);
             let message = format_smolstr!("organisation {} is over its quota", organisation.name);
             errors::Problem::new(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
-                .with_retry_after(come_back(wait, left))
+                .with_retry_after(retry_after(wait, left))
         })
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/attempt.rs
+++ b/crates/fireflywheel_daemon/src/fleet/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one backend server, and what is known after that.
+//! Sends a request to one backend server and classifies the outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,82 +18,82 @@
 use super::platform;
 use super::pool;
 
-/// The largest whole response that is kept back until it is known to be complete.
-const WHOLE_LIMIT: usize = 8 << 20;
+/// Maximum size in bytes of a response that is buffered until it is complete.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// A caller's request on its way.
+/// A caller's request while it is dispatched to backend servers.
 #[derive(Debug)]
 pub struct Job {
-    /// What routing needs of it.
+    /// The routing information of the request.
     pub call: platform::Call,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path with the query.
+    /// The path and query.
     pub target: Uri,
-    /// The headers that are handed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete request body.
     pub body: Bytes,
-    /// The route that it takes.
+    /// The route that matches the request.
     pub route: config::Route,
-    /// Where it waits.
+    /// The queue in which the request waits for a server.
     pub queue: node::QueueKey,
-    /// Whose request it is, if the configuration names organisations.
+    /// The organisation that sent the request; `None` if it is anonymous or the configuration has no organisations.
     pub organisation: Option<SmolStr>,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub rank: u8,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: clock::Instant,
-    /// When its final answer is due.
+    /// When the final response is due.
     pub deadline: clock::Instant,
 }
 
-/// A response that has begun.
+/// A backend server's response whose head has arrived.
 #[derive(Debug)]
 pub struct Response<P>
 where
     P: platform::Platform,
 {
-    /// Its head.
+    /// The head of the response.
     pub head: Parts,
-    /// What the head says beside its status.
+    /// The platform's fields of the head, without the status.
     pub reply: platform::Reply,
-    /// The rest of it.
+    /// The body, which is still being received.
     pub body: Incoming,
-    /// The connection that it comes on; dropped, the server stops.
+    /// The connection that carries the response. Dropping it stops the request at the server.
     pub connection: pool::Connection,
-    /// Counts the request at its server.
+    /// Counts the request as in flight at its server.
     pub in_flight: node::InFlight<P>,
     /// The server's id.
     pub server: SmolStr,
 }
 
-/// What is known after an attempt.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub enum Outcome<P>
 where
     P: platform::Platform,
 {
-    /// A backend server answers.
+    /// A backend server responds.
     Response(Box<Response<P>>),
-    /// It has not run there and won't.
+    /// The request has not run at the server and will not.
     NotRun(&'static str),
-    /// It may have run.
+    /// The request may have run, but there is no usable response.
     Lost(&'static str),
-    /// Its time is over; it may have run.
+    /// The request's deadline has passed; it may have run.
     TimedOut,
 }
 
-/// What an attempt may do when its server is silent.
+/// What an attempt does when its server does not respond within the usual time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OnTimeout {
-    /// End, since another may follow.
+    /// End the attempt, because another may follow.
     Abandon,
-    /// Wait on as long as the caller does: the request may run once, or this is its last run.
+    /// Wait as long as the caller does: the request may run only once, or this is its last attempt.
     KeepWaiting,
 }
 
-/// Sends a request to a server, going on after `last_event` if the caller has had that already.
+/// Sends a request to a server. A stream continues after `last_event` if the caller has that event already.
 pub async fn send<P>(
     node: &Arc<node::Node<P>>,
     job: &Job,
@@ -111,22 +111,22 @@
     }
     let server = &chosen.server;
     let mut in_flight = node.register_in_flight(chosen, &job.queue);
-    let request = outgoing(&node.platform, job, chosen, left, last_event);
-    let sending = node
+    let request = build_request(&node.platform, job, chosen, left, last_event);
+    let pending = node
         .pool
         .send(now, chosen.address, chosen.connections, request);
-    tokio::pin!(sending);
-    let limit = node.response_timeout(&job.route.name).unwrap_or(left);
-    let in_time = time::timeout(left.min(limit), &mut sending).await;
-    let sent = match in_time {
+    tokio::pin!(pending);
+    let timeout = node.response_timeout(&job.route.name).unwrap_or(left);
+    let within_timeout = time::timeout(left.min(timeout), &mut pending).await;
+    let sent = match within_timeout {
         Ok(sent) => sent,
-        Err(_) if limit >= left => return Outcome::TimedOut,
+        Err(_) if timeout >= left => return Outcome::TimedOut,
         Err(_) => {
             node.record_outcome(server, node::ServerOutcome::Failed);
             if on_timeout == OnTimeout::Abandon {
                 return Outcome::Lost("silent");
             }
-            match time::timeout(left - limit, sending).await {
+            match time::timeout(left - timeout, pending).await {
                 Ok(sent) => sent,
                 Err(_) => return Outcome::TimedOut,
             }
@@ -134,7 +134,7 @@
     };
     let (response, connection) = match sent {
         Ok(sent) => sent,
-        Err(fault) => return failed(node, server, fault),
+        Err(fault) => return handle_fault(node, server, fault),
     };
     let (head, body) = response.into_parts();
     let reply = node.platform.read_reply(&head);
@@ -148,13 +148,14 @@
     };
     node.observe_limit(server, limit);
     if reply.not_run {
-        return refused(node, job, server, head.status, &reply);
+        return handle_refusal(node, job, server, head.status, &reply);
     }
-    let named = reply.id.as_ref().is_none_or(|id| *id == job.call.id);
-    if !named || !reply.authentic {
-        // It answers another request, or no backend server made it. Whether ours has run is not known.
+    let id_matches = reply.id.as_ref().is_none_or(|id| *id == job.call.id);
+    if !id_matches || !reply.authentic {
+        // The response belongs to another request, or no backend server produced it. Whether this request has run
+        // is unknown.
         node.record_outcome(server, node::ServerOutcome::Failed);
-        return Outcome::Lost(if named {
+        return Outcome::Lost(if id_matches {
             "response without proof"
         } else {
             "response of another request"
@@ -172,43 +173,45 @@
     }))
 }
 
-/// Reads a response to its end before any of it is handed on, so that a broken one can be replaced.
+/// Reads a response to its end before any of it is forwarded, so that the request can be retried if the response
+/// breaks off.
 ///
 /// # Errors
 ///
-/// Nothing more than that it broke off, or took until the deadline.
+/// Returns [`Outcome::Lost`] if the response broke off or was too large, and [`Outcome::TimedOut`] if it was incomplete
+/// at the deadline.
 pub async fn collect<P>(
     node: &Arc<node::Node<P>>,
     job: &Job,
-    begun: Response<P>,
+    response: Response<P>,
 ) -> Result<(Parts, Bytes), Outcome<P>>
 where
     P: platform::Platform,
 {
     let left = job.deadline.since(node.now());
-    let collecting = Limited::new(begun.body, WHOLE_LIMIT).collect();
+    let collecting = Limited::new(response.body, MAX_BUFFERED_RESPONSE_BYTES).collect();
     let Ok(collected) = time::timeout(left, collecting).await else {
         return Err(Outcome::TimedOut);
     };
     let Ok(collected) = collected else {
-        node.record_outcome(&begun.server, node::ServerOutcome::Failed);
+        node.record_outcome(&response.server, node::ServerOutcome::Failed);
         return Err(Outcome::Lost("response broke off"));
     };
-    let good = !begun.head.status.is_server_error();
+    let succeeded = !response.head.status.is_server_error();
     node.record_outcome(
-        &begun.server,
-        if good {
+        &response.server,
+        if succeeded {
             node::ServerOutcome::Good
         } else {
             node::ServerOutcome::Failed
         },
     );
     node.pool
-        .keep(node.now(), begun.connection, begun.reply.keep_alive);
-    Ok((begun.head, collected.to_bytes()))
+        .keep(node.now(), response.connection, response.reply.keep_alive);
+    Ok((response.head, collected.to_bytes()))
 }
 
-fn outgoing<P>(
+fn build_request<P>(
     platform: &P,
     job: &Job,
     chosen: &node::Chosen,
@@ -236,7 +239,7 @@
     request
 }
 
-fn failed<P>(node: &Arc<node::Node<P>>, server: &str, fault: pool::Fault) -> Outcome<P>
+fn handle_fault<P>(node: &Arc<node::Node<P>>, server: &str, fault: pool::Fault) -> Outcome<P>
 where
     P: platform::Platform,
 {
@@ -257,7 +260,7 @@
     }
 }
 
-fn refused<P>(
+fn handle_refusal<P>(
     node: &Arc<node::Node<P>>,
     job: &Job,
     server: &str,
--- a/crates/fireflywheel_daemon/src/fleet/daemon.rs
+++ b/crates/fireflywheel_daemon/src/fleet/daemon.rs
@@ -1,4 +1,4 @@
-//! One instance, put together and stopped.
+//! Starts and stops one instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 use super::platform;
 use super::relay;
 use super::steward;
-use super::{links, watch as following};
+use super::{links, watch as store_watch};
 use crate::door;
 use fireflywheel::fleet::settings;
 
-/// How long callers may still be sent here after the instance says that it isn't ready: whoever asks does so
-/// once a second, and believes the second answer.
-const NOTICE: Duration = Duration::from_millis(2600);
-/// A planned stop ends this much before the time that it may take, so that the last answers get out.
-const END_MARGIN: Duration = Duration::from_millis(400);
-/// What a caller may leave unread.
-const STREAM_BUFFER: usize = 256 << 10;
+/// How long callers may still be sent to this instance after it reports that it isn't ready: the readiness probe runs
+/// once a second, and callers are sent elsewhere after the second such answer.
+const NOT_READY_NOTICE: Duration = Duration::from_millis(2600);
+/// A planned stop ends this long before its grace period does, so that the last responses are sent.
+const STOP_MARGIN: Duration = Duration::from_millis(400);
+/// Bytes that a caller may leave unread before its stream is paused.
+const STREAM_BUFFER_BYTES: usize = 256 << 10;
 
 /// A running instance.
 #[derive(Debug)]
@@ -39,14 +39,14 @@
     tasks: JoinSet<()>,
 }
 
-/// The sockets of an instance.
+/// The listening sockets of an instance.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// Accepts callers' requests.
     pub callers: TcpListener,
-    /// For those who ask whether it is ready.
+    /// Accepts readiness probes and scrapes of metrics.
     pub ready: TcpListener,
-    /// For other instances.
+    /// Accepts links from other instances.
     pub peers: TcpListener,
 }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// When an address can't be listened on.
+    /// Returns an error if the instance can't listen on one of its addresses or register its metrics.
     pub async fn start(platform: P, settings: settings::Settings) -> anyhow::Result<Self> {
         let listeners = Listeners {
             callers: listen(settings.callers).await?,
@@ -68,20 +68,20 @@
         Self::start_on(platform, settings, listeners)
     }
 
-    /// Starts an instance on sockets that listen at the addresses of its settings.
+    /// Starts an instance on sockets that listen on the addresses of its settings.
     ///
     /// # Errors
     ///
-    /// When its metrics can't be made.
+    /// Returns an error if the metrics can't be registered.
     pub fn start_on(
         platform: P,
         settings: settings::Settings,
         listeners: Listeners,
     ) -> anyhow::Result<Self> {
         let Listeners {
-            callers: callers_at,
-            ready: ready_at,
-            peers: peers_at,
+            callers: callers_listener,
+            ready: ready_listener,
+            peers: peers_listener,
         } = listeners;
         let limits = door_limits(&settings);
         let node = Arc::new(node::Node::new(
@@ -93,19 +93,21 @@
         let stop = watch::Sender::new(false);
         let mut callers = JoinSet::new();
         let relay = Arc::new(relay::Relay::new(Arc::clone(&node)));
-        callers.spawn(door::Door::new(callers_at, limits, stop.subscribe()).serve(relay));
+        callers.spawn(door::Door::new(callers_listener, limits, stop.subscribe()).serve(relay));
         let mut tasks = JoinSet::new();
-        // The address that says "not ready" must answer until the end.
+        // The readiness endpoint must answer "not ready" until the process ends, so this door never stops.
         let ready = Arc::new(Endpoint::new(Arc::clone(&node)));
         tasks.spawn(async move {
-            let (_never, open) = watch::channel(false);
-            door::Door::new(ready_at, limits, open).serve(ready).await;
+            let (_sender, never_stops) = watch::channel(false);
+            door::Door::new(ready_listener, limits, never_stops)
+                .serve(ready)
+                .await;
         });
-        tasks.spawn(following::configuration(Arc::clone(&node)));
-        tasks.spawn(following::directory(Arc::clone(&node)));
-        tasks.spawn(following::sweep(Arc::clone(&node)));
-        tasks.spawn(links::accept(Arc::clone(&steward), peers_at));
-        tasks.spawn(links::follow(Arc::clone(&steward)));
+        tasks.spawn(store_watch::follow_config(Arc::clone(&node)));
+        tasks.spawn(store_watch::follow_directory(Arc::clone(&node)));
+        tasks.spawn(store_watch::sweep_connections(Arc::clone(&node)));
+        tasks.spawn(links::accept(Arc::clone(&steward), peers_listener));
+        tasks.spawn(links::follow_steward(Arc::clone(&steward)));
         tasks.spawn(Arc::clone(&steward).keep_lease());
         tasks.spawn(Arc::clone(&steward).run());
         log::info!(
@@ -122,29 +124,29 @@
         })
     }
 
-    /// Waits until a task ends that never should. The process is then of no use, and one that is started anew
-    /// is better than one that has lost a part of itself.
+    /// Waits until a background task ends, which must never happen. The process should then be restarted, because it
+    /// can't work without one of its tasks.
     pub async fn failed(&mut self) {
         let ended = self.tasks.join_next().await;
         let why = ended
             .and_then(Result::err)
             .map_or_else(|| "ended".to_owned(), |error| error.to_string());
-        log::error!(why = why.as_str(); "a task that never should end has ended");
+        log::error!(why = why.as_str(); "background task ended unexpectedly");
     }
 
-    /// Stops without cutting a request that can end in time.
+    /// Stops the instance without cutting off any request that can end within the grace period.
     pub async fn stop(mut self) {
-        let begun = self.node.now();
-        let grace = self.node.settings.grace.saturating_sub(END_MARGIN);
+        let started = self.node.now();
+        let grace = self.node.settings.grace.saturating_sub(STOP_MARGIN);
         log::info!(grace_ms = clock::millis(grace); "planned stop");
         self.node.drain(grace);
         self.steward.release().await;
-        time::sleep(NOTICE.min(grace / 2)).await;
-        // Nobody is left to hear it if the door has closed already.
+        time::sleep(NOT_READY_NOTICE.min(grace / 2)).await;
+        // Sending fails only if the door has closed already.
         let _ = self.stop.send(true);
-        let left = grace.saturating_sub(self.node.now().since(begun));
-        let ended = time::timeout(left, self.callers.join_next()).await.is_ok();
-        log::info!(whole = ended; "stopped");
+        let left = grace.saturating_sub(self.node.now().since(started));
+        let completed = time::timeout(left, self.callers.join_next()).await.is_ok();
+        log::info!(whole = completed; "stopped");
         self.tasks.abort_all();
     }
 }
@@ -161,7 +163,7 @@
         header_bytes: limits.header_bytes,
         body_bytes: limits.body_bytes,
         idle: limits.idle,
-        stream_buffer_bytes: STREAM_BUFFER,
+        stream_buffer_bytes: STREAM_BUFFER_BYTES,
         queue: 0,
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/health.rs
+++ b/crates/fireflywheel_daemon/src/fleet/health.rs
@@ -1,4 +1,4 @@
-//! The address that tells whether the instance is ready, and its metrics.
+//! The endpoint for readiness probes and metrics.
 
 use std::sync::Arc;
 
@@ -10,20 +10,20 @@
 use super::platform;
 use crate::door;
 
-/// Where scrapers find the metrics.
+/// The path from which Prometheus scrapes the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// What scrapers expect of the text form of metrics.
-const METRICS_TYPE: HeaderValue =
+/// The content type of Prometheus' text format.
+const METRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-/// Answers the platform and scrapers.
+/// Answers readiness probes and scrapes of metrics.
 #[derive(Debug)]
 pub struct Endpoint<P> {
     node: Arc<node::Node<P>>,
 }
 
 impl<P> Endpoint<P> {
-    /// Tells of `node`.
+    /// Creates an endpoint that reports the state of `node`.
     #[must_use]
     pub fn new(node: Arc<node::Node<P>>) -> Self {
         Self { node }
@@ -37,7 +37,7 @@
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<door::Body> {
         let path = request.uri().path();
         if path == METRICS_PATH {
-            return metrics(&self.node);
+            return metrics_response(&self.node);
         }
         let mut response = Response::new(door::Body::whole(""));
         *response.status_mut() = if path != self.node.platform.ready_path() {
@@ -51,21 +51,23 @@
     }
 }
 
-fn metrics<P>(node: &node::Node<P>) -> Response<door::Body>
+fn metrics_response<P>(node: &node::Node<P>) -> Response<door::Body>
 where
     P: platform::Platform,
 {
     node.metrics.set_config_age(node.config_status().age);
     node.metrics
         .set_era(node.platform.era().unwrap_or_default());
-    match node.metrics.text() {
+    match node.metrics.encode() {
         Ok(text) => {
             let mut response = Response::new(door::Body::whole(text));
-            response.headers_mut().insert(CONTENT_TYPE, METRICS_TYPE);
+            response
+                .headers_mut()
+                .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
             response
         }
         Err(error) => {
-            log::warn!(error = error.to_string().as_str(); "metrics have no text form");
+            log::warn!(error = error.to_string().as_str(); "failed to encode metrics");
             let mut response = Response::new(door::Body::whole(""));
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             response
--- a/crates/fireflywheel_daemon/src/fleet/links.rs
+++ b/crates/fireflywheel_daemon/src/fleet/links.rs
@@ -1,4 +1,4 @@
-//! Links between instances and the steward.
+//! Links between instances and the steward: WebSocket connections that carry frames.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,44 +23,49 @@
 use super::platform;
 use super::steward;
 
-/// A link without a frame for this long is dead: three heartbeats.
-const SILENCE: Duration = Duration::from_millis(900);
+/// A link that receives no frame for this long, which is three heartbeats, is considered dead.
+const LINK_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long a link may take to open.
-const OPEN: Duration = Duration::from_millis(600);
-/// Time between two tries to open a link.
-const PAUSE: Duration = Duration::from_millis(200);
-/// The same for each instance, if that is longer: a steward that comes to many gets some 250 links a second.
-const PAUSE_AN_INSTANCE: Duration = Duration::from_millis(4);
-/// It is no longer than this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Changes of demand that come together are told together.
-const GATHER: Duration = Duration::from_millis(6);
-/// Use of engines is told after this for each instance, so that the steward hears about as much from few as from many.
-const LAZY_AN_INSTANCE: Duration = Duration::from_micros(600);
-/// So many instances tell the steward of a later configuration than its own, on the average.
-const TELLERS: f64 = 4.0;
-/// The largest frame, in bytes.
-const FRAME_LIMIT: usize = 4 << 20;
+const OPEN_TIMEOUT: Duration = Duration::from_millis(600);
+/// Minimum delay between two attempts to open a link.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The delay grows by this much per instance above that minimum, so that a new steward of many instances receives
+/// about 250 links per second.
+const RETRY_DELAY_PER_INSTANCE: Duration = Duration::from_millis(4);
+/// Maximum delay between two attempts to open a link.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+/// Changes of demand within this time are sent together.
+const DEMAND_BATCH_DELAY: Duration = Duration::from_millis(6);
+/// Delay per instance before a change in the use of engines is sent, so that the steward receives about as many
+/// updates from many instances as from few.
+const USAGE_DELAY_PER_INSTANCE: Duration = Duration::from_micros(600);
+/// Average number of instances that send the steward a configuration newer than its own after a heartbeat.
+const MEAN_CONFIG_SENDERS: f64 = 4.0;
+/// Maximum size of a frame in bytes.
+const MAX_FRAME_BYTES: usize = 4 << 20;
 
-static NEXT_LINK: AtomicU64 = AtomicU64::new(0);
+static NEXT_LINK_ID: AtomicU64 = AtomicU64::new(0);
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// Takes links of other instances, for ever.
+/// Accepts links from other instances. Never returns.
 pub async fn accept<P>(steward: Arc<steward::Steward<P>>, listener: TcpListener)
 where
     P: platform::Platform,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            time::sleep(PAUSE).await;
+            time::sleep(MIN_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let steward = Arc::clone(&steward);
         tokio::spawn(async move {
-            let opened =
-                time::timeout(OPEN, accept_async_with_config(stream, Some(limits()))).await;
+            let opened = time::timeout(
+                OPEN_TIMEOUT,
+                accept_async_with_config(stream, Some(websocket_config())),
+            )
+            .await;
             if let Ok(Ok(socket)) = opened {
                 serve(&steward, socket).await;
             }
@@ -68,8 +73,9 @@
     }
 }
 
-/// Tells the steward what this instance wants, whoever is steward, for ever.
-pub async fn follow<P>(steward: Arc<steward::Steward<P>>)
+/// Keeps a link to the current steward and sends it this instance's demand; while this instance is the active
+/// steward, applies its demand directly. Never returns.
+pub async fn follow_steward<P>(steward: Arc<steward::Steward<P>>)
 where
     P: platform::Platform,
 {
@@ -79,20 +85,20 @@
             let demand = steward.own_demand();
             steward.handle_own_demand(&demand);
             steward.update_demand(&steward.node.settings.instance, demand);
-            let mut due = link::Timer::new(steward.node.now(), steward::HEARTBEAT_INTERVAL);
-            wait_until(&mut due, &steward).await;
+            let mut timer = link::Timer::new(steward.node.now(), steward::HEARTBEAT_INTERVAL);
+            wait_for_demand(&mut timer, &steward).await;
             if let Some(other) = steward.instance_to_query() {
-                let result = connect(&steward, &other, OPEN).await;
+                let result = run_link(&steward, &other, OPEN_TIMEOUT).await;
                 let why = result.err().map(|error| error.to_string());
-                log::debug!(instance = other.instance.as_str(), why = why.unwrap_or_default().as_str(); "asked who is steward");
+                log::debug!(instance = other.instance.as_str(), why = why.unwrap_or_default().as_str(); "queried another instance for the current steward");
                 if !steward.is_active() {
-                    lose(&steward);
+                    mark_unlinked(&steward);
                 }
             }
             continue;
         }
         if let Some(holder) = steward.remote_steward() {
-            let result = connect(&steward, &holder, retry.connect_timeout(OPEN)).await;
+            let result = run_link(&steward, &holder, retry.connect_timeout(OPEN_TIMEOUT)).await;
             let why = result
                 .err()
                 .map_or_else(|| "ended".to_owned(), |error| error.to_string());
@@ -102,23 +108,25 @@
             } else {
                 retry.record_failure();
             }
-            lose(&steward);
+            mark_unlinked(&steward);
             log::info!(steward = holder.instance.as_str(), why = why.as_str(); "no link to the steward");
         }
-        // One that can't read the lease from the store would otherwise have no steward as long as that lasts.
+        // An instance that can't read the lease from the store learns the steward from a standby; otherwise it would
+        // have none until the store answers again.
         if let Some(standby) = steward.standby() {
-            let result = connect(&steward, &standby, OPEN).await;
+            let result = run_link(&steward, &standby, OPEN_TIMEOUT).await;
             let why = result.err().map(|error| error.to_string());
-            log::debug!(standby = standby.instance.as_str(), why = why.unwrap_or_default().as_str(); "standby asked");
-            lose(&steward);
+            log::debug!(standby = standby.instance.as_str(), why = why.unwrap_or_default().as_str(); "queried a standby for the current steward");
+            mark_unlinked(&steward);
         }
-        let pause = pause(steward.node.instances());
-        time::sleep(retry.delay(pause, rand::random())).await;
+        let delay = retry_delay(steward.node.instances());
+        time::sleep(retry.delay(delay, rand::random())).await;
     }
 }
 
-/// What the steward has read stands as long as it did, so that a change of steward doesn't make all instances read at once.
-fn lose<P>(steward: &steward::Steward<P>)
+/// Marks the link to the steward as closed. The steward's reads of the store stay valid as long as before, so that a
+/// change of steward doesn't make all instances read the store at once.
+fn mark_unlinked<P>(steward: &steward::Steward<P>)
 where
     P: platform::Platform,
 {
@@ -126,43 +134,45 @@
     steward.node.set_steward_link(false);
 }
 
-fn pause(instances: usize) -> Duration {
-    let pause = PAUSE_AN_INSTANCE * u32::try_from(instances).unwrap_or(u32::MAX);
-    pause.clamp(PAUSE, LONGEST_PAUSE)
+fn retry_delay(instances: usize) -> Duration {
+    let delay = RETRY_DELAY_PER_INSTANCE * u32::try_from(instances).unwrap_or(u32::MAX);
+    delay.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
 }
 
-/// Waits until a demand is due; what is wanted is told soon, what is used when it is convenient.
-async fn wait_until<P>(due: &mut link::Timer, steward: &steward::Steward<P>)
+/// Waits until the next demand has to be sent: shortly after a change of the demand, later after a change of usage,
+/// and at each heartbeat interval.
+async fn wait_for_demand<P>(timer: &mut link::Timer, steward: &steward::Steward<P>)
 where
     P: platform::Platform,
 {
     let node = &steward.node;
     loop {
-        let left = due.remaining(node.now());
+        let left = timer.remaining(node.now());
         if left.is_zero() {
-            *due = link::Timer::new(node.now(), steward::HEARTBEAT_INTERVAL);
+            *timer = link::Timer::new(node.now(), steward::HEARTBEAT_INTERVAL);
             return;
         }
         tokio::select! {
-            () = node.demand_changed.notified() => due.expire_within(node.now(), GATHER),
-            () = node.usage_changed.notified() => due.expire_within(node.now(), lazily(node.instances())),
+            () = node.demand_changed.notified() => timer.expire_within(node.now(), DEMAND_BATCH_DELAY),
+            () = node.usage_changed.notified() => timer.expire_within(node.now(), usage_delay(node.instances())),
             () = time::sleep(left) => {}
         }
     }
 }
 
-/// Use of engines is told this much later: a steward with many instances would do nothing but listen.
-fn lazily(instances: usize) -> Duration {
-    let pause = LAZY_AN_INSTANCE * u32::try_from(instances).unwrap_or(u32::MAX);
-    pause.clamp(GATHER, steward::HEARTBEAT_INTERVAL)
+/// Returns the delay before a change in the use of engines is sent. Without it, a steward with many instances would
+/// do nothing but process such updates.
+fn usage_delay(instances: usize) -> Duration {
+    let delay = USAGE_DELAY_PER_INSTANCE * u32::try_from(instances).unwrap_or(u32::MAX);
+    delay.clamp(DEMAND_BATCH_DELAY, steward::HEARTBEAT_INTERVAL)
 }
 
-/// The steward's end of a link.
+/// Runs the accepting end of a link.
 async fn serve<P>(steward: &Arc<steward::Steward<P>>, mut socket: Socket)
 where
     P: platform::Platform,
 {
-    let hello = time::timeout(OPEN, receive(&mut socket)).await;
+    let hello = time::timeout(OPEN_TIMEOUT, receive(&mut socket)).await;
     let Ok(Ok(frame::Frame::Hello {
         instance,
         incarnation,
@@ -172,8 +182,8 @@
     else {
         return;
     };
-    let number = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
-    let key = SmolStr::new(format!("{instance}/{incarnation}"));
+    let link_id = NEXT_LINK_ID.fetch_add(1, Ordering::Relaxed);
+    let process_key = SmolStr::new(format!("{instance}/{incarnation}"));
     let peer = lease::Record {
         instance: instance.clone(),
         incarnation,
@@ -182,20 +192,20 @@
         released: false,
         era: None,
     };
-    let mut frames = steward.open_link(number, peer, cpu_share);
-    let mut heard = steward.node.now();
+    let mut frames = steward.open_link(link_id, peer, cpu_share);
+    let mut last_received = steward.node.now();
     let why = loop {
-        let silence = heard.after(SILENCE).since(steward.node.now());
-        // What has come is looked at before the time: it may have waited here, and not at the other end.
+        let timeout = last_received.after(LINK_TIMEOUT).since(steward.node.now());
+        // Received frames are handled before the timeout: they may have been delayed here, and not at the peer.
         tokio::select! {
             biased;
             frame = receive(&mut socket) => {
-                heard = steward.node.now();
+                last_received = steward.node.now();
                 match frame {
                     Ok(frame::Frame::Demand(demand)) => {
                         learn_era(steward, demand.era);
-                        steward.handle_demand(number, &demand);
-                        steward.update_demand(&key, demand);
+                        steward.handle_demand(link_id, &demand);
+                        steward.update_demand(&process_key, demand);
                     }
                     Ok(frame::Frame::Configuration(config)) => {
                         steward.node.apply_config(config, node::ConfigSource::Peer);
@@ -206,23 +216,23 @@
                 }
             }
             frame = frames.recv() => {
-                let Some(bytes) = frame else { break "too slow" };
+                let Some(bytes) = frame else { break "send queue full" };
                 if write(&mut socket, bytes).await.is_err() {
-                    break "not writable";
+                    break "write failed";
                 }
             }
-            () = time::sleep(silence) => break "silent",
+            () = time::sleep(timeout) => break "silent",
         }
     };
-    steward.close_link(number, &key, &instance);
+    steward.close_link(link_id, &process_key, &instance);
     log::info!(instance = instance.as_str(), why = why; "link ended");
 }
 
-/// An instance's end of a link.
-async fn connect<P>(
+/// Opens a link to `holder` and runs the connecting end of it until the link ends.
+async fn run_link<P>(
     steward: &steward::Steward<P>,
     holder: &lease::Record,
-    patience: Duration,
+    open_timeout: Duration,
 ) -> anyhow::Result<()>
 where
     P: platform::Platform,
@@ -233,14 +243,14 @@
         stream.set_nodelay(true)?;
         let url = format!("ws://{address}/");
         anyhow::Ok(
-            client_async_with_config(url, stream, Some(limits()))
+            client_async_with_config(url, stream, Some(websocket_config()))
                 .await?
                 .0,
         )
     };
-    let mut socket = time::timeout(patience, opening)
+    let mut socket = time::timeout(open_timeout, opening)
         .await
-        .context("not opened in time")??;
+        .context("link did not open in time")??;
     let hello = frame::Frame::Hello {
         instance: steward.node.settings.instance.clone(),
         incarnation: steward.node.incarnation,
@@ -250,30 +260,30 @@
     send(&mut socket, &hello).await?;
     steward.node.link_opened();
     send(&mut socket, &frame::Frame::Demand(steward.own_demand())).await?;
-    let mut heard = steward.node.now();
-    let mut due = link::Timer::new(heard, steward::HEARTBEAT_INTERVAL);
-    let mut sent = 0;
+    let mut last_received = steward.node.now();
+    let mut timer = link::Timer::new(last_received, steward::HEARTBEAT_INTERVAL);
+    let mut sent_version = 0;
     loop {
-        let silence = heard.after(SILENCE).since(steward.node.now());
+        let timeout = last_received.after(LINK_TIMEOUT).since(steward.node.now());
         tokio::select! {
             biased;
-            () = wait_until(&mut due, steward) => {
+            () = wait_for_demand(&mut timer, steward) => {
                 send(&mut socket, &frame::Frame::Demand(steward.own_demand())).await?;
             }
             frame = receive(&mut socket) => {
                 let frame = frame?;
                 let heartbeat = matches!(frame, frame::Frame::Heartbeat { .. });
-                take(steward, holder, frame)?;
-                heard = steward.node.now();
+                handle_frame(steward, holder, frame)?;
+                last_received = steward.node.now();
                 if heartbeat
-                    && let Some(config) = steward.node.config_ahead(sent)
-                    && rand::random_bool(told_by(steward.node.instances()))
+                    && let Some(config) = steward.node.config_ahead(sent_version)
+                    && rand::random_bool(config_send_probability(steward.node.instances()))
                 {
-                    sent = config.version;
+                    sent_version = config.version;
                     send(&mut socket, &frame::Frame::Configuration(config)).await?;
                 }
             }
-            () = time::sleep(silence) => anyhow::bail!("silent"),
+            () = time::sleep(timeout) => anyhow::bail!("silent"),
         }
     }
 }
@@ -287,12 +297,14 @@
     }
 }
 
-/// The chance with which an instance tells the steward of a later configuration after a heartbeat: most of them have it at the same time.
-fn told_by(instances: usize) -> f64 {
-    (TELLERS / instances.max(1) as f64).min(1.0)
+/// Returns the probability with which an instance sends the steward a newer configuration after a heartbeat. Most
+/// instances have that configuration at the same time, and few need to send it.
+fn config_send_probability(instances: usize) -> f64 {
+    (MEAN_CONFIG_SENDERS / instances.max(1) as f64).min(1.0)
 }
 
-fn take<P>(
+/// Handles a frame from the steward. An error ends the link.
+fn handle_frame<P>(
     steward: &steward::Steward<P>,
     holder: &lease::Record,
     frame: frame::Frame,
@@ -303,26 +315,28 @@
     match frame {
         frame::Frame::Heartbeat {
             incarnation,
-            active: acts,
+            active,
             ..
         } if incarnation != holder.incarnation => {
             steward.holder_ended(holder.incarnation);
-            if acts {
+            if active {
                 steward.redirect(lease::Record {
                     incarnation,
                     ..holder.clone()
                 });
             }
-            anyhow::bail!("another process answers in its place");
+            anyhow::bail!("another process has replaced the instance");
+        }
+        frame::Frame::Heartbeat { active: false, .. } => {
+            anyhow::bail!("the instance is not the active steward")
         }
-        frame::Frame::Heartbeat { active: false, .. } => anyhow::bail!("it doesn't act as steward"),
         frame::Frame::Heartbeat {
             instances,
             lease_end,
             lease_era,
             era,
             config_version,
-            read_age_ms: read_ms,
+            read_age_ms,
             stamp_ms,
             standbys_read,
             ..
@@ -333,7 +347,7 @@
                 offset: lease_end,
             };
             if steward.is_active() && !steward.is_overtaken(holder, end) {
-                anyhow::bail!("this instance has the lease");
+                anyhow::bail!("this instance holds the lease");
             }
             steward.observe_steward(holder);
             steward.observe_lease_end(end);
@@ -343,7 +357,7 @@
                     ..node::StewardReads::default()
                 });
             } else {
-                relayed(steward, config_version, read_ms, stamp_ms);
+                update_steward_reads(steward, config_version, read_age_ms, stamp_ms);
             }
             steward.node.extend_shares(clock::Instant(stamp_ms));
             steward.node.learn_instances(instances as usize);
@@ -351,15 +365,15 @@
             steward.node.set_steward_link(true);
         }
         frame::Frame::Held(holdings) => steward.node.learn_holdings(holdings),
-        frame::Frame::AllEngines(whole) => steward.node.set_all_engines(whole),
+        frame::Frame::AllEngines(complete) => steward.node.set_all_engines(complete),
         frame::Frame::Limits(notices) => steward.node.learn_limits(&notices),
         frame::Frame::Permits(replies) => steward.node.learn_permits(&replies),
         frame::Frame::Shares(shares) => steward.node.learn_shares(shares),
         frame::Frame::Load(loads) => steward.node.learn_load(&loads),
         frame::Frame::Forecast(forecasts) => steward.node.learn_forecasts(forecasts),
-        frame::Frame::HandOver(given) => {
-            steward.accept_hand_over(given);
-            anyhow::bail!("it handed the lease over");
+        frame::Frame::HandOver(hand_over) => {
+            steward.accept_hand_over(hand_over);
+            anyhow::bail!("the steward handed the lease over");
         }
         frame::Frame::Moved(holder) => {
             steward.holder_moved(holder);
@@ -385,29 +399,33 @@
     Ok(())
 }
 
-/// Takes the steward's reads of the store for this instance's own, as long as they are young.
-fn relayed<P>(steward: &steward::Steward<P>, version: u64, read_ms: u32, stamp_ms: u64)
-where
+/// Records the steward's reads of the store, which replace this instance's own as long as they are recent.
+fn update_steward_reads<P>(
+    steward: &steward::Steward<P>,
+    version: u64,
+    read_age_ms: u32,
+    stamp_ms: u64,
+) where
     P: platform::Platform,
 {
     let settings = &steward.node.settings;
-    let asked = clock::Instant(stamp_ms);
-    let read_age = Duration::from_millis(read_ms.into());
+    let demand_sent = clock::Instant(stamp_ms);
+    let read_age = Duration::from_millis(read_age_ms.into());
     let until = link::reads_valid_until(
         steward.node.now(),
-        asked,
+        demand_sent,
         read_age,
         settings.leaving_deadline.min(settings.config_deadline),
     );
     if until.is_some() {
         steward.node.record_store_recovery();
     }
-    let relayed = node::StewardReads {
+    let reads = node::StewardReads {
         until,
-        read: Some(asked.before(read_age)),
+        read: Some(demand_sent.before(read_age)),
         version,
     };
-    steward.node.steward_reads.send_replace(relayed);
+    steward.node.steward_reads.send_replace(reads);
 }
 
 async fn send(socket: &mut Socket, frame: &frame::Frame) -> anyhow::Result<()> {
@@ -416,9 +434,9 @@
 
 async fn write(socket: &mut Socket, bytes: Bytes) -> anyhow::Result<()> {
     let sending = socket.send(Message::Binary(bytes));
-    time::timeout(SILENCE, sending)
+    time::timeout(LINK_TIMEOUT, sending)
         .await
-        .context("not written in time")??;
+        .context("write timed out")??;
     Ok(())
 }
 
@@ -432,8 +450,8 @@
     }
 }
 
-fn limits() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(FRAME_LIMIT))
-        .max_frame_size(Some(FRAME_LIMIT))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
 }
--- a/crates/fireflywheel_daemon/src/fleet/log_output.rs
+++ b/crates/fireflywheel_daemon/src/fleet/log_output.rs
@@ -1,9 +1,10 @@
-//! Log lines to standard output that never hold up a request.
+//! Writes log lines to standard output without blocking requests.
 //!
-//! A reader of standard output that stops would otherwise stop the process at its next line. So lines go
-//! through a bounded queue to a thread of their own; what finds it full is dropped and counted, and the count
-//! is written once there is room. In a storm of failures each request writes several lines; so lines below a
-//! warning have a rate beyond which they are dropped and counted before they are put together.
+//! If the reader of standard output stopped reading, a direct write would block the process at its next line.
+//! Therefore lines go through a bounded queue to a separate thread. Lines that find the queue full are dropped and
+//! counted, and the count is written once there is room. When many requests fail, each of them writes several lines.
+//! Therefore lines below the warning level are rate limited: lines beyond the limit are dropped and counted before
+//! they are formatted.
 
 use std::io::{self, Write as _};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,26 +20,26 @@
 
 use crate::{clock, logs};
 
-/// Lines that may wait: a few seconds of the most that an instance writes, some hundred kilobytes.
-const QUEUE: usize = 2048;
+/// Maximum number of queued lines: a few seconds of an instance's highest output, some hundred kilobytes.
+const MAX_QUEUED_LINES: usize = 2048;
 
-/// Lines that come within this time are written together. Each alone, they took 0.15 ms of a processor for each
-/// request; together they take 0.06 ms (time of three instances' processes at 250 requests a second in all, less
-/// that without a log).
-const GATHER: time::Duration = time::Duration::from_millis(20);
+/// Lines that arrive within this time are written together. Written one by one, they took 0.15 ms of CPU time per
+/// request; together they take 0.06 ms (CPU time of three instances' processes at 250 requests per second in total,
+/// minus that without a log).
+const BATCH_DELAY: time::Duration = time::Duration::from_millis(20);
 
-/// The end of a process waits no longer than this for its last lines.
-const FLUSH_PATIENCE: time::Duration = time::Duration::from_millis(300);
+/// How long a flush, such as the one at the end of the process, waits for queued lines to be written.
+const FLUSH_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// Time between two lines that tell how many were lost.
-const LOST_PAUSE: time::Duration = time::Duration::from_secs(1);
+/// Minimum interval between two lines that report the number of dropped lines.
+const DROP_REPORT_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// What goes through the queue.
+/// An item of the queue.
 #[derive(Debug)]
 enum Item {
-    /// A line with its end.
+    /// A line including its line break.
     Line(Vec<u8>),
-    /// Someone waits until all lines before are written.
+    /// A request to signal when all lines queued before it are written.
     Flush(SyncSender<()>),
 }
 
@@ -47,20 +48,20 @@
     clock: clock::Clock,
     limit: Mutex<rate::Limiter>,
     queue: SyncSender<Item>,
-    lost: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl LogWriter for Writer {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        if record.level() > Level::Warn && !self.allows() {
-            self.lost.fetch_add(1, Ordering::Relaxed);
+        if record.level() > Level::Warn && !self.is_within_limit() {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         let mut line = Vec::with_capacity(256);
         logs::json(&mut line, now, record)?;
         line.push(b'\n');
         if self.queue.try_send(Item::Line(line)).is_err() {
-            self.lost.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
@@ -68,14 +69,14 @@
     fn flush(&self) -> io::Result<()> {
         let (done, written) = mpsc::sync_channel(1);
         if self.queue.try_send(Item::Flush(done)).is_ok() {
-            // A reader that stopped must not hold up the end of the process.
-            let _ = written.recv_timeout(FLUSH_PATIENCE);
+            // A reader that has stopped must not block the end of the process.
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 
     fn shutdown(&self) {
-        // It never fails.
+        // `flush` never fails.
         let _ = self.flush();
     }
 
@@ -85,31 +86,32 @@
 }
 
 impl Writer {
-    fn allows(&self) -> bool {
+    /// Returns whether the rate limit admits another line.
+    fn is_within_limit(&self) -> bool {
         let mut limit = self.limit.lock().expect("no panic while it was held");
         limit.try_acquire(self.clock.now())
     }
 }
 
-/// Starts logging for the whole process, as long as the handle lives.
+/// Starts logging for the whole process. Logging lasts as long as the handle lives.
 ///
 /// # Errors
 ///
-/// When the thread can't be started, or logging was started before.
+/// Returns an error if the thread can't be started, or if a logger is installed already.
 pub fn start(settings: settings::Log) -> anyhow::Result<LoggerHandle> {
     let level = settings.level;
-    let (sender, queue) = mpsc::sync_channel(QUEUE);
-    let lost = Arc::new(AtomicU64::new(0));
+    let (sender, queue) = mpsc::sync_channel(MAX_QUEUED_LINES);
+    let dropped = Arc::new(AtomicU64::new(0));
     let writer = Writer {
         clock: clock::Clock::new(),
         limit: Mutex::new(rate::Limiter::new(settings.lines_per_second)),
         queue: sender,
-        lost: Arc::clone(&lost),
+        dropped: Arc::clone(&dropped),
     };
     thread::Builder::new()
         .name("journal".to_owned())
-        .spawn(move || drain(&queue, &lost))
-        .context("the journal's thread can't be started")?;
+        .spawn(move || write_lines(&queue, &dropped))
+        .context("can't start the log output thread")?;
     let specification = LogSpecification::builder()
         .default(level.min(LevelFilter::Warn))
         .module("fireflywheel", level)
@@ -117,36 +119,39 @@
         .module("fireflywheel_platform", level)
         .build();
     let logger = Logger::with(specification).log_to_writer(Box::new(writer));
-    logger.start().context("logging can't be started")
+    logger.start().context("can't start logging")
 }
 
-fn drain(queue: &Receiver<Item>, lost: &AtomicU64) {
-    let mut told: Option<time::Instant> = None;
+/// Writes queued lines to standard output until the queue is closed.
+fn write_lines(queue: &Receiver<Item>, dropped: &AtomicU64) {
+    let mut reported: Option<time::Instant> = None;
     let mut text = Vec::new();
     while let Ok(first) = queue.recv() {
         let mut flushes = Vec::new();
-        if take(first, &mut text, &mut flushes) {
-            thread::sleep(GATHER);
+        if append(first, &mut text, &mut flushes) {
+            thread::sleep(BATCH_DELAY);
         }
         while let Ok(item) = queue.try_recv() {
-            take(item, &mut text, &mut flushes);
+            append(item, &mut text, &mut flushes);
         }
-        if told.is_none_or(|told| told.elapsed() >= LOST_PAUSE) {
-            told = tell_lost(&mut text, lost).then(time::Instant::now).or(told);
+        if reported.is_none_or(|reported| reported.elapsed() >= DROP_REPORT_INTERVAL) {
+            reported = report_dropped(&mut text, dropped)
+                .then(time::Instant::now)
+                .or(reported);
         }
         let mut out = io::stdout();
-        // Nobody is left to tell when standard output is gone.
+        // There is no other place to report that standard output is closed.
         let _ = out.write_all(&text).and_then(|()| out.flush());
         text.clear();
         for done in flushes {
-            // Who waited may have given up.
+            // The receiver may have timed out.
             let _ = done.try_send(());
         }
     }
 }
 
-/// Whether it was a line.
-fn take(item: Item, text: &mut Vec<u8>, flushes: &mut Vec<SyncSender<()>>) -> bool {
+/// Appends an item's line to `text`, or its request to `flushes`. Returns whether the item was a line.
+fn append(item: Item, text: &mut Vec<u8>, flushes: &mut Vec<SyncSender<()>>) -> bool {
     match item {
         Item::Line(line) => {
             text.extend_from_slice(&line);
@@ -159,9 +164,9 @@
     }
 }
 
-/// Whether any were lost.
-fn tell_lost(text: &mut Vec<u8>, lost: &AtomicU64) -> bool {
-    let count = lost.swap(0, Ordering::Relaxed);
+/// Appends a line with the number of lines dropped since the last report. Returns whether there were any.
+fn report_dropped(text: &mut Vec<u8>, dropped: &AtomicU64) -> bool {
+    let count = dropped.swap(0, Ordering::Relaxed);
     if count > 0 {
         let line =
             format!("{{\"level\":\"WARN\",\"message\":\"log lines lost\",\"count\":{count}}}\n");
--- a/crates/fireflywheel_daemon/src/fleet/metrics.rs
+++ b/crates/fireflywheel_daemon/src/fleet/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one instance.
+//! Prometheus metrics of one instance.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -13,56 +13,59 @@
 
 use crate::metrics::builder;
 
-/// Upper bounds in seconds: from a plain service's answer to the longest wait for a cold model.
-const SECONDS: [f64; 12] = [
+/// Upper bounds in seconds of the histogram buckets, from a plain service's response to the longest wait for a model
+/// that has to be loaded.
+const ANSWER_TIME_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.25, 0.6, 1.0, 2.5, 5.0, 10.0, 20.0, 60.0,
 ];
 
-/// Organisations with a label of their own: with thousands of them, each scrape would be megabytes.
-const ORGANISATIONS: usize = 64;
-/// The label of all others.
-const OTHER: &str = "other";
+/// Maximum number of organisations with a label value of their own. With thousands of them, each scrape would be
+/// megabytes large.
+const MAX_ORGANISATION_LABELS: usize = 64;
+/// The label value of all other organisations.
+const OTHER_ORGANISATIONS_LABEL: &str = "other";
 
-/// Everything that an instance measures.
+/// The metrics of an instance.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    answered: HistogramVec,
-    refused: IntCounterVec,
-    failed: IntCounterVec,
+    answer_time: HistogramVec,
+    refusals: IntCounterVec,
+    failed_attempts: IntCounterVec,
     orders: IntCounterVec,
     store_calls: IntCounterVec,
-    charged: CounterVec,
-    labels: Arc<Mutex<BTreeSet<SmolStr>>>,
-    version: IntGauge,
+    quota_charges: CounterVec,
+    /// Organisations with a label value of their own.
+    labelled_organisations: Arc<Mutex<BTreeSet<SmolStr>>>,
+    config_version: IntGauge,
     config_age: Gauge,
     era: IntGauge,
-    limited: IntGauge,
+    limited_servers: IntGauge,
     permits: IntCounterVec,
     steward: IntGauge,
 }
 
 impl Metrics {
-    /// Metrics in a registry of their own.
+    /// Creates the metrics in a registry of their own.
     ///
     /// # Errors
     ///
-    /// Only if two had the same name.
+    /// Returns an error if two metrics have the same name.
     pub fn new() -> anyhow::Result<Self> {
         let builder = builder::Builder::default();
         Ok(Self {
-            answered: builder.histogram(
+            answer_time: builder.histogram(
                 "fleet_answer_seconds",
                 "From a request to the head of its response, by route and status",
-                SECONDS.to_vec(),
+                ANSWER_TIME_BUCKETS.to_vec(),
                 &["route", "status"],
             )?,
-            refused: builder.counter(
+            refusals: builder.counter(
                 "fleet_refused_total",
                 "Own answers, by reason and status",
                 &["code", "status"],
             )?,
-            failed: builder.counter(
+            failed_attempts: builder.counter(
                 "fleet_attempt_failures_total",
                 "Attempts without a whole response",
                 &["route", "why"],
@@ -77,13 +80,13 @@
                 "Calls to the platform's store",
                 &["call", "result"],
             )?,
-            charged: builder.amount(
+            quota_charges: builder.amount(
                 "fleet_quota_total",
                 "What requests count against quotas, by organisation and outcome",
                 &["organisation", "outcome"],
             )?,
-            labels: Arc::default(),
-            version: builder.gauge("fleet_config_version", "The configuration in force")?,
+            labelled_organisations: Arc::default(),
+            config_version: builder.gauge("fleet_config_version", "The configuration in force")?,
             config_age: builder.real_gauge(
                 "fleet_config_age_seconds",
                 "Since the store was last read for the configuration in force, by this instance or the steward",
@@ -92,7 +95,7 @@
                 "fleet_store_era",
                 "How often the platform's store has come back from an older copy, as it says",
             )?,
-            limited: builder.gauge(
+            limited_servers: builder.gauge(
                 "fleet_limited_servers",
                 "Backend servers that name how many requests a second they take",
             )?,
@@ -106,79 +109,84 @@
         })
     }
 
-    /// A response of a backend server is handed on.
+    /// Counts a backend server's response that is forwarded, and the time from the request to its head.
     pub fn count_answer(&self, route: &str, status: u16, took: Duration) {
         let status = status.to_string();
         let labels = [route, status.as_str()];
-        self.answered
+        self.answer_time
             .with_label_values(&labels)
             .observe(took.as_secs_f64());
     }
 
-    /// A request got an answer of this instance's own.
+    /// Counts a request that this instance itself answered with an error.
     pub fn count_refusal(&self, code: &str, status: u16) {
         let status = status.to_string();
-        self.refused
+        self.refusals
             .with_label_values(&[code, status.as_str()])
             .inc();
     }
 
-    /// An attempt had no whole response.
+    /// Counts an attempt without a complete response.
     pub fn count_failed_attempt(&self, route: &str, why: &str) {
-        self.failed.with_label_values(&[route, why]).inc();
+        self.failed_attempts.with_label_values(&[route, why]).inc();
     }
 
-    /// An order was answered, or not.
+    /// Counts an order to an engine by its result.
     pub fn count_order(&self, kind: &str, result: &str) {
         self.orders.with_label_values(&[kind, result]).inc();
     }
 
-    /// The platform's store was called.
+    /// Counts a call to the platform's store.
     pub fn count_store_call(&self, call: &str, good: bool) {
         let result = if good { "ok" } else { "fault" };
         self.store_calls.with_label_values(&[call, result]).inc();
     }
 
-    /// A request was counted against its organisation's quota, or refused by it.
+    /// Adds the cost of a request that its organisation's quota admitted or refused.
     pub fn count_charge(&self, organisation: &str, admitted: bool, cost: f64) {
-        let mut labels = self.labels.lock().expect("no panic while it was held");
-        let known = labels.contains(organisation);
-        if !known && labels.len() < ORGANISATIONS {
-            labels.insert(organisation.into());
+        let mut labelled = self
+            .labelled_organisations
+            .lock()
+            .expect("no panic while it was held");
+        let known = labelled.contains(organisation);
+        if !known && labelled.len() < MAX_ORGANISATION_LABELS {
+            labelled.insert(organisation.into());
         }
-        let label = if known || labels.contains(organisation) {
+        let label = if known || labelled.contains(organisation) {
             organisation
         } else {
-            OTHER
+            OTHER_ORGANISATIONS_LABEL
         };
         let outcome = if admitted { "admitted" } else { "refused" };
-        self.charged
+        self.quota_charges
             .with_label_values(&[label, outcome])
             .inc_by(cost);
     }
 
-    /// A configuration is in force.
+    /// Sets the version of the configuration in force.
     pub fn set_version(&self, version: u64) {
-        self.version.set(i64::try_from(version).unwrap_or(i64::MAX));
+        self.config_version
+            .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// How long ago the store was read for the configuration in force; none if it never was.
+    /// Sets how long ago the store was read for the configuration in force; `None` if it never was.
     pub fn set_config_age(&self, age: Option<Duration>) {
         let seconds = age.map_or(f64::INFINITY, |age| age.as_secs_f64());
         self.config_age.set(seconds);
     }
 
-    /// The platform's store is in this era.
+    /// Sets the era of the platform's store.
     pub fn set_era(&self, era: Era) {
         self.era.set(i64::try_from(era.0).unwrap_or(i64::MAX));
     }
 
-    /// So many backend servers name a limit.
+    /// Sets the number of backend servers that limit their request rate.
     pub fn set_limited_servers(&self, servers: usize) {
-        self.limited.set(i64::try_from(servers).unwrap_or(i64::MAX));
+        self.limited_servers
+            .set(i64::try_from(servers).unwrap_or(i64::MAX));
     }
 
-    /// The steward has decided on a request to a server that names a limit.
+    /// Counts a decision of the steward on a request to a server that limits its request rate.
     pub fn count_permit(&self, outcome: limit::Outcome) {
         let outcome = match outcome {
             limit::Outcome::Granted => "granted",
@@ -188,17 +196,17 @@
         self.permits.with_label_values(&[outcome]).inc();
     }
 
-    /// Whether this instance orders engines.
-    pub fn set_steward(&self, acts: bool) {
-        self.steward.set(acts.into());
+    /// Sets whether this instance is the active steward, which sends orders to engines.
+    pub fn set_steward(&self, active: bool) {
+        self.steward.set(active.into());
     }
 
-    /// The text form for scrapers.
+    /// Encodes the metrics in Prometheus' text format.
     ///
     /// # Errors
     ///
-    /// When a value has no text form.
-    pub fn text(&self) -> anyhow::Result<String> {
+    /// Returns an error if a metric can't be encoded.
+    pub fn encode(&self) -> anyhow::Result<String> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(String::from_utf8(text)?)
--- a/crates/fireflywheel_daemon/src/fleet/mod.rs
+++ b/crates/fireflywheel_daemon/src/fleet/mod.rs
@@ -1,24 +1,24 @@
 //! An instance that serves from the platform's directory, without a ledger of its own.
 //!
-//! Backend servers register themselves in the platform's store, and each of them is the record of what it
-//! holds. What is decided lies in [`fireflywheel::fleet`]; here are the sockets, tasks and timers round it:
+//! Backend servers register themselves in the platform's store, and each server is the authority on what it holds.
+//! The decisions are made in [`fireflywheel::fleet`]; this module contains the sockets, tasks and timers around it:
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`daemon`] | puts one instance together, and stops it without a cut |
-//! | [`platform`] | what a platform has to translate |
-//! | [`node`] | what the instance knows, behind one lock |
-//! | [`relay`] | requests of callers, from the door to the one final answer |
-//! | `access` | whose request it is, and whether its organisation may ask for more |
-//! | [`attempt`] | sending a request to one backend server, and what is known after that |
-//! | [`stream`] | handing events on, and going on elsewhere after a break |
-//! | [`pool`] | connections to backend servers |
-//! | [`watch`] | following the configuration and the directory |
-//! | [`steward`] | holding the lease, planning and sending orders |
+//! | [`daemon`] | starts and stops one instance |
+//! | [`platform`] | the interface that a platform adapter implements |
+//! | [`node`] | the state of the instance, behind one lock |
+//! | [`relay`] | handles callers' requests from arrival to the one final response |
+//! | `access` | authentication of callers and quotas of their organisations |
+//! | [`attempt`] | sends a request to one backend server and classifies the outcome |
+//! | [`stream`] | forwards streamed responses, and resumes them on another server after a failure |
+//! | [`pool`] | connection pool for backend servers |
+//! | [`watch`] | keeps the configuration and the directory up to date |
+//! | [`steward`] | holds the lease, plans and sends orders |
 //! | [`links`] | links between instances and the steward |
-//! | [`health`] | the address that tells whether the instance is ready, and its metrics |
-//! | [`metrics`] | counters and histograms |
-//! | [`log_output`] | log lines to standard output that never hold up a request |
+//! | [`health`] | the endpoint for readiness probes and metrics |
+//! | [`metrics`] | Prometheus metrics |
+//! | [`log_output`] | writes log lines to standard output without blocking requests |
 
 mod access;
 pub mod attempt;
--- a/crates/fireflywheel_daemon/src/fleet/platform.rs
+++ b/crates/fireflywheel_daemon/src/fleet/platform.rs
@@ -1,4 +1,5 @@
-//! What a platform has to translate: its names on the wire into types of the product, and back.
+//! The interface that a platform adapter implements: it translates between the platform's wire formats and the types
+//! of this crate.
 
 use std::fmt;
 use std::future::Future;
@@ -15,83 +16,83 @@
 
 use crate::errors;
 
-/// A caller's request, as far as routing needs it.
+/// The parts of a caller's request that routing needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
     /// The id that the caller gave this attempt.
     pub id: SmolStr,
-    /// The host that it asks for.
+    /// The requested host.
     pub host: SmolStr,
-    /// How long the caller waits.
+    /// How long the caller waits for the response, from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// The model that it asks for.
+    /// The requested model.
     pub model: Option<SmolStr>,
-    /// The adapter on it.
+    /// The requested adapter for the model.
     pub adapter: Option<SmolStr>,
-    /// Tokens of its prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The parts of its prompt that other requests may share.
+    /// The start of the prompt, which other requests may share.
     pub shared: Option<Shared>,
-    /// The last event that the caller has of an earlier attempt.
+    /// The id of the last event that the caller received from an earlier attempt.
     pub last_event: Option<u64>,
-    /// The key that it came with.
+    /// The key that the request carries.
     pub identity: Identity,
-    /// Tokens of its prompt, and the most that its answer may have, if it tells them.
+    /// The length of the prompt plus the maximum length of the answer, in tokens, if the request states them.
     pub tokens: Option<u32>,
 }
 
-/// How a caller says whose request it is.
+/// How a request identifies its organisation.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Identity {
-    /// It doesn't.
+    /// The request carries no key.
     #[default]
     Missing,
-    /// In a way that can't be read, or in two ways.
+    /// The request carries a key that can't be parsed, or more than one.
     Malformed,
-    /// By a key.
+    /// The request carries a key.
     Key(organisation::Credential),
 }
 
-/// The start of a prompt. A server that keeps all parts of it need not read them again.
+/// The start of a prompt. A server that has all parts of it in its prefix cache need not process them again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shared {
-    /// Names of its parts, in order.
+    /// The names of the parts, in order.
     pub parts: SmolStr,
-    /// Their length together.
+    /// The total length of the parts in tokens.
     pub tokens: u32,
 }
 
-/// One sending of a request to a backend server.
+/// One attempt to send a request to a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt<'a> {
-    /// The id of the server that it is for: no other may run it.
+    /// The id of the server that is to run the request; no other server may run it.
     pub server: &'a str,
-    /// What is left of the caller's time.
+    /// The time left until the caller's deadline.
     pub left: Duration,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub rank: u8,
-    /// The last event that was handed on already, if the stream goes on.
+    /// The id of the last event that the caller has, if the attempt resumes a stream.
     pub last_event: Option<u64>,
-    /// The organisation whose request it is.
+    /// The organisation that sent the request.
     pub organisation: Option<&'a str>,
 }
 
-/// What the head of a response says beside its status.
+/// The platform's fields in the head of a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// The id of the request that it answers.
+    /// The id of the request that the response answers.
     pub id: Option<SmolStr>,
-    /// The id of the server that answers, if it says so.
+    /// The id of the server that responds, if the response states it.
     pub server: Option<SmolStr>,
-    /// It carries the proof that a backend server made it.
+    /// Whether the response carries the proof that a backend server produced it.
     pub authentic: bool,
-    /// It states that the request hasn't run and won't.
+    /// Whether the response states that the request has not run and will not.
     pub not_run: bool,
-    /// The load of the server.
+    /// The load of the server, if the response reports it.
     pub load: Option<routing::Report>,
-    /// Requests a second that the server takes from all instances together.
+    /// The server's rate limit in requests per second from all instances together, if it sets one.
     pub limit: Option<f64>,
-    /// How long the server keeps the connection open unused.
+    /// How long the server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
@@ -100,51 +101,51 @@
 pub struct Order<'a> {
     /// The id of the engine.
     pub server: &'a str,
-    /// The name of the holder.
+    /// The name of the instance that holds the steward's lease.
     pub holder: &'a str,
-    /// The holder's number.
+    /// The fencing number of the lease holder.
     pub fencing: u64,
-    /// Orders that the engine must have accepted before.
+    /// The number of orders that the engine must have accepted before this one.
     pub after: u64,
-    /// What is to be done.
+    /// The change that the order makes.
     pub change: Change<'a>,
 }
 
-/// What an order changes.
+/// A change of what an engine holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Change<'a> {
-    /// Load, or else unload.
+    /// Whether to load; otherwise the order unloads.
     pub load: bool,
-    /// The model.
+    /// The name of the model.
     pub model: &'a str,
-    /// The adapter on it; without one the order is for the model.
+    /// The adapter to load or unload for the model; `None` if the order is for the model itself.
     pub adapter: Option<&'a str>,
 }
 
-/// News of the directory.
+/// The result of a read of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectoryUpdate {
-    /// All entries: what isn't among them isn't in the directory.
+    /// All entries of the directory.
     Full(Vec<server::Server>),
-    /// Entries that changed, by id; none for one that was removed or names no server.
+    /// The entries that changed, by id; `None` for an entry that was removed or describes no server.
     Partial(Vec<(SmolStr, Option<server::Server>)>),
 }
 
-/// What became of a conditional write.
+/// The outcome of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// It stands at this place.
+    /// The record was written at this position.
     Stored(Position),
-    /// Somebody else wrote before.
+    /// Another writer has written since the expected end.
     Conflict,
 }
 
-/// Why a call to the platform's store has no result.
+/// An error of a call to the platform's store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// No answer, or none that can be read: a write may have been done, or may be done later.
+    /// There was no answer, or one that can't be parsed. A write may have been done, or may still be done later.
     Lost(SmolStr),
-    /// It said that nothing was done.
+    /// The store refused the call with this HTTP status and did nothing.
     Refused(u16),
 }
 
@@ -159,63 +160,63 @@
 
 impl std::error::Error for Fault {}
 
-/// A platform, as seen by one instance.
+/// A platform adapter of one instance.
 pub trait Platform: Send + Sync + 'static {
-    /// Where a reader of the configuration stands.
+    /// The position of a reader of the configuration.
     type ConfigCursor: Default + Send;
-    /// Where a reader of the directory stands.
+    /// The position of a reader of the directory.
     type DirectoryCursor: Default + Send;
 
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// The answer to a request that isn't proper.
+    /// Returns the error response for an invalid request.
     fn read_call(&self, head: &request::Parts) -> Result<Call, errors::Problem>;
 
-    /// Takes out of a caller's headers what only this system may set.
+    /// Removes headers from a caller's request that only this system may set.
     fn strip_reserved_headers(&self, headers: &mut HeaderMap);
 
-    /// Adds what a backend server is told with an attempt.
+    /// Adds the headers that describe an attempt to a backend server.
     fn add_attempt_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
-    /// Reads the head of a backend server's response.
+    /// Parses the head of a backend server's response.
     fn read_reply(&self, head: &response::Parts) -> Reply;
 
-    /// Adds the request's id, and when to come back, to an answer of this instance's own.
+    /// Adds the request's id and the retry delay to a response that this instance itself creates.
     fn add_answer_headers(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
 
-    /// The path at which the platform asks whether the instance is ready.
+    /// Returns the path of the platform's readiness probe.
     fn ready_path(&self) -> &'static str;
 
-    /// An order as a request.
+    /// Builds the request that sends an order to an engine.
     fn order(&self, order: &Order<'_>) -> Request<Full<Bytes>>;
 
-    /// The request for an engine's report.
+    /// Builds the request for an engine's report.
     fn report(&self) -> Request<Full<Bytes>>;
 
-    /// Reads an engine's report.
+    /// Parses an engine's report.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Returns an error if the report is invalid.
     fn read_report(&self, body: &[u8]) -> anyhow::Result<server::Report>;
 
-    /// The era of the store; none before anything was heard of it.
+    /// Returns the era of the store; `None` until it is known.
     fn era(&self) -> Option<Era>;
 
-    /// Another instance knows that the store is in this era: answers of an earlier one don't count any more.
+    /// Records an era of the store that another instance knows of. Answers from earlier eras are no longer valid.
     fn learn_era(&self, era: Era);
 
-    /// Waits for a configuration later than the cursor, for `wait` at most.
+    /// Waits up to `wait` for a configuration newer than the cursor.
     fn configuration(
         &self,
         cursor: &mut Self::ConfigCursor,
         wait: Duration,
     ) -> impl Future<Output = Result<Option<config::Config>, Fault>> + Send;
 
-    /// What has changed in the directory since the cursor. A whole directory that comes in parts is read with `pause` between
-    /// them.
+    /// Reads what has changed in the directory since the cursor. When the whole directory is read in pages, there is a
+    /// delay of `pause` between them.
     fn directory<F>(
         &self,
         cursor: &mut Self::DirectoryCursor,
@@ -225,10 +226,10 @@
     where
         F: Fn() -> Duration + Send + Sync;
 
-    /// The newest record of the steward's lease.
+    /// Reads the newest record of the steward's lease.
     fn read_lease(&self) -> impl Future<Output = Result<lease::Reading, Fault>> + Send;
 
-    /// Writes a record of the steward's lease if nothing was written since `end`.
+    /// Writes a record of the steward's lease if nothing has been written since `end`.
     fn write_lease(
         &self,
         end: Position,
--- a/crates/fireflywheel_daemon/src/fleet/pool.rs
+++ b/crates/fireflywheel_daemon/src/fleet/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to backend servers.
+//! Connection pool for backend servers.
 //!
-//! A server takes a limited number from all instances together, and each new one costs it time. So they are
-//! kept, and closed before the server would close them. A connection on which anything unexpected came is
-//! never used again: the bytes may belong to another request.
+//! A server accepts a limited number of connections from all instances together, and each new one costs it time.
+//! Therefore idle connections are kept, and closed before the server would close them. A connection that received
+//! anything unexpected is never reused: the bytes may belong to another request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,37 +22,41 @@
 use tokio::task::AbortHandle;
 use tokio::time;
 
-/// How long a connection may take to open. Servers answer within a round trip; the rest is for a lost packet.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// How long an unused connection is kept when its server doesn't say.
-const KEEP: Duration = Duration::from_millis(1500);
-/// A connection is given up this much before its server would close it, so that no request crosses the end.
-const KEEP_MARGIN: Duration = Duration::from_millis(1200);
+/// How long a connection may take to open. Servers answer within a round trip; the rest allows for the retransmission
+/// of a lost packet.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long an idle connection is kept if its server doesn't state a keep-alive timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(1500);
+/// An idle connection is closed this long before its server would close it, so that no request is sent while the
+/// server closes the connection.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
 
-/// All connections to backend servers.
+/// The connections to all backend servers.
 #[derive(Debug, Default)]
 pub struct Pool {
-    places: Mutex<HashMap<SocketAddr, Place>>,
+    servers: Mutex<HashMap<SocketAddr, ServerConnections>>,
 }
 
+/// The connections to one server.
 #[derive(Debug, Default)]
-struct Place {
-    open: Arc<AtomicUsize>,
+struct ServerConnections {
+    /// The number of open connections, in use or idle.
+    open_count: Arc<AtomicUsize>,
     idle: Vec<Idle>,
 }
 
-/// Counts a connection as long as it lives.
+/// Counts a connection as open until it is dropped.
 #[derive(Debug)]
-struct Open(Arc<AtomicUsize>);
+struct OpenGuard(Arc<AtomicUsize>);
 
-impl Open {
+impl OpenGuard {
     fn new(count: Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -61,20 +65,20 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    until: clock::Instant,
+    expires: clock::Instant,
 }
 
-/// A connection with at most one request on it. Dropped, it is closed at once, which ends the request.
+/// A connection that carries at most one request. Dropping it closes it immediately, which ends the request.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    _open: Open,
+    _guard: OpenGuard,
 }
 
 impl Connection {
-    /// Closes it now.
+    /// Closes the connection immediately.
     pub fn close(&self) {
         self.task.abort();
     }
@@ -86,21 +90,21 @@
     }
 }
 
-/// Why a request has no response.
+/// Why a request received no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     /// No connection could be opened.
     Unreachable,
-    /// This instance's part of the server's connections is in use.
+    /// This instance's share of the server's connections is in use.
     Full,
     /// The connection ended before any byte of the request was written.
     Unsent,
-    /// It may have arrived.
+    /// The connection ended later: the request may have arrived.
     Lost,
 }
 
 impl Fault {
-    /// What happened, for logs and metrics.
+    /// Returns the name of the fault in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -113,12 +117,12 @@
 }
 
 impl Pool {
-    /// Sends a request on a kept connection or a new one, of `limit` at most to that server. Dropping the
-    /// future closes the connection.
+    /// Sends a request on an idle connection or a new one, with at most `limit` connections to that server. Dropping
+    /// the future closes the connection.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when there is no response.
+    /// Returns a [`Fault`] if there is no response.
     pub async fn send(
         &self,
         now: clock::Instant,
@@ -130,86 +134,93 @@
         if let (false, Some(host)) = (request.headers().contains_key(HOST), host) {
             request.headers_mut().insert(HOST, host);
         }
-        let mut connection = match self.kept(now, address) {
+        let mut connection = match self.take_idle(now, address) {
             Some(connection) => connection,
             None => self.open(address, limit).await?,
         };
         let response = connection.sender.send_request(request).await;
-        let response = response.map_err(|error| fault_of(&error))?;
+        let response = response.map_err(|error| classify_error(&error))?;
         Ok((response, connection))
     }
 
-    /// Takes back a connection whose response was read to its end.
-    pub fn keep(&self, now: clock::Instant, connection: Connection, allowed: Option<Duration>) {
-        let keep = allowed.map_or(KEEP, |allowed| allowed.saturating_sub(KEEP_MARGIN));
-        if keep.is_zero() || connection.sender.is_closed() {
+    /// Returns a connection to the pool after its response was read to the end. `keep_alive` is how long the server
+    /// keeps it open while idle.
+    pub fn keep(&self, now: clock::Instant, connection: Connection, keep_alive: Option<Duration>) {
+        let kept_for = keep_alive.map_or(DEFAULT_KEEP_ALIVE, |stated| {
+            stated.saturating_sub(KEEP_ALIVE_MARGIN)
+        });
+        if kept_for.is_zero() || connection.sender.is_closed() {
             return;
         }
-        let until = now.after(keep);
-        let mut places = self.places.lock().expect("no panic while it was held");
-        let place = places.entry(connection.address).or_default();
-        place.idle.push(Idle { connection, until });
+        let expires = now.after(kept_for);
+        let mut servers = self.servers.lock().expect("no panic while it was held");
+        let server = servers.entry(connection.address).or_default();
+        server.idle.push(Idle {
+            connection,
+            expires,
+        });
     }
 
-    /// Closes what has been unused for too long.
+    /// Closes expired idle connections.
     pub fn sweep(&self, now: clock::Instant) {
-        let mut places = self.places.lock().expect("no panic while it was held");
-        places.retain(|_, place| {
-            place
+        let mut servers = self.servers.lock().expect("no panic while it was held");
+        servers.retain(|_, server| {
+            server
                 .idle
-                .retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
-            !place.idle.is_empty() || place.open.load(Ordering::Relaxed) > 0
+                .retain(|idle| now < idle.expires && !idle.connection.sender.is_closed());
+            !server.idle.is_empty() || server.open_count.load(Ordering::Relaxed) > 0
         });
     }
 
-    fn kept(&self, now: clock::Instant, address: SocketAddr) -> Option<Connection> {
-        let mut places = self.places.lock().expect("no panic while it was held");
-        let place = places.get_mut(&address)?;
-        place
+    /// Takes an idle connection that is ready for a request.
+    fn take_idle(&self, now: clock::Instant, address: SocketAddr) -> Option<Connection> {
+        let mut servers = self.servers.lock().expect("no panic while it was held");
+        let server = servers.get_mut(&address)?;
+        server
             .idle
-            .retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
-        // The one used last is the least likely to be closed by its server at this moment.
-        let ready = place
+            .retain(|idle| now < idle.expires && !idle.connection.sender.is_closed());
+        // The most recently used connection is the least likely to be closed by its server at this moment.
+        let ready = server
             .idle
             .iter()
             .rposition(|idle| idle.connection.sender.is_ready())?;
-        Some(place.idle.remove(ready).connection)
+        Some(server.idle.remove(ready).connection)
     }
 
     async fn open(&self, address: SocketAddr, limit: usize) -> Result<Connection, Fault> {
-        let open = self.count(address);
-        if open.load(Ordering::Relaxed) >= limit {
+        let open_count = self.open_count(address);
+        if open_count.load(Ordering::Relaxed) >= limit {
             return Err(Fault::Full);
         }
-        let open = Open::new(open);
-        let stream = time::timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+        let guard = OpenGuard::new(open_count);
+        let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else {
             return Err(Fault::Unreachable);
         };
-        // A request's last bytes must not wait for an acknowledgement.
+        // Without this, the last bytes of a request may wait for an acknowledgement (Nagle's algorithm).
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| Fault::Unreachable)?;
         let task = tokio::spawn(async move {
-            // Its end is seen by whoever waits for the response.
+            // The sender of the request receives the connection's error.
             let _ = connection.await;
         });
         Ok(Connection {
             address,
             sender,
             task: task.abort_handle(),
-            _open: open,
+            _guard: guard,
         })
     }
 
-    fn count(&self, address: SocketAddr) -> Arc<AtomicUsize> {
-        let mut places = self.places.lock().expect("no panic while it was held");
-        Arc::clone(&places.entry(address).or_default().open)
+    fn open_count(&self, address: SocketAddr) -> Arc<AtomicUsize> {
+        let mut servers = self.servers.lock().expect("no panic while it was held");
+        Arc::clone(&servers.entry(address).or_default().open_count)
     }
 }
 
-fn fault_of(error: &hyper::Error) -> Fault {
-    // The library gives a request back as canceled when the connection ended before it was written.
+fn classify_error(error: &hyper::Error) -> Fault {
+    // hyper reports a request as canceled if the connection ended before the request was written.
     if error.is_canceled() {
         Fault::Unsent
     } else {
--- a/crates/fireflywheel_daemon/src/fleet/relay.rs
+++ b/crates/fireflywheel_daemon/src/fleet/relay.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, from the door to the one final answer.
+//! Handles callers' requests from arrival to the one final response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,26 +26,28 @@
 use crate::callers::intake;
 use crate::{backend, door, errors};
 
-/// A caller whose group has no server should come back this soon: one that restarts takes about as long.
-const NO_SERVER: Duration = Duration::from_millis(700);
-/// A caller whose servers are all full should come back this soon.
-const NO_ROOM: Duration = Duration::from_millis(250);
-/// How often a request looks for room when all servers are full.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
-/// A model whose engines name limits may be loaded elsewhere within this time: its callers wait for that at first.
-const SPREAD: Duration = Duration::from_millis(1200);
-/// A request is sent this many times at most, counting servers that refused it unrun: more would only feed an
-/// overload.
-const SENDINGS: usize = 5;
-/// The final answer leaves this long before the caller's deadline, so that it is there in time.
+/// Retry delay for a caller whose group has no server. A server that restarts takes about as long.
+const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(700);
+/// Retry delay for a caller whose servers are all full.
+const NO_ROOM_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Interval at which a waiting request checks again for a server with room.
+const ROOM_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long after its arrival a request for a model waits even though the engines that hold the model limit their
+/// request rate for longer: the model may be loaded on another engine within this time.
+const LOAD_ELSEWHERE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Maximum number of times that a request is sent, counting servers that refused it without running it. More would
+/// only add to an overload.
+const MAX_SENDS: usize = 5;
+/// The final response is sent this long before the caller's deadline, so that it arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
-/// Before a planned stop is over, requests that wait are refused this long ahead, so that none is cut without
-/// an answer and its caller can still use the answer.
-const LAST_REFUSAL: Duration = Duration::from_millis(1500);
-/// A 503 for a request that has waited leaves its caller this share of its patience to use the answer.
-const PATIENCE_USED: f64 = 0.9;
+/// Waiting requests are refused this long before the end of a planned stop, so that none is cut off without a
+/// response and their callers still have time to act on it.
+const STOP_REFUSAL_MARGIN: Duration = Duration::from_millis(1500);
+/// Share of a caller's first-byte timeout that its request may spend waiting for a server. The rest is left for the
+/// caller to act on a 503 response.
+const QUEUE_TIMEOUT_RATIO: f64 = 0.9;
 
-/// Answers callers.
+/// Forwards callers' requests to backend servers and answers them.
 #[derive(Debug)]
 pub struct Relay<P> {
     pub(super) node: Arc<node::Node<P>>,
@@ -76,7 +78,7 @@
 where
     P: platform::Platform,
 {
-    /// Answers with what `node` knows.
+    /// Creates a relay that routes by the state of `node`.
     #[must_use]
     pub fn new(node: Arc<node::Node<P>>) -> Self {
         Self { node }
@@ -98,7 +100,7 @@
             let wait = timeout::remaining_outage(arrived.since(self.node.started));
             let left = call.deadline.unwrap_or(wait);
             let problem = unavailable("starting", "no configuration yet");
-            return Err(problem.with_retry_after(come_back(wait, left)));
+            return Err(problem.with_retry_after(retry_after(wait, left)));
         };
         let Some(route) = config.route(&call.host, head.uri.path()) else {
             return Err(errors::Problem::new(
@@ -107,9 +109,9 @@
                 "no route has this host and path",
             ));
         };
-        let organisation = self.organisation(&config, route, call)?;
+        let organisation = self.identify_organisation(&config, route, call)?;
         let body = intake::read(body, &body_limits(&config.limits)).await?;
-        let queue = queue(&config, route, call);
+        let queue = queue_key(&config, route, call);
         if let Some(model) = &queue.model {
             self.node.count_arrival(&queue.group, model);
         }
@@ -120,7 +122,7 @@
         }
         self.node.platform.strip_reserved_headers(&mut headers);
         let charge = match organisation {
-            Some(organisation) => self.charge(organisation, call)?,
+            Some(organisation) => self.charge_quota(organisation, call)?,
             None => None,
         };
         let limit = call
@@ -150,7 +152,7 @@
         result
     }
 
-    /// Sends a request until it is answered or given up.
+    /// Sends a request to servers until one responds, or no further attempt is allowed.
     async fn dispatch(
         &self,
         job: Arc<attempt::Job>,
@@ -158,35 +160,38 @@
         let mut tried: Vec<SmolStr> = Vec::new();
         let mut may_have_run = 0;
         let mut failure = unavailable("not_sent", "no server took it");
-        for sending in 0..SENDINGS {
-            let found = find(&self.node, &job, &tried).await;
+        for send_index in 0..MAX_SENDS {
+            let found = wait_for_server(&self.node, &job, &tried).await;
             let chosen = match found {
                 Ok(chosen) => chosen,
                 Err(problem) if may_have_run == 0 => return Err(problem),
                 Err(_) => return Err(failure),
             };
-            if sending == 0 {
+            if send_index == 0 {
                 self.node.record_first_attempt(&job.queue.group);
             } else if !self.node.try_retry(&job.queue.group) {
                 return Err(failure);
             }
             tried.push(chosen.server.clone());
-            let outcome = match self.send(&job, &chosen, sending, may_have_run).await {
+            let outcome = match self.send(&job, &chosen, send_index, may_have_run).await {
                 Ok(response) => return Ok(response),
                 Err(outcome) => outcome,
             };
             match outcome {
                 attempt::Outcome::NotRun(why) => {
-                    self.note(&job, &chosen, "not run", why);
+                    self.record_failed_attempt(&job, &chosen, "not run", why);
                     if may_have_run == 0 {
-                        let wait = self.node.expected_wait(&job.queue).unwrap_or(NO_ROOM);
+                        let wait = self
+                            .node
+                            .expected_wait(&job.queue)
+                            .unwrap_or(NO_ROOM_RETRY_DELAY);
                         let left = job.deadline.since(self.node.now());
                         failure =
-                            unavailable("not_run", why).with_retry_after(come_back(wait, left));
+                            unavailable("not_run", why).with_retry_after(retry_after(wait, left));
                     }
                 }
                 attempt::Outcome::Lost(why) => {
-                    self.note(&job, &chosen, "may have run", why);
+                    self.record_failed_attempt(&job, &chosen, "may have run", why);
                     may_have_run += 1;
                     failure = errors::Problem::new(StatusCode::BAD_GATEWAY, "lost", why)
                         .with_verdict(verdict::Verdict::MayHaveRun);
@@ -207,58 +212,58 @@
         Err(failure)
     }
 
-    /// Sends a request to one server, and hands its response on or says what is known instead.
+    /// Sends a request to one server. Returns the response for the caller, or the outcome of the failed attempt.
     async fn send(
         &self,
         job: &Arc<attempt::Job>,
         chosen: &node::Chosen,
-        sending: usize,
+        send_index: usize,
         may_have_run: u32,
     ) -> Result<Response<door::Body>, attempt::Outcome<P>> {
         log::info!(
-            request = job.call.id.as_str(), server = chosen.server.as_str(), sending = sending as u64,
+            request = job.call.id.as_str(), server = chosen.server.as_str(), sending = send_index as u64,
             organisation = job.organisation.as_deref().unwrap_or_default(), tokens = job.call.tokens.unwrap_or_default(),
             waited_ms = clock::millis(self.node.now().since(job.arrived));
             "request sent"
         );
-        let again = job.route.kind.is_retryable() && may_have_run + 1 < job.route.attempts;
-        let on_timeout = if again {
+        let can_retry = job.route.kind.is_retryable() && may_have_run + 1 < job.route.attempts;
+        let on_timeout = if can_retry {
             attempt::OnTimeout::Abandon
         } else {
             attempt::OnTimeout::KeepWaiting
         };
         match attempt::send(&self.node, job, chosen, job.call.last_event, on_timeout).await {
-            attempt::Outcome::Response(begun) => self.finish(job, *begun, may_have_run).await,
+            attempt::Outcome::Response(upstream) => self.finish(job, *upstream, may_have_run).await,
             other => Err(other),
         }
     }
 
-    /// Hands a response on, or says why another attempt is needed.
+    /// Converts a server's response into the one for the caller, or returns why another attempt is needed.
     async fn finish(
         &self,
         job: &Arc<attempt::Job>,
-        begun: attempt::Response<P>,
+        upstream: attempt::Response<P>,
         may_have_run: u32,
     ) -> Result<Response<door::Body>, attempt::Outcome<P>> {
-        let status = begun.head.status;
+        let status = upstream.head.status;
         if job.route.kind.is_stream() && status.is_success() {
-            self.answered(job, status, &begun.server);
-            return Ok(stream::answer(&self.node, Arc::clone(job), begun));
+            self.record_answer(job, status, &upstream.server);
+            return Ok(stream::forward(&self.node, Arc::clone(job), upstream));
         }
-        let server = begun.server.clone();
-        let (head, body) = attempt::collect(&self.node, job, begun).await?;
-        let again = job.route.kind.is_retryable() && may_have_run + 1 < job.route.attempts;
-        if status.is_server_error() && again {
+        let server = upstream.server.clone();
+        let (head, body) = attempt::collect(&self.node, job, upstream).await?;
+        let can_retry = job.route.kind.is_retryable() && may_have_run + 1 < job.route.attempts;
+        if status.is_server_error() && can_retry {
             return Err(attempt::Outcome::Lost("failed by the server"));
         }
-        self.answered(job, status, &server);
+        self.record_answer(job, status, &server);
         let mut response = Response::new(door::Body::whole(body));
         *response.status_mut() = head.status;
         *response.headers_mut() = backend::passed_on(&head.headers);
         Ok(response)
     }
 
-    fn answered(&self, job: &attempt::Job, status: StatusCode, server: &str) {
+    fn record_answer(&self, job: &attempt::Job, status: StatusCode, server: &str) {
         let took = self.node.now().since(job.arrived);
         self.node
             .metrics
@@ -271,7 +276,13 @@
         );
     }
 
-    fn note(&self, job: &attempt::Job, chosen: &node::Chosen, verdict: &str, why: &str) {
+    fn record_failed_attempt(
+        &self,
+        job: &attempt::Job,
+        chosen: &node::Chosen,
+        verdict: &str,
+        why: &str,
+    ) {
         self.node.metrics.count_failed_attempt(&job.route.name, why);
         log::info!(
             request = job.call.id.as_str(), server = chosen.server.as_str(), verdict = verdict, why = why,
@@ -281,7 +292,7 @@
         );
     }
 
-    /// An answer of this instance's own.
+    /// Logs and counts a refusal, and builds the response for it.
     fn refuse(
         &self,
         arrived: clock::Instant,
@@ -320,8 +331,8 @@
 ///
 /// # Errors
 ///
-/// The refusal, at once when it is known that there will be none in time.
-pub async fn find<P>(
+/// Returns the refusal for the caller, immediately if no server is expected to be available in time.
+pub async fn wait_for_server<P>(
     node: &Arc<node::Node<P>>,
     job: &attempt::Job,
     tried: &[SmolStr],
@@ -329,91 +340,95 @@
 where
     P: platform::Platform,
 {
-    let whole = job.deadline.since(job.arrived);
-    let patience = timeout::first_byte(&job.route, whole).mul_f64(PATIENCE_USED);
-    let patient_until = job.deadline.min(job.arrived.after(patience));
+    let total = job.deadline.since(job.arrived);
+    let queue_timeout = timeout::first_byte(&job.route, total).mul_f64(QUEUE_TIMEOUT_RATIO);
+    let queue_deadline = job.deadline.min(job.arrived.after(queue_timeout));
     let mut changed = node.changed.subscribe();
     let mut waiter = None;
     loop {
         let now = node.now();
         let left = job.deadline.since(now);
-        let give_up = node.stop_deadline().map_or(patient_until, |stops| {
-            patient_until.min(stops.before(LAST_REFUSAL))
+        let give_up_at = node.stop_deadline().map_or(queue_deadline, |stop| {
+            queue_deadline.min(stop.before(STOP_REFUSAL_MARGIN))
         });
         let query = node::Query {
             route: &job.route,
             queue: &job.queue,
             call: &job.call,
             tried,
-            left: give_up.since(now),
+            left: give_up_at.since(now),
         };
-        let look_again = match node.choose(query) {
+        let check_after = match node.choose(query) {
             node::Choice::Server(chosen) => return Ok(chosen),
             node::Choice::NoServer => {
                 let wait = if node.knows_servers() {
-                    NO_SERVER
+                    NO_SERVER_RETRY_DELAY
                 } else {
                     timeout::remaining_outage(now.since(node.started))
                 };
                 return Err(unavailable("no_server", "no server of the group is there")
-                    .with_retry_after(come_back(wait, left)));
+                    .with_retry_after(retry_after(wait, left)));
             }
-            node::Choice::NotLoaded(Some(expected)) if now.after(expected) > give_up => {
+            node::Choice::NotLoaded(Some(expected)) if now.after(expected) > give_up_at => {
                 return Err(unavailable("cold", "the model can't be loaded in time")
-                    .with_retry_after(come_back(expected, left)));
+                    .with_retry_after(retry_after(expected, left)));
             }
-            // It is told once, when it comes: those that wait already are ahead of what is expected now.
+            // Only a new arrival is refused: the forecast is for a request that arrives now, and requests that already
+            // wait are ahead of it.
             node::Choice::Full(Some(expected))
-                if waiter.is_none() && expected > timeout::max_queue_wait(give_up.since(now)) =>
+                if waiter.is_none()
+                    && expected > timeout::max_queue_wait(give_up_at.since(now)) =>
             {
                 return Err(
                     unavailable("crowded", "too many wait for engines of the model")
-                        .with_retry_after(come_back(expected, left)),
+                        .with_retry_after(retry_after(expected, left)),
                 );
             }
-            node::Choice::Limited(Some(turn))
-                if now.after(turn) > give_up && !may_spread(job, now) =>
+            node::Choice::Limited(Some(expected))
+                if now.after(expected) > give_up_at && !may_load_elsewhere(job, now) =>
             {
                 return Err(
                     unavailable("limited", "the servers take no more requests for now")
-                        .with_retry_after(come_back(turn, left)),
+                        .with_retry_after(retry_after(expected, left)),
                 );
             }
             node::Choice::Subscribing => {
-                // It doesn't count as waiting: the steward would load another copy for it.
+                // The request is not registered as waiting: the steward would load another replica for it.
                 tokio::select! {
                     _ = changed.changed() => {}
-                    () = time::sleep(LOOK_AGAIN) => {}
+                    () = time::sleep(ROOM_CHECK_INTERVAL) => {}
                 }
                 continue;
             }
-            node::Choice::NotLoaded(_) => give_up.since(now),
+            node::Choice::NotLoaded(_) => give_up_at.since(now),
             node::Choice::Full(_) | node::Choice::Limited(_) | node::Choice::Unreachable => {
-                LOOK_AGAIN
+                ROOM_CHECK_INTERVAL
             }
         };
-        if now >= give_up {
+        if now >= give_up_at {
             return Err(unavailable("no_room", "no server had room in time")
-                .with_retry_after(come_back(NO_ROOM, left)));
+                .with_retry_after(retry_after(NO_ROOM_RETRY_DELAY, left)));
         }
         if waiter.is_none() {
-            waiter = Some(node.register_waiting(&job.queue, job.arrived, give_up));
+            waiter = Some(node.register_waiting(&job.queue, job.arrived, give_up_at));
         }
-        let pause = look_again
-            .min(give_up.since(now))
+        let delay = check_after
+            .min(give_up_at.since(now))
             .max(Duration::from_millis(1));
         tokio::select! {
             _ = changed.changed() => {}
-            () = time::sleep(pause) => {}
+            () = time::sleep(delay) => {}
         }
     }
 }
 
-fn may_spread(job: &attempt::Job, now: clock::Instant) -> bool {
-    job.queue.model.is_some() && now.since(job.arrived) < SPREAD
+/// Returns whether a request should still wait for its model to be loaded on another engine.
+fn may_load_elsewhere(job: &attempt::Job, now: clock::Instant) -> bool {
+    job.queue.model.is_some() && now.since(job.arrived) < LOAD_ELSEWHERE_TIMEOUT
 }
 
-pub(super) fn come_back(wait: Duration, left: Duration) -> Duration {
+/// Returns the randomised delay after which a caller with `left` until its deadline should retry.
+pub(super) fn retry_after(wait: Duration, left: Duration) -> Duration {
     timeout::retry_after(wait, left, rand::random())
 }
 
@@ -421,8 +436,8 @@
     errors::Problem::new(StatusCode::SERVICE_UNAVAILABLE, code, message)
 }
 
-// Two parsers could read such a request in two ways, and one of them would take the end of its body for
-// another request.
+/// Refuses a request with ambiguous framing. Two parsers could read it differently, and one of them would take the end
+/// of its body for another request (request smuggling).
 fn check_framing(head: &Parts) -> Result<(), errors::Problem> {
     let lengths = head.headers.get_all(CONTENT_LENGTH).iter().count();
     let chunked = head.headers.contains_key(TRANSFER_ENCODING);
@@ -435,7 +450,11 @@
     Ok(())
 }
 
-fn queue(config: &config::Config, route: &config::Route, call: &platform::Call) -> node::QueueKey {
+fn queue_key(
+    config: &config::Config,
+    route: &config::Route,
+    call: &platform::Call,
+) -> node::QueueKey {
     let draw = xxh3::xxh3_64(call.id.as_bytes()) as f64 / u64::MAX as f64;
     let group = route.group(draw).cloned().unwrap_or_default();
     let engine = config
--- a/crates/fireflywheel_daemon/src/fleet/stream.rs
+++ b/crates/fireflywheel_daemon/src/fleet/stream.rs
@@ -1,4 +1,4 @@
-//! Handing events on as they come, and going on elsewhere after a break.
+//! Forwards streamed responses to callers, and resumes them on another server after a failure.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,59 +19,61 @@
 use super::{pool, relay};
 use crate::{backend, door};
 
-/// What a caller may leave unread before its stream has to wait, in bytes.
-const BUFFER: usize = 256 << 10;
-/// A stream may go on for this long past its route's time, so that one that is about to end does.
-const OVERTIME: Duration = Duration::from_millis(100);
-/// An event larger than this isn't one, in bytes.
-const EVENT_LIMIT: usize = 1 << 20;
-/// A stream that may go on elsewhere does so after this many of its route's longest pauses without an event.
-const PAUSES: u32 = 4;
-/// A stream is sent on this many times, counting servers that refused it unrun.
-const SENDINGS: usize = 3;
-/// The same where the route names no pause.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Bytes that a caller may leave unread before its stream is paused.
+const SEND_BUFFER_BYTES: usize = 256 << 10;
+/// How long a stream may continue past its route's timeout, so that one that is about to end can complete.
+const TIMEOUT_GRACE: Duration = Duration::from_millis(100);
+/// Maximum size of an event in bytes. Larger data is not a valid event.
+const MAX_EVENT_BYTES: usize = 1 << 20;
+/// Idle timeout of a resumable stream as a multiple of its route's longest gap between events. A stream that sends
+/// nothing for this long is resumed on another server.
+const IDLE_TIMEOUT_GAPS: u32 = 4;
+/// Maximum number of sends for one resumption, counting servers that refuse the request without running it.
+const MAX_RESUME_SENDS: usize = 3;
+/// Idle timeout of a resumable stream whose route sets no maximum event gap, and the minimum for all routes.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Answers with a stream that has begun.
-pub fn answer<P>(
+/// Returns the response for the caller and starts forwarding the body of `upstream` to it.
+pub fn forward<P>(
     node: &Arc<node::Node<P>>,
     job: Arc<attempt::Job>,
-    begun: attempt::Response<P>,
+    upstream: attempt::Response<P>,
 ) -> Response<door::Body>
 where
     P: platform::Platform,
 {
-    let (sender, body) = door::Body::stream(BUFFER);
+    let (sender, body) = door::Body::stream(SEND_BUFFER_BYTES);
     let mut response = Response::new(body);
-    *response.status_mut() = begun.head.status;
-    *response.headers_mut() = backend::passed_on(&begun.head.headers);
+    *response.status_mut() = upstream.head.status;
+    *response.headers_mut() = backend::passed_on(&upstream.head.headers);
     let resumable = job.route.kind == config::Kind::Resumable;
-    let pump = Pump {
+    let forwarder = Forwarder {
         node: Arc::clone(node),
         sender,
-        source: Source::new(begun),
+        source: Source::new(upstream),
         tried: Vec::new(),
         runs: 1,
         splitter: resumable.then(events::Splitter::default),
         job,
     };
-    tokio::spawn(pump.run());
+    tokio::spawn(forwarder.run());
     response
 }
 
-/// One run's response.
+/// The response of one run.
 struct Source<P>
 where
     P: platform::Platform,
 {
     body: Incoming,
     connection: pool::Connection,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
     server: SmolStr,
     _in_flight: node::InFlight<P>,
 }
 
-struct Pump<P>
+/// Forwards a stream to its caller, over as many runs as it takes.
+struct Forwarder<P>
 where
     P: platform::Platform,
 {
@@ -80,75 +82,75 @@
     sender: door::Sender,
     source: Source<P>,
     tried: Vec<SmolStr>,
-    /// Runs that have begun.
+    /// The number of runs that have started.
     runs: u32,
-    /// For streams that may go on elsewhere, which are handed on in whole events.
+    /// Splits a resumable stream into events, which are forwarded only as a whole; `None` for other streams.
     splitter: Option<events::Splitter>,
 }
 
-/// How a run's response ended.
+/// How the response of a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum End {
     Complete,
     Broken(&'static str),
-    /// Nothing came for long; it may still go on.
-    Silent,
-    /// The caller has left.
-    Left,
-    /// The route's or the caller's time is over.
-    Late,
+    /// No data arrived within the idle timeout; the run may still be in progress.
+    Idle,
+    /// The caller has disconnected.
+    CallerGone,
+    /// The route's timeout has passed.
+    TimedOut,
 }
 
 impl<P> Source<P>
 where
     P: platform::Platform,
 {
-    fn new(begun: attempt::Response<P>) -> Self {
+    fn new(upstream: attempt::Response<P>) -> Self {
         Self {
-            body: begun.body,
-            connection: begun.connection,
-            keep: begun.reply.keep_alive,
-            server: begun.server,
-            _in_flight: begun.in_flight,
+            body: upstream.body,
+            connection: upstream.connection,
+            keep_alive: upstream.reply.keep_alive,
+            server: upstream.server,
+            _in_flight: upstream.in_flight,
         }
     }
 }
 
-impl<P> Pump<P>
+impl<P> Forwarder<P>
 where
     P: platform::Platform,
 {
     async fn run(mut self) {
         loop {
-            let end = self.copy().await;
-            let verdict = match end {
+            let end = self.forward_run().await;
+            let outcome = match end {
                 End::Complete => node::ServerOutcome::Good,
-                End::Broken(_) | End::Silent => node::ServerOutcome::Failed,
-                End::Left | End::Late => break self.stop(end),
+                End::Broken(_) | End::Idle => node::ServerOutcome::Failed,
+                End::CallerGone | End::TimedOut => break self.abort(end),
             };
-            self.node.record_outcome(&self.source.server, verdict);
+            self.node.record_outcome(&self.source.server, outcome);
             if end == End::Complete {
                 let now = self.node.now();
                 self.log_complete();
                 self.node
                     .pool
-                    .keep(now, self.source.connection, self.source.keep);
+                    .keep(now, self.source.connection, self.source.keep_alive);
                 return;
             }
-            let source = if end == End::Silent {
-                // Ended without another server to go on at, a stream that would have gone on is lost.
-                let Some(chosen) = self.elsewhere() else {
+            let source = if end == End::Idle {
+                // Without another server, the run is kept: ending it would lose a stream that may still continue.
+                let Some(chosen) = self.find_alternative() else {
                     continue;
                 };
-                self.leave();
+                self.end_run();
                 self.send(chosen).await
             } else {
-                self.go_on().await
+                self.resume().await
             };
             let Some(source) = source else {
-                break self.stop(end);
+                break self.abort(end);
             };
-            // The one before is dropped here, which ends its run if it still goes on.
+            // Dropping the previous source ends its run if it is still in progress.
             self.source = source;
         }
     }
@@ -162,13 +164,14 @@
         );
     }
 
-    fn stop(self, end: End) {
+    /// Cuts the caller's stream off, and logs and counts the reason.
+    fn abort(self, end: End) {
         let why = match end {
             End::Complete => "complete",
             End::Broken(why) => why,
-            End::Silent => "silent",
-            End::Left => "the caller left",
-            End::Late => "out of time",
+            End::Idle => "silent",
+            End::CallerGone => "the caller left",
+            End::TimedOut => "out of time",
         };
         log::info!(
             request = self.job.call.id.as_str(), server = self.source.server.as_str(), why = why,
@@ -181,69 +184,71 @@
         self.sender.cut();
     }
 
-    /// Hands on until this run's response ends.
-    async fn copy(&mut self) -> End {
+    /// Forwards the response of the current run until it ends.
+    async fn forward_run(&mut self) -> End {
         loop {
             let now = self.node.now();
-            let left = self.end().since(now);
+            let left = self.cutoff().since(now);
             if left.is_zero() {
-                return End::Late;
+                return End::TimedOut;
             }
-            let silence = self
+            let idle_timeout = self
                 .splitter
                 .as_ref()
-                .map_or(left, |_| longest_silence(&self.job));
+                .map_or(left, |_| idle_timeout(&self.job));
             let frame = tokio::select! {
                 frame = self.source.body.frame() => frame,
-                () = self.sender.gone() => return End::Left,
-                () = time::sleep(left.min(silence)) => {
-                    if silence < left {
-                        return End::Silent;
+                () = self.sender.gone() => return End::CallerGone,
+                () = time::sleep(left.min(idle_timeout)) => {
+                    if idle_timeout < left {
+                        return End::Idle;
                     }
                     continue;
                 }
             };
             let bytes = match frame {
-                None if self.is_between_events() => return End::Complete,
+                None if self.is_at_boundary() => return End::Complete,
                 None => return End::Broken("ended within an event"),
                 Some(Err(_)) => return End::Broken("response broke off"),
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            match self.hand_on(bytes).await {
+            match self.forward(bytes).await {
                 Ok(()) => {}
                 Err(end) => return end,
             }
         }
     }
 
-    /// When a stream is cut that hasn't ended. A caller whose own time is over leaves by itself, and until then
-    /// each event is worth handing on.
-    fn end(&self) -> clock::Instant {
-        self.job.arrived.after(self.job.route.timeout + OVERTIME)
+    /// When a stream that hasn't ended is cut off. The caller's own deadline doesn't count: a caller disconnects by
+    /// itself when it passes, and until then each event is worth forwarding.
+    fn cutoff(&self) -> clock::Instant {
+        self.job
+            .arrived
+            .after(self.job.route.timeout + TIMEOUT_GRACE)
     }
 
-    async fn hand_on(&mut self, bytes: Bytes) -> Result<(), End> {
+    async fn forward(&mut self, bytes: Bytes) -> Result<(), End> {
         let Some(splitter) = &mut self.splitter else {
-            return self.sender.send(bytes).await.map_err(|_| End::Left);
+            return self.sender.send(bytes).await.map_err(|_| End::CallerGone);
         };
         splitter.push(&bytes);
-        if splitter.pending() > EVENT_LIMIT {
+        if splitter.pending() > MAX_EVENT_BYTES {
             return Err(End::Broken("an event too large"));
         }
         while let Some(event) = splitter.pop() {
-            self.sender.send(event).await.map_err(|_| End::Left)?;
+            self.sender.send(event).await.map_err(|_| End::CallerGone)?;
         }
         Ok(())
     }
 
-    fn is_between_events(&self) -> bool {
+    fn is_at_boundary(&self) -> bool {
         self.splitter
             .as_ref()
             .is_none_or(events::Splitter::is_at_boundary)
     }
 
-    /// A server at which a stream can go on at once.
-    fn elsewhere(&self) -> Option<node::Chosen> {
+    /// Returns another server that can resume the stream immediately.
+    fn find_alternative(&self) -> Option<node::Chosen> {
         if self.splitter.is_none() || self.runs >= self.job.route.attempts {
             return None;
         }
@@ -259,15 +264,15 @@
         };
         match self.node.choose(query) {
             node::Choice::Server(chosen) if !tried.contains(&chosen.server) => {
-                let may_repeat = self.node.try_retry(&job.queue.group);
-                may_repeat.then_some(chosen)
+                let may_retry = self.node.try_retry(&job.queue.group);
+                may_retry.then_some(chosen)
             }
             _ => None,
         }
     }
 
-    /// Ends this run, so that another can begin after the last event that was handed on.
-    fn leave(&mut self) {
+    /// Ends the current run, so that another can start after the last event that was forwarded.
+    fn end_run(&mut self) {
         self.tried.push(self.source.server.clone());
         if let Some(splitter) = &mut self.splitter {
             splitter.drop_partial();
@@ -275,47 +280,47 @@
         self.source.close();
     }
 
-    /// Another run in place of one that broke off.
-    async fn go_on(&mut self) -> Option<Source<P>> {
-        self.leave();
+    /// Starts another run in place of one that broke off.
+    async fn resume(&mut self) -> Option<Source<P>> {
+        self.end_run();
         if self.splitter.is_none() || self.runs >= self.job.route.attempts {
             return None;
         }
-        let chosen = self.find().await?;
+        let chosen = self.wait_for_server().await?;
         self.send(chosen).await
     }
 
-    /// Waits for a server at which to go on.
-    async fn find(&self) -> Option<node::Chosen> {
+    /// Waits for a server that can resume the stream.
+    async fn wait_for_server(&self) -> Option<node::Chosen> {
         let chosen = tokio::select! {
-            found = relay::find(&self.node, &self.job, &self.tried) => found.ok()?,
+            found = relay::wait_for_server(&self.node, &self.job, &self.tried) => found.ok()?,
             () = self.sender.gone() => return None,
         };
         self.node.try_retry(&self.job.queue.group).then_some(chosen)
     }
 
-    /// Goes on at a server, or at another one if that refuses unrun.
+    /// Resumes the stream at a server, or at another one if that refuses the request without running it.
     async fn send(&mut self, mut chosen: node::Chosen) -> Option<Source<P>> {
         let last = self.splitter.as_ref().and_then(events::Splitter::last);
         let last = last.or(self.job.call.last_event);
-        for _ in 0..SENDINGS {
+        for _ in 0..MAX_RESUME_SENDS {
             log::info!(
                 request = self.job.call.id.as_str(), server = chosen.server.as_str(),
                 before = self.source.server.as_str(), after_event = last.unwrap_or_default();
-                "stream goes on elsewhere"
+                "resuming stream on another server"
             );
             let outcome = tokio::select! {
                 outcome = attempt::send(&self.node, &self.job, &chosen, last, attempt::OnTimeout::KeepWaiting) => outcome,
                 () = self.sender.gone() => return None,
             };
             match outcome {
-                attempt::Outcome::Response(begun) if begun.head.status.is_success() => {
+                attempt::Outcome::Response(upstream) if upstream.head.status.is_success() => {
                     self.runs += 1;
-                    return Some(Source::new(*begun));
+                    return Some(Source::new(*upstream));
                 }
                 attempt::Outcome::NotRun(_) => {
                     self.tried.push(chosen.server);
-                    chosen = self.find().await?;
+                    chosen = self.wait_for_server().await?;
                 }
                 _ => return None,
             }
@@ -328,16 +333,16 @@
 where
     P: platform::Platform,
 {
-    /// Ends this run before another begins: two that go on at once would be two runs.
+    /// Ends this run before another starts, so that the request never runs twice at the same time.
     fn close(&mut self) {
         self.connection.close();
     }
 }
 
-fn longest_silence(job: &attempt::Job) -> Duration {
-    let pause = job
+fn idle_timeout(job: &attempt::Job) -> Duration {
+    let timeout = job
         .route
         .max_event_gap
-        .map_or(SILENCE, |pause| pause * PAUSES);
-    pause.max(SILENCE)
+        .map_or(MIN_IDLE_TIMEOUT, |gap| gap * IDLE_TIMEOUT_GAPS);
+    timeout.max(MIN_IDLE_TIMEOUT)
 }
--- a/crates/fireflywheel_daemon/src/fleet/watch.rs
+++ b/crates/fireflywheel_daemon/src/fleet/watch.rs
@@ -1,8 +1,9 @@
-//! Following the configuration and the directory of backend servers.
+//! Keeps the configuration and the directory of backend servers up to date.
 //!
-//! Each call to the store costs money. The configuration rarely changes, so one call waits for it; entries of
-//! servers change all the time, so they are read now and then, as often as a server that leaves must be obeyed.
-//! An instance with a link to the steward reads neither, as long as the steward's own reads are young: it is told.
+//! Each call to the store costs money. The configuration rarely changes, so it is read by long polling. Entries of
+//! servers change all the time, so the directory is read at intervals, which are short enough to take a leaving
+//! server out of use within the leaving deadline. An instance with a link to the steward reads neither as long as the
+//! steward's own reads are recent: the steward sends it the changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,28 +15,29 @@
 use super::node;
 use super::platform;
 
-/// Entries that lapsed while the store was away, or that an older copy doesn't have, are back within this time of its return.
-const LAPSED: Duration = Duration::from_millis(2300);
-/// The directory is read this many times while a server that leaves must be obeyed.
-const READS: u32 = 3;
-/// A read of the configuration waits this many times while a configuration must be in force: a store that is
-/// about to drop its history may not end the wait when there is news, and the next read must still be in time.
-const WAITS: u32 = 2;
-/// The same at the steward, whose reads stand for those of all others and must be young.
-const RELAY_WAITS: u32 = 4;
-/// Time between two parts of a large directory when an instance reads it for the first time.
-const PAGE_PAUSE: Duration = Duration::from_millis(400);
-/// Unused connections are looked for this often.
-const SWEEP: Duration = Duration::from_millis(250);
-
-/// Tells when a dependency is lost and regained, once each.
-struct Contact {
+/// Entries that expired while the store was unreachable, or that are missing because the store was restored from an
+/// older copy, are written again within this time after the store's return.
+const REREGISTRATION_TIMEOUT: Duration = Duration::from_millis(2300);
+/// Number of reads of the directory within the leaving deadline.
+const READS_PER_LEAVING_DEADLINE: u32 = 3;
+/// Number of long polls for the configuration that fit into the configuration deadline. A store that is about to drop
+/// its history may not end a poll when there is a change, and the next poll must still be in time.
+const POLLS_PER_CONFIG_DEADLINE: u32 = 2;
+/// The same for the steward, whose reads replace those of all other instances and must be recent.
+const STEWARD_POLLS_PER_CONFIG_DEADLINE: u32 = 4;
+/// Delay between two pages of a large directory when an instance reads it for the first time.
+const FIRST_READ_PAGE_DELAY: Duration = Duration::from_millis(400);
+/// Interval at which expired idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Tracks whether a dependency is reachable, and logs each loss and recovery once.
+struct Reachability {
     name: &'static str,
     lost: Option<clock::Instant>,
     regained: Option<clock::Instant>,
 }
 
-impl Contact {
+impl Reachability {
     fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -44,7 +46,7 @@
         }
     }
 
-    fn good(&mut self, now: clock::Instant) {
+    fn record_success(&mut self, now: clock::Instant) {
         if let Some(lost) = self.lost.take() {
             let away = clock::millis(now.since(lost));
             log::info!(dependency = self.name, away_ms = away; "dependency regained");
@@ -52,142 +54,148 @@
         }
     }
 
-    fn bad(&mut self, now: clock::Instant, why: &str) {
+    fn record_failure(&mut self, now: clock::Instant, why: &str) {
         if self.lost.is_none() {
             log::warn!(dependency = self.name, why = why; "dependency lost");
             self.lost = Some(now);
         }
     }
 
-    /// Whether it came back only a moment ago.
-    fn is_fresh(&self, now: clock::Instant) -> bool {
-        self.regained.is_some_and(|at| now.since(at) < LAPSED)
+    /// Returns whether the dependency became reachable again less than the re-registration timeout ago.
+    fn was_regained_recently(&self, now: clock::Instant) -> bool {
+        self.regained
+            .is_some_and(|at| now.since(at) < REREGISTRATION_TIMEOUT)
     }
 }
 
-/// Tells when the store came back from an older copy, whose entries the servers write again.
+/// Detects that the store was restored from an older copy, after which the servers write their entries again.
 #[derive(Default)]
-struct Restored {
+struct Restoration {
     era: Option<Era>,
     since: Option<clock::Instant>,
 }
 
-impl Restored {
-    fn read(&mut self, now: clock::Instant, era: Era) {
-        let before = self.era.replace(era);
-        if before.is_some_and(|before| before < era) {
+impl Restoration {
+    fn observe_era(&mut self, now: clock::Instant, era: Era) {
+        let previous = self.era.replace(era);
+        if previous.is_some_and(|previous| previous < era) {
             self.since = Some(now);
         }
     }
 
-    /// Whether it came back only a moment ago.
-    fn is_fresh(&self, now: clock::Instant) -> bool {
-        self.since.is_some_and(|since| now.since(since) < LAPSED)
+    /// Returns whether the store was restored less than the re-registration timeout ago.
+    fn is_recent(&self, now: clock::Instant) -> bool {
+        self.since
+            .is_some_and(|since| now.since(since) < REREGISTRATION_TIMEOUT)
     }
 }
 
-/// Follows the configuration for ever.
-pub async fn configuration<P>(node: Arc<node::Node<P>>)
+/// Keeps the configuration up to date. Never returns.
+pub async fn follow_config<P>(node: Arc<node::Node<P>>)
 where
     P: platform::Platform,
 {
     let mut cursor = P::ConfigCursor::default();
-    let mut contact = Contact::new("configuration");
+    let mut reachability = Reachability::new("configuration");
     loop {
-        let wait = until_needed(&node, true).await;
+        let wait = wait_until_read_needed(&node, true).await;
         node.wait_for_store().await;
         let wait = node.store_wait(wait);
-        let asked = node.now();
+        let read_started = node.now();
         let result = node.platform.configuration(&mut cursor, wait).await;
         node.record_store_call("configuration", result.is_ok());
         match result {
             Ok(config) => {
-                contact.good(node.now());
-                // The answer to a read that waited is as old as its end.
-                node.record_config_read(asked.after(wait).min(node.now()));
+                reachability.record_success(node.now());
+                // A long poll that found nothing new shows the state at the end of its wait.
+                node.record_config_read(read_started.after(wait).min(node.now()));
                 if let Some(config) = config {
                     node.apply_config(Arc::new(config), node::ConfigSource::Own);
                 }
             }
             Err(fault) => {
-                contact.bad(node.now(), &fault.to_string());
+                reachability.record_failure(node.now(), &fault.to_string());
                 node.config_read_failed();
             }
         }
     }
 }
 
-/// Follows the directory for ever.
-pub async fn directory<P>(node: Arc<node::Node<P>>)
+/// Keeps the directory up to date. Never returns.
+pub async fn follow_directory<P>(node: Arc<node::Node<P>>)
 where
     P: platform::Platform,
 {
     let mut cursor = P::DirectoryCursor::default();
-    let mut contact = Contact::new("directory");
+    let mut reachability = Reachability::new("directory");
     let mut first = true;
-    let mut restored = Restored::default();
-    let interval = node.settings.leaving_deadline / READS;
+    let mut restoration = Restoration::default();
+    let interval = node.settings.leaving_deadline / READS_PER_LEAVING_DEADLINE;
     loop {
-        let relayed = node.steward_reads_valid();
-        if relayed {
-            until_needed(&node, false).await;
+        let had_steward_reads = node.steward_reads_valid();
+        if had_steward_reads {
+            wait_until_read_needed(&node, false).await;
         }
-        // After a relayed span more was missed than there is, and a read that was ended has told of a part only. And a link may have told of entries that are older
-        // than what was read here: reads of changes would never say again that such a server is gone, and callers
-        // of its models would be sent there for good.
-        if node.take_entries_told() || relayed {
+        // The whole directory is read again in these cases. After a time of steward reads, the missed changes outnumber
+        // the entries, and a read that was cancelled has returned only a part. A link may have sent entries older
+        // than those read here: an incremental read would never report again that such a server is gone, and
+        // callers of its models would be sent there for good.
+        if node.take_entries_told() || had_steward_reads {
             cursor = P::DirectoryCursor::default();
         }
         node.wait_for_store().await;
         if node.steward_reads_valid() {
             continue;
         }
-        let asked = node.now();
-        // A whole directory of thousands of entries takes a slow link for seconds, and with it all that the steward tells.
+        let read_started = node.now();
+        // A whole directory of thousands of entries occupies a slow network connection for seconds and delays the
+        // steward's frames, so the read is cancelled once the steward's reads are valid.
         let result = tokio::select! {
-            result = node.platform.directory(&mut cursor, asked, || page_pause(&node, first)) => result,
-            () = until_relayed(&node) => continue,
+            result = node.platform.directory(&mut cursor, read_started, || page_delay(&node, first)) => result,
+            () = wait_for_steward_reads(&node) => continue,
         };
         node.record_store_call("directory", result.is_ok());
         let now = node.now();
         match result {
-            Ok(news) => {
-                contact.good(now);
+            Ok(update) => {
+                reachability.record_success(now);
                 first = false;
                 let era = node.platform.era().unwrap_or_default();
-                node.record_directory_read(asked, era);
-                restored.read(now, era);
-                let patience = if contact.is_fresh(now) || restored.is_fresh(now) {
-                    LAPSED
-                } else {
-                    Duration::ZERO
-                };
-                node.update_directory(news, patience);
-                time::sleep(interval.saturating_sub(now.since(asked))).await;
+                node.record_directory_read(read_started, era);
+                restoration.observe_era(now, era);
+                let missing_grace =
+                    if reachability.was_regained_recently(now) || restoration.is_recent(now) {
+                        REREGISTRATION_TIMEOUT
+                    } else {
+                        Duration::ZERO
+                    };
+                node.update_directory(update, missing_grace);
+                time::sleep(interval.saturating_sub(now.since(read_started))).await;
             }
             Err(fault) => {
-                contact.bad(now, &fault.to_string());
+                reachability.record_failure(now, &fault.to_string());
             }
         }
     }
 }
 
-/// Most instances have a link to the steward before they have read a second part of a large directory, and need it no more.
-/// If all went on at once, they would take up the links over which the steward is to be reached.
-fn page_pause<P>(node: &node::Node<P>, first: bool) -> Duration
+/// Returns the delay between two pages of the directory. On the first read, most instances have a link to the steward
+/// before they have read a second page and no longer need it. If all instances continued without a delay, they would
+/// saturate the network links over which they have to reach the steward.
+fn page_delay<P>(node: &node::Node<P>, first: bool) -> Duration
 where
     P: platform::Platform,
 {
-    // Later a server that leaves must be obeyed in time.
+    // Later reads must take a leaving server out of use within the leaving deadline.
     if !first || node.is_acting_steward() || node.is_standby() {
         Duration::ZERO
     } else {
-        PAGE_PAUSE
+        FIRST_READ_PAGE_DELAY
     }
 }
 
-/// Waits until the steward's reads stand for this instance's own.
-async fn until_relayed<P>(node: &node::Node<P>)
+/// Waits until the steward's reads replace this instance's own.
+async fn wait_for_steward_reads<P>(node: &node::Node<P>)
 where
     P: platform::Platform,
 {
@@ -199,46 +207,46 @@
     }
 }
 
-/// Waits as long as the steward's reads stand for this instance's own; with `config`, until it has heard of a
-/// configuration that this instance doesn't have. Returns how long the next read may wait for news.
-async fn until_needed<P>(node: &node::Node<P>, config: bool) -> Duration
+/// Waits while the steward's reads replace this instance's own. With `for_config`, the wait also ends when the steward
+/// knows of a newer configuration than this instance. Returns how long the next read may wait for a change.
+async fn wait_until_read_needed<P>(node: &node::Node<P>, for_config: bool) -> Duration
 where
     P: platform::Platform,
 {
     let mut changes = node.steward_reads.subscribe();
     loop {
-        let relayed = *changes.borrow_and_update();
+        let steward_reads = *changes.borrow_and_update();
         let now = node.now();
-        let left = relayed
+        let left = steward_reads
             .until
             .map_or(Duration::ZERO, |until| until.since(now));
         if left.is_zero() {
-            let waits = if node.is_acting_steward() {
-                RELAY_WAITS
+            let polls = if node.is_acting_steward() {
+                STEWARD_POLLS_PER_CONFIG_DEADLINE
             } else {
-                WAITS
+                POLLS_PER_CONFIG_DEADLINE
             };
-            let wait = node.settings.config_deadline / waits;
-            // A standby has to show at once whether the store answers it.
-            let shown = !node.is_standby() || node.config_age() < wait;
-            return if shown { wait } else { Duration::ZERO };
+            let wait = node.settings.config_deadline / polls;
+            // A standby must show without delay whether the store answers it.
+            let may_wait = !node.is_standby() || node.config_age() < wait;
+            return if may_wait { wait } else { Duration::ZERO };
         }
         let newest = node.config().map_or(0, |config| config.version);
-        if config && relayed.version > newest {
+        if for_config && steward_reads.version > newest {
             return Duration::ZERO;
         }
-        // Either way the state is looked at again.
+        // The state is checked again after a change as well as after the timeout.
         let _ = time::timeout(left, changes.changed()).await;
     }
 }
 
-/// Closes unused connections for ever.
-pub async fn sweep<P>(node: Arc<node::Node<P>>)
+/// Closes expired idle connections at an interval. Never returns.
+pub async fn sweep_connections<P>(node: Arc<node::Node<P>>)
 where
     P: platform::Platform,
 {
     loop {
-        time::sleep(SWEEP).await;
+        time::sleep(SWEEP_INTERVAL).await;
         node.pool.sweep(node.now());
     }
 }
