--- a/crates/fireflywheel/src/fleet/lease.rs
+++ b/crates/fireflywheel/src/fleet/lease.rs
@@ -1,21 +1,23 @@
-//! Who is steward, and for how long it may act.
+//! The steward's lease: which instance is steward, and how long it may act.
 //!
-//! The lease is one record that is only ever replaced under the condition that nothing was written since. The
-//! holder writes it again before its term ends. Anyone else may write its own name once it has watched a
-//! whole term go by without a change; clocks of two instances are never compared.
+//! The lease is one record in the store, written by compare-and-set on the end of its log. The holder
+//! renews it before its term ends. Any other instance may take it over once it has observed the record
+//! unchanged for a whole term on its own clock; the clocks of two instances are never compared.
 //!
-//! Where engines refuse the orders of an earlier holder, the lease only keeps two holders from undoing each
-//! other's work; no harm can come of a holder that is replaced without knowing it. There it goes on past its
-//! term while the store can't be reached: nobody can take over through a store that is away, and all models
-//! that aren't in memory would otherwise stay where they are for as long.
+//! If engines check fencing numbers, they refuse orders of an earlier holder. The lease then only keeps two
+//! holders from undoing each other's work, and a holder that has been replaced without knowing it does no
+//! harm. Such a holder continues past its term while the store is unreachable: nobody can take over through
+//! an unreachable store, and without a steward every model that is not in memory would stay unloaded for
+//! the whole outage.
 //!
-//! A store that comes back from an older copy may have lost the record. A record counts in the era in which it was written only. The
-//! holder that acts when it learns of the new era writes the record again, and sends no orders until that is done; if it has
-//! died, another instance takes over after a term.
+//! A store that is restored from an older copy may have lost the record. A record is valid only in the era
+//! in which it was written. An active holder that learns of a new era writes the record again and sends no
+//! orders until that write succeeds. If the holder has died, another instance takes over after a term.
 //!
-//! The holder names a few strong instances as standbys. Only these watch for the end of its term at once; the others
-//! leave them some time before they try too. If all tried, a takeover in a fleet of 136 would cost 800 calls to the
-//! store, and the weakest might win and be too slow for so many links.
+//! The holder designates a few strong instances as standbys. Standbys take over as soon as the term has
+//! lapsed; all other instances wait longer before they try. If all of them tried at once, a takeover in a
+//! fleet of 136 instances would cost 800 calls to the store, and the instance that won might be too weak to
+//! serve that many links.
 
 use std::time::Duration;
 
@@ -25,60 +27,62 @@
 use super::era::{Era, Position};
 use crate::clock;
 
-/// A take-over leaves room for this many hand-overs, as a power of two. The number of a take-over is its record's
-/// place and so above all numbers before; each hand-over adds one.
+/// Fencing numbers between two takeovers, as a power of two. The number of a takeover derives from the
+/// position of its record, so it is above all earlier numbers; each hand-over adds one.
 const HAND_OVER_BITS: u32 = 10;
 
-/// Offsets of one era, as a power of two: several thousand millions.
+/// Offsets of one era, as a power of two: more than eight billion.
 const OFFSET_BITS: u32 = 33;
 
-/// Eras beyond this have the number of this one.
-const MOST_ERAS: u64 = (1 << (u64::BITS - OFFSET_BITS - HAND_OVER_BITS)) - 1;
+/// The highest era that fencing numbers distinguish; later eras share its numbers.
+const MAX_FENCING_ERA: u64 = (1 << (u64::BITS - OFFSET_BITS - HAND_OVER_BITS)) - 1;
 
-/// Instances that aren't standbys leave standbys this part of a term to take a lapsed lease.
-const STANDBY_SHARE: f64 = 0.5;
+/// How much longer than a term instances that are not standbys wait before a takeover, as a share of the
+/// term.
+const STANDBY_WINDOW_RATIO: f64 = 0.5;
 
-/// What stands in the lease's record.
+/// The lease's record in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// The holder's name.
+    /// The holder's instance name.
     pub instance: SmolStr,
-    /// Tells two processes of one name apart.
+    /// Distinguishes processes that run under the same instance name.
     pub incarnation: u64,
-    /// Where the holder's peers reach it.
+    /// The address at which peers reach the holder.
     pub address: SmolStr,
-    /// The number of the holder's take-over; absent in the take-over's own record.
+    /// The holder's fencing number; absent from the record of the takeover itself, whose position
+    /// determines it.
     pub fencing: Option<u64>,
-    /// The holder gives the lease up.
+    /// The holder has released the lease.
     pub released: bool,
-    /// The era in which it was written; none in records of releases that knew of no eras.
+    /// The era in which the record was written; `None` in records of versions that do not know eras.
     #[serde(default)]
     pub era: Option<Era>,
 }
 
 impl Record {
-    /// The holder's number, if the record has this offset.
-    fn number(&self, offset: u64) -> u64 {
+    /// The holder's fencing number, given the offset of the record.
+    fn fencing_at(&self, offset: u64) -> u64 {
         let era = self.era.unwrap_or_default();
         self.fencing
-            .unwrap_or_else(|| first_number(Position { era, offset }))
+            .unwrap_or_else(|| takeover_fencing(Position { era, offset }))
     }
 }
 
-/// The newest record, as read.
+/// The result of reading the lease's record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Reading {
-    /// The record and its offset; none if it was never written.
+    /// The newest record and its offset; `None` if the lease was never written.
     pub record: Option<(u64, Record)>,
-    /// The place that the next record will have.
+    /// The position that the next record will have.
     pub end: Position,
 }
 
 impl Reading {
-    /// The record without those of earlier eras, which say nothing of who holds the lease now.
+    /// The reading without a record of an earlier era, which does not show who holds the lease now.
     fn current(self) -> Self {
         let era = self.end.era;
-        let is_current = |record: &Record| record.era.is_none_or(|written| written == era);
+        let is_current = |record: &Record| record.era.is_none_or(|record_era| record_era == era);
         Self {
             record: self.record.filter(|(_, record)| is_current(record)),
             ..self
@@ -86,19 +90,21 @@
     }
 }
 
-/// Times of the lease.
+/// Durations that govern the lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// How long a holder may act after it sent its last successful renewal.
+    /// How long a holder may act, counted from when it sent its last successful renewal.
     pub term: Duration,
-    /// The holder stops this much before its term ends, for orders that are on their way.
+    /// How long before the end of its term the holder stops acting, so that orders in transit arrive within
+    /// the term.
     pub margin: Duration,
-    /// The holder renews this long after its last renewal.
+    /// How long after its last renewal the holder renews again.
     pub renewal: Duration,
 }
 
 impl Options {
-    /// Times for a term: renewed three times in each, and not used in its last sixth.
+    /// Options for a term: the lease is renewed three times per term, and the last sixth of the term is the
+    /// margin.
     #[must_use]
     pub fn new(term: Duration) -> Self {
         Self {
@@ -109,85 +115,88 @@
     }
 }
 
-/// One instance's part in the lease.
+/// One instance's state of the lease protocol.
 #[derive(Clone, Debug)]
 pub struct Lease {
     options: Options,
-    me: Record,
-    /// Engines refuse orders of an earlier holder.
+    own_record: Record,
+    /// Engines check fencing numbers and refuse orders of an earlier holder.
     fenced: bool,
-    /// The whole system starts for the first time.
+    /// The system starts for the first time, so a missing record means that nobody holds the lease.
     first_start: bool,
-    watched: Option<Watched>,
-    held: Option<Held>,
-    /// Whether the last holder that was heard named this instance a standby; none if none was heard.
+    observation: Option<Observation>,
+    held: Option<Tenure>,
+    /// Whether the last holder that sent its standbys designated this instance as one; `None` if there were
+    /// none.
     standby: Option<bool>,
-    /// The highest number under which this instance handed the lease over or lost it with an era.
-    given_up: Option<u64>,
-    /// The store's era; none before anything was heard of the store.
+    /// The highest fencing number that this instance has handed over or lost to a new era.
+    max_ceded_fencing: Option<u64>,
+    /// The store's era; `None` until this instance has learned of one.
     era: Option<Era>,
-    /// The store came back from an older copy while this instance ran.
-    came_back: bool,
+    /// The store was restored from an older copy while this instance ran.
+    store_restored: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Watched {
-    /// None until the record was read in this era.
+struct Observation {
+    /// The end of the record's log; `None` until it was read in the current era.
     end: Option<Position>,
     since: clock::Instant,
     holder: Option<Record>,
-    /// The holder was told of by others and isn't the one in the record.
-    told: bool,
+    /// The holder was reported by another instance and is not the one in the record.
+    is_reported: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Tenure {
     fencing: u64,
     end: Position,
-    /// The era in which the lease was written or handed over: it counts in no other.
+    /// The era in which the lease was written or handed over; it is not valid in any other.
     era: Era,
-    /// When the last renewal that was accepted was sent.
-    sent: Option<clock::Instant>,
-    /// When the last renewal that had no answer was sent.
-    unanswered: Option<clock::Instant>,
-    /// Until then it may be written again in a new era.
-    rewritable: Option<clock::Instant>,
-    /// It is known that nobody else held it when this instance got it.
-    certain: bool,
-    /// The holder that handed it over, until this one has renewed it.
-    from: Option<Predecessor>,
+    /// When the last successful renewal was sent.
+    renewed_at: Option<clock::Instant>,
+    /// When the last unanswered renewal was sent.
+    unanswered_at: Option<clock::Instant>,
+    /// The deadline for writing the record again in a new era.
+    rewrite_deadline: Option<clock::Instant>,
+    /// It is certain that nobody else held the lease when this instance got it.
+    is_certain: bool,
+    /// The holder that handed the lease over; `None` once this instance has renewed it.
+    predecessor: Option<Predecessor>,
 }
 
-/// A process that handed the lease over.
+/// A process that has handed the lease over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Predecessor {
     fencing: u64,
     incarnation: u64,
 }
 
-/// What a holder hands to its successor, without the store.
+/// A transfer of the lease from its holder to a successor, without the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HandOver {
-    /// The successor's number.
+    /// The successor's fencing number.
     pub fencing: u64,
-    /// The end of the lease's record.
+    /// The end of the log of the lease's record.
     pub end: Position,
-    /// The process that hands over. Another one of the same instance may have gone on with its number since.
+    /// The process that hands over. Another process of the same instance may have continued with its number
+    /// since.
     #[serde(default)]
     pub incarnation: u64,
 }
 
-impl Held {
-    fn is_due(&self, now: clock::Instant, renewal: Duration) -> bool {
-        self.sent.is_none_or(|sent| now >= sent.after(renewal))
+impl Tenure {
+    fn is_renewal_due(&self, now: clock::Instant, renewal: Duration) -> bool {
+        self.renewed_at
+            .is_none_or(|sent| now >= sent.after(renewal))
     }
 }
 
 impl Lease {
-    /// An instance that knows nothing of the lease yet.
+    /// Creates the state of an instance that knows nothing of the lease yet.
     #[must_use]
     pub fn new(options: Options, instance: SmolStr, incarnation: u64, address: SmolStr) -> Self {
-        let me = Record {
+        let own_record = Record {
             instance,
             incarnation,
             address,
@@ -197,83 +206,87 @@
         };
         Self {
             options,
-            me,
+            own_record,
             fenced: false,
             first_start: true,
-            watched: None,
+            observation: None,
             held: None,
             standby: None,
-            given_up: None,
+            max_ceded_fencing: None,
             era: None,
-            came_back: false,
+            store_restored: false,
         }
     }
 
-    /// The same; with `fenced`, engines refuse orders of an earlier holder. Then a lease that was given up is
-    /// free at once, though orders may still be on their way, and a holder whose renewals have no answer goes on.
+    /// Sets whether engines check fencing numbers. If they do, a released lease is free at once although
+    /// orders may still be in transit, and a holder whose renewals are unanswered continues.
     #[must_use]
     pub fn with_fenced(mut self, fenced: bool) -> Self {
         self.fenced = fenced;
         self
     }
 
-    /// The same; without `first_start`, a lease that was never written isn't free at once: its record may be lost.
+    /// Sets whether this is the first start of the system. If it is not, a lease without a record is not
+    /// free at once, because the record may have been lost.
     #[must_use]
     pub fn with_first_start(mut self, first_start: bool) -> Self {
         self.first_start = first_start;
         self
     }
 
-    /// The store is in this era at `now`. Returns whether it came back from an older copy.
+    /// Records that the store is in `era` at `now`. Returns whether the store was restored from an older
+    /// copy.
     ///
-    /// A holder whose term isn't over knows that nobody has taken the lease before the new era, and that nobody does before the end of
-    /// that term. Any other can't know: a record of a later holder may be among what is lost.
+    /// A holder within its term knows that nobody took the lease before the new era, and that nobody will
+    /// before that term ends. Any other instance cannot know: the record of a later holder may be among the
+    /// lost ones.
     pub fn enter_era(&mut self, now: clock::Instant, era: Era) -> bool {
-        self.give_up_resting(now);
-        let before = self.era;
-        if before.is_some_and(|before| before >= era) {
+        self.drop_unrewritten(now);
+        let previous = self.era;
+        if previous.is_some_and(|previous| previous >= era) {
             return false;
         }
-        let acts = self.fencing(now).is_some();
+        let was_active = self.fencing(now).is_some();
         self.era = Some(era);
-        if before.is_none() && self.held.is_none() {
+        if previous.is_none() && self.held.is_none() {
             return false;
         }
-        self.came_back = true;
-        let span = self.options.term - self.options.margin;
+        self.store_restored = true;
+        let usable_term = self.options.term - self.options.margin;
         self.held = match self.held.take() {
-            Some(held) if acts => Some(Held {
-                sent: None,
-                unanswered: None,
-                rewritable: held.sent.map(|sent| sent.after(span)),
+            Some(held) if was_active => Some(Tenure {
+                renewed_at: None,
+                unanswered_at: None,
+                rewrite_deadline: held.renewed_at.map(|sent| sent.after(usable_term)),
                 ..held
             }),
             Some(held) => {
-                self.given_up = self.given_up.max(Some(held.fencing));
+                self.max_ceded_fencing = self.max_ceded_fencing.max(Some(held.fencing));
                 None
             }
             None => None,
         };
-        self.watched = self.watched.take().map(|watched| Watched {
+        self.observation = self.observation.take().map(|observation| Observation {
             end: None,
             since: now,
-            holder: watched.holder,
-            told: true,
+            holder: observation.holder,
+            is_reported: true,
         });
         true
     }
 
-    /// A holder that couldn't write its record again in time has the lease no more. Where engines check numbers, it may go on trying.
-    fn give_up_resting(&mut self, now: clock::Instant) {
+    /// Drops the lease if its record could not be written again in the new era before the deadline. If
+    /// engines check fencing numbers, the holder may keep trying.
+    fn drop_unrewritten(&mut self, now: clock::Instant) {
         let (era, fenced) = (self.era, self.fenced);
-        let in_time = |until: clock::Instant| now < until;
-        let over = self.held.take_if(|held| {
-            !fenced && era != Some(held.era) && !held.rewritable.is_some_and(in_time)
+        let is_open = |deadline: clock::Instant| now < deadline;
+        let expired = self.held.take_if(|held| {
+            !fenced && era != Some(held.era) && !held.rewrite_deadline.is_some_and(is_open)
         });
-        self.given_up = self.given_up.max(over.map(|held| held.fencing));
+        self.max_ceded_fencing = self.max_ceded_fencing.max(expired.map(|held| held.fencing));
     }
 
-    /// Takes in a reading that was asked for at `asked`.
+    /// Processes a reading that was requested at `asked`.
     pub fn observe(&mut self, asked: clock::Instant, reading: Reading) {
         let era = reading.end.era;
         if self.era.is_some_and(|known| era < known) {
@@ -281,427 +294,460 @@
         }
         self.enter_era(asked, era);
         let reading = reading.current();
-        let mine = reading
+        let own_fencing = reading
             .record
             .as_ref()
-            .filter(|(_, record)| self.is_mine(record) && !record.released)
-            .map(|(offset, record)| record.number(*offset));
-        // Until its successor has renewed the record, that still names this instance. Believed, two would act.
-        if let Some(fencing) = mine.filter(|number| !self.has_given_up(*number)) {
-            // A write of ours whose answer was lost. It gives no time to act: only a renewal does.
-            let before = self.held.filter(|held| held.fencing == fencing);
-            self.held = Some(Held {
+            .filter(|(_, record)| self.is_own(record) && !record.released)
+            .map(|(offset, record)| record.fencing_at(*offset));
+        // After a hand-over the record still names this instance until the successor has renewed it. If
+        // this instance took that record as its own, two instances would act.
+        if let Some(fencing) = own_fencing.filter(|fencing| !self.is_ceded(*fencing)) {
+            // An own write whose answer was lost. It gives no time to act; only a renewal does.
+            let previous = self.held.filter(|held| held.fencing == fencing);
+            self.held = Some(Tenure {
                 fencing,
                 end: reading.end,
-                era: before.map_or(era, |held| held.era),
-                sent: before.and_then(|held| held.sent),
-                unanswered: before.and_then(|held| held.unanswered),
-                rewritable: before.and_then(|held| held.rewritable),
-                certain: before.is_some_and(|held| held.certain),
-                from: None,
+                era: previous.map_or(era, |held| held.era),
+                renewed_at: previous.and_then(|held| held.renewed_at),
+                unanswered_at: previous.and_then(|held| held.unanswered_at),
+                rewrite_deadline: previous.and_then(|held| held.rewrite_deadline),
+                is_certain: previous.is_some_and(|held| held.is_certain),
+                predecessor: None,
             });
             return;
         }
         if let Some(held) = self.held.filter(|held| held.end.era < era)
             && reading.record.is_none()
         {
-            // Its record is among what is lost, and nobody has written one since.
-            self.held = Some(Held {
+            // The record of this holder was lost, and nobody has written one since.
+            self.held = Some(Tenure {
                 end: reading.end,
                 ..held
             });
             return;
         }
-        if let Some(held) = self.left_behind(&reading) {
+        if let Some(held) = self.previous_process_tenure(&reading) {
             self.held = Some(held);
             return;
         }
-        if self.is_from(&reading) {
-            // Handed over, and not renewed yet: the record is still the predecessor's. A renewal of it may have come after the
-            // hand-over, so the end may be another.
-            self.held = self.held.map(|held| Held {
+        if self.is_from_predecessor(&reading) {
+            // The lease was handed over and is not renewed yet, so the record is still the predecessor's.
+            // The predecessor may have renewed it after the hand-over, so the end may have changed.
+            self.held = self.held.map(|held| Tenure {
                 end: reading.end,
                 ..held
             });
             return;
         }
         self.held = None;
-        let before = self.watched.take();
-        // Until somebody has written the record again, who held it before is the best that is known.
-        let told = before
+        let previous = self.observation.take();
+        // Until a record is written in this era, the previous holder is the best information available.
+        let previous_holder = previous
             .as_ref()
-            .filter(|watched| watched.end.is_none())
-            .and_then(|watched| watched.holder.clone());
-        let unchanged = before.filter(|watched| watched.end == Some(reading.end));
+            .filter(|observation| observation.end.is_none())
+            .and_then(|observation| observation.holder.clone());
+        let unchanged = previous.filter(|observation| observation.end == Some(reading.end));
         let record = reading.record.map(|(_, record)| record);
-        self.watched = Some(match unchanged {
-            // The record says less than what was told since it was written.
-            Some(watched) if watched.told => watched,
-            Some(watched) => Watched {
+        self.observation = Some(match unchanged {
+            // The report is newer than the record.
+            Some(observation) if observation.is_reported => observation,
+            Some(observation) => Observation {
                 holder: record,
-                ..watched
+                ..observation
             },
-            None => Watched {
+            None => Observation {
                 end: Some(reading.end),
                 since: asked,
-                told: record.is_none() && told.is_some(),
-                holder: record.or(told),
+                is_reported: record.is_none() && previous_holder.is_some(),
+                holder: record.or(previous_holder),
             },
         });
     }
 
-    /// Whether the record is of the holder that handed the lease over to this instance.
-    fn is_from(&self, reading: &Reading) -> bool {
+    /// Whether the record was written by the holder that handed the lease over to this instance.
+    fn is_from_predecessor(&self, reading: &Reading) -> bool {
         let Some(held) = self.held else {
             return false;
         };
-        let from = reading
+        let writer = reading
             .record
             .as_ref()
             .filter(|(_, record)| !record.released)
             .map(|(offset, record)| Predecessor {
-                fencing: record.number(*offset),
+                fencing: record.fencing_at(*offset),
                 incarnation: record.incarnation,
             });
-        held.end == reading.end || (held.from.is_some() && held.from == from)
+        held.end == reading.end || (held.predecessor.is_some() && held.predecessor == writer)
     }
 
-    /// The lease that an earlier process of this instance held when it ended, and that nobody has taken since.
+    /// The lease that an earlier process of this instance held when it ended and that nobody has taken
+    /// since.
     ///
-    /// Engines that don't check numbers must never see a lower one after a higher, and an order of the process that
-    /// ended may still be on its way. So this one goes on with the same number, once it has renewed the record: to an
-    /// engine both are one holder. If every instance is killed, the term would otherwise pass without any order, and
-    /// callers of cold models would wait that long.
-    fn left_behind(&self, reading: &Reading) -> Option<Held> {
+    /// Engines that do not check fencing numbers must never see a lower number after a higher one, and an
+    /// order of the ended process may still be in transit. This process therefore continues with the same
+    /// number once it has renewed the record: to an engine both are one holder. Otherwise, if every
+    /// instance is killed, no orders would be sent for a whole term, and callers of unloaded models would
+    /// wait that long.
+    fn previous_process_tenure(&self, reading: &Reading) -> Option<Tenure> {
         let (offset, record) = reading.record.as_ref()?;
-        let same_place = record.instance == self.me.instance && record.address == self.me.address;
-        if !same_place || record.released || self.is_mine(record) || self.fenced {
+        let same_address = record.instance == self.own_record.instance
+            && record.address == self.own_record.address;
+        if !same_address || record.released || self.is_own(record) || self.fenced {
             return None;
         }
-        if self.has_given_up(record.number(*offset)) {
+        if self.is_ceded(record.fencing_at(*offset)) {
             return None;
         }
-        Some(Held {
-            fencing: record.number(*offset),
+        Some(Tenure {
+            fencing: record.fencing_at(*offset),
             end: reading.end,
             era: reading.end.era,
-            sent: None,
-            unanswered: None,
-            rewritable: None,
-            certain: true,
-            from: None,
+            renewed_at: None,
+            unanswered_at: None,
+            rewrite_deadline: None,
+            is_certain: true,
+            predecessor: None,
         })
     }
 
-    /// The holder told this instance that its record ends at `end`. A later reading with the same end shows
-    /// that it hasn't renewed since, so the term is counted from here and not only from that reading.
+    /// Processes the end of the record as reported by the holder. A later reading with the same end shows
+    /// that the holder has not renewed since, so the term is counted from this report and not from that
+    /// reading.
     pub fn observe_end(&mut self, now: clock::Instant, end: Position) {
         if self.held.is_some() || self.era.is_some_and(|known| end.era < known) {
             return;
         }
         self.enter_era(now, end.era);
         if self
-            .watched
+            .observation
             .as_ref()
-            .is_some_and(|watched| watched.end == Some(end))
+            .is_some_and(|observation| observation.end == Some(end))
         {
             return;
         }
-        self.watched = Some(Watched {
+        self.observation = Some(Observation {
             end: Some(end),
             since: now,
-            holder: self.watched.take().and_then(|watched| watched.holder),
-            told: false,
+            holder: self
+                .observation
+                .take()
+                .and_then(|observation| observation.holder),
+            is_reported: false,
         });
     }
 
-    /// Whether this instance must read the record before it can renew it: it is in another era.
+    /// Whether this instance must read the record before it can renew it, because its copy is from another
+    /// era.
     #[must_use]
     pub fn needs_read(&self) -> bool {
         self.held.is_some_and(|held| self.era != Some(held.end.era))
     }
 
-    /// The end of the record that this instance holds.
+    /// The end of the log of the record that this instance holds.
     #[must_use]
     pub fn end(&self) -> Option<Position> {
         Some(self.held?.end)
     }
 
-    /// The holder that was seen last, if it isn't this instance and hasn't given up.
+    /// The last known holder, unless it is this instance or has released the lease.
     #[must_use]
     pub fn holder(&self) -> Option<&Record> {
-        let holder = self.watched.as_ref()?.holder.as_ref()?;
-        let is_other = self.held.is_none() && !holder.released && !self.is_mine(holder);
+        let holder = self.observation.as_ref()?.holder.as_ref()?;
+        let is_other = self.held.is_none() && !holder.released && !self.is_own(holder);
         is_other.then_some(holder)
     }
 
-    /// The record to write, and the end that it must be written at, if it is time for a take-over or renewal.
+    /// The record to write and the end to write it at, if a takeover or renewal is due.
     #[must_use]
     pub fn proposal(&self, now: clock::Instant) -> Option<(Position, Record)> {
         if let Some(held) = self.held {
             let record = Record {
                 fencing: Some(held.fencing),
-                ..self.written()
+                ..self.current_record()
             };
-            let read = self.era == Some(held.end.era);
-            let in_time = held.rewritable.is_some_and(|until| now < until);
-            if self.era != Some(held.era) && !in_time && !self.fenced {
+            let is_end_current = self.era == Some(held.end.era);
+            let may_rewrite = held.rewrite_deadline.is_some_and(|deadline| now < deadline);
+            if self.era != Some(held.era) && !may_rewrite && !self.fenced {
                 return None;
             }
-            return (read && held.is_due(now, self.options.renewal)).then_some((held.end, record));
+            return (is_end_current && held.is_renewal_due(now, self.options.renewal))
+                .then_some((held.end, record));
         }
-        let watched = self.watched.as_ref()?;
-        let end = watched.end.filter(|end| self.era == Some(end.era))?;
-        let first = self.first_start && !self.came_back;
-        let never_written = first && watched.holder.is_none() && end.offset == 0;
-        let released = watched
+        let observation = self.observation.as_ref()?;
+        let end = observation.end.filter(|end| self.era == Some(end.era))?;
+        let is_first_start = self.first_start && !self.store_restored;
+        let never_written = is_first_start && observation.holder.is_none() && end.offset == 0;
+        let released = observation
             .holder
             .as_ref()
             .is_some_and(|holder| holder.released);
-        let lapsed = now >= watched.since.after(self.lapse());
-        (never_written || lapsed || (released && self.fenced)).then(|| (end, self.written()))
+        let lapsed = now >= observation.since.after(self.takeover_delay());
+        (never_written || lapsed || (released && self.fenced)).then(|| (end, self.current_record()))
     }
 
-    /// This instance's record, written now.
-    fn written(&self) -> Record {
+    /// This instance's record in the current era.
+    fn current_record(&self) -> Record {
         Record {
             era: self.era,
-            ..self.me.clone()
+            ..self.own_record.clone()
         }
     }
 
-    /// A proposal was accepted at a place; it had been sent at `sent`. A renewal that is accepted after the lease was handed
-    /// over gives nothing back: two would act. One that was meant for an earlier era met an offset that was given out again.
-    pub fn accepted(&mut self, sent: clock::Instant, place: Position, record: &Record) {
+    /// Processes the successful write of a proposal that was sent at `sent`. A renewal that succeeds after
+    /// the lease was handed over does not return the lease, or two instances would act. A renewal that was
+    /// meant for an earlier era matched an offset that was assigned again, and does not count.
+    pub fn accepted(&mut self, sent: clock::Instant, position: Position, record: &Record) {
         let held = self.held.map(|held| held.fencing);
         if record.fencing.is_some() && record.fencing != held {
             return;
         }
-        if record.era != Some(place.era) || self.era != Some(place.era) {
+        if record.era != Some(position.era) || self.era != Some(position.era) {
             return;
         }
-        let fencing = held.unwrap_or_else(|| first_number(place));
-        self.held = Some(Held {
+        let fencing = held.unwrap_or_else(|| takeover_fencing(position));
+        self.held = Some(Tenure {
             fencing,
-            end: place.next(),
-            era: place.era,
-            sent: Some(sent),
-            unanswered: None,
-            rewritable: None,
-            certain: true,
-            from: None,
+            end: position.next(),
+            era: position.era,
+            renewed_at: Some(sent),
+            unanswered_at: None,
+            rewrite_deadline: None,
+            is_certain: true,
+            predecessor: None,
         });
     }
 
-    /// Somebody else wrote since the end that a proposal was for. Where that may be a late renewal of the holder that handed
-    /// the lease over, the record has to tell; in another era the end says nothing.
+    /// Processes a proposal that was refused because another record was written at its end. If that may be
+    /// a late renewal by the predecessor that handed the lease over, only a reading of the record can tell,
+    /// so the lease is kept. In another era the end says nothing.
     pub fn refused(&mut self, end: Position) {
         if self.era != Some(end.era) {
             return;
         }
-        if self.held.is_none_or(|held| held.from.is_none()) {
+        if self.held.is_none_or(|held| held.predecessor.is_none()) {
             self.lost();
         }
     }
 
-    /// A proposal that was sent at `sent` had no answer, or none that says whether somebody else wrote.
+    /// Processes a proposal that was sent at `sent` and had no answer, or an answer that does not say
+    /// whether another instance wrote.
     pub fn unanswered(&mut self, sent: clock::Instant) {
         if let Some(held) = &mut self.held {
-            held.unanswered = Some(sent);
+            held.unanswered_at = Some(sent);
         }
     }
 
-    /// Somebody else holds it, or a server has taken orders of a later holder.
+    /// Drops the lease: another instance holds it, or a server has accepted orders of a later holder.
     pub fn lost(&mut self) {
         self.held = None;
-        self.watched = None;
+        self.observation = None;
     }
 
-    /// The number for orders, while they may be sent.
+    /// The fencing number for orders; `None` while this instance may not send any.
     #[must_use]
     pub fn fencing(&self, now: clock::Instant) -> Option<u64> {
         let held = self.held.filter(|held| self.era == Some(held.era))?;
-        let span = self.options.term - self.options.margin;
-        let renewed = held.sent.is_some_and(|sent| now < sent.after(span));
-        // A process that stood still has tried nothing meanwhile, and must try before it goes on.
-        let tried = held.unanswered;
-        let tried = tried.is_some_and(|tried| now < tried.after(self.options.term));
-        (renewed || (self.fenced && held.certain && tried)).then_some(held.fencing)
-    }
-
-    /// Gives the lease at `now` to a successor that is reached without the store. This instance has it no more, unless it isn't
-    /// certain that it had it, or has it in another era.
+        let usable_term = self.options.term - self.options.margin;
+        let is_renewed = held
+            .renewed_at
+            .is_some_and(|sent| now < sent.after(usable_term));
+        // A process that was suspended has not tried to renew meanwhile, and must try before it continues.
+        let unanswered = held.unanswered_at;
+        let has_tried = unanswered.is_some_and(|sent| now < sent.after(self.options.term));
+        (is_renewed || (self.fenced && held.is_certain && has_tried)).then_some(held.fencing)
+    }
+
+    /// Hands the lease over to a successor at `now`, without the store. This instance then no longer holds
+    /// it. Returns `None` and changes nothing if it is not certain that this instance held the lease, or if
+    /// the lease is from another era.
     pub fn hand_over(&mut self, now: clock::Instant, successor: Record) -> Option<HandOver> {
         let era = self.era;
         let held = self
             .held
-            .take_if(|held| held.certain && era == Some(held.era))?;
-        self.given_up = Some(held.fencing);
-        self.watched = Some(Watched {
+            .take_if(|held| held.is_certain && era == Some(held.era))?;
+        self.max_ceded_fencing = Some(held.fencing);
+        self.observation = Some(Observation {
             end: Some(held.end),
             since: now,
             holder: Some(successor),
-            told: true,
+            is_reported: true,
         });
         Some(HandOver {
             fencing: held.fencing + 1,
             end: held.end,
-            incarnation: self.me.incarnation,
+            incarnation: self.own_record.incarnation,
         })
     }
 
-    /// Takes the lease from its holder. Where engines take orders of anyone, it may be used only once it is
-    /// renewed: how much of the holder's term is left can't be told across clocks. There a lease that was handed over in an earlier
-    /// era is nobody's: others may have taken it before the store came back.
-    pub fn receive(&mut self, now: clock::Instant, given: HandOver) {
-        self.enter_era(now, given.end.era);
-        if !self.fenced && self.era != Some(given.end.era) {
+    /// Accepts a hand-over of the lease. If engines do not check fencing numbers, the lease may be used
+    /// only once it is renewed, because the rest of the holder's term cannot be compared across clocks. In
+    /// that case a lease handed over in an earlier era is void: others may have taken it before the store
+    /// was restored.
+    pub fn receive(&mut self, now: clock::Instant, hand_over: HandOver) {
+        self.enter_era(now, hand_over.end.era);
+        if !self.fenced && self.era != Some(hand_over.end.era) {
             return;
         }
-        self.held = Some(Held {
-            fencing: given.fencing,
-            end: given.end,
-            era: given.end.era,
-            sent: None,
-            unanswered: Some(now),
-            rewritable: None,
-            certain: true,
-            from: Some(Predecessor {
-                fencing: given.fencing - 1,
-                incarnation: given.incarnation,
+        self.held = Some(Tenure {
+            fencing: hand_over.fencing,
+            end: hand_over.end,
+            era: hand_over.end.era,
+            renewed_at: None,
+            unanswered_at: Some(now),
+            rewrite_deadline: None,
+            is_certain: true,
+            predecessor: Some(Predecessor {
+                fencing: hand_over.fencing - 1,
+                incarnation: hand_over.incarnation,
             }),
         });
     }
 
-    /// A process of another incarnation answers at the address of the one that was seen as holder, which has
-    /// therefore ended. Where engines refuse orders of an earlier holder, the lease is free at once: only orders
-    /// that it sent before may still be on their way.
+    /// Records that the process last seen as holder has ended, since a process of another incarnation
+    /// answers at its address. If engines check fencing numbers, the lease is free at once: only orders
+    /// that the holder sent before may still be in transit.
     pub fn holder_ended(&mut self, incarnation: u64) {
-        let Some(watched) = &mut self.watched else {
+        let Some(observation) = &mut self.observation else {
             return;
         };
-        let holder = watched.holder.as_mut();
+        let holder = observation.holder.as_mut();
         if let Some(holder) = holder.filter(|holder| holder.incarnation == incarnation) {
             holder.released = true;
-            watched.told = true;
+            observation.is_reported = true;
         }
     }
 
-    /// Another instance acts and its record ends at `end`. Where engines check numbers, this one may have gone on past its term while the
-    /// store turned it away; a later end shows that the other one took over. Returns whether it did.
+    /// Processes a report that another instance acts as steward and that its record ends at `end`. If
+    /// engines check fencing numbers, this holder may have continued past its term while the store refused
+    /// its calls; a later end shows that the other instance took over. Returns whether it did.
     pub fn overtaken(&mut self, now: clock::Instant, end: Position, holder: Record) -> bool {
-        let later = |held: &Held| held.end.era == end.era && held.end.offset < end.offset;
-        if !self.held.as_ref().is_some_and(later) {
+        let is_later = |held: &Tenure| held.end.era == end.era && held.end.offset < end.offset;
+        if !self.held.as_ref().is_some_and(is_later) {
             return false;
         }
         self.held = None;
-        self.watched = Some(Watched {
+        self.observation = Some(Observation {
             end: Some(end),
             since: now,
             holder: Some(holder),
-            told: true,
+            is_reported: true,
         });
         true
     }
 
-    /// The holder says who has the lease now.
+    /// Processes the holder's announcement of the new holder.
     pub fn holder_moved(&mut self, now: clock::Instant, holder: Record) {
         if self.held.is_some() {
             return;
         }
-        let end = self.watched.as_ref().and_then(|watched| watched.end);
-        self.watched = Some(Watched {
+        let end = self
+            .observation
+            .as_ref()
+            .and_then(|observation| observation.end);
+        self.observation = Some(Observation {
             end,
             since: now,
             holder: Some(holder),
-            told: true,
+            is_reported: true,
         });
     }
 
-    /// Another instance has a link to this holder. It says nothing of the record, so the term is counted as before.
+    /// Processes a report that another instance has a link to this holder. The report says nothing of the
+    /// record, so the term is counted as before.
     pub fn redirect(&mut self, now: clock::Instant, holder: Record) {
         if self.held.is_some() {
             return;
         }
-        let before = self.watched.take();
-        self.watched = Some(Watched {
-            end: before.as_ref().and_then(|watched| watched.end),
-            since: before.as_ref().map_or(now, |watched| watched.since),
+        let previous = self.observation.take();
+        self.observation = Some(Observation {
+            end: previous.as_ref().and_then(|observation| observation.end),
+            since: previous
+                .as_ref()
+                .map_or(now, |observation| observation.since),
             holder: Some(holder),
-            told: true,
+            is_reported: true,
         });
     }
 
-    /// The holder names its standbys. One that has just begun has none yet, to whom the lease could be left.
+    /// Processes the holder's list of standbys. A holder that has just started has none yet, so there are
+    /// no standbys to wait for.
     pub fn set_standbys(&mut self, standbys: &[Record]) {
-        let is_standby = standbys.iter().any(|standby| self.is_mine(standby));
+        let is_standby = standbys.iter().any(|standby| self.is_own(standby));
         self.standby = (!standbys.is_empty()).then_some(is_standby);
     }
 
-    /// Whether the last holder that was heard named this instance a standby; none if none was heard.
+    /// Whether the last holder that sent its standbys designated this instance as one; `None` if there were
+    /// none.
     #[must_use]
     pub fn is_standby(&self) -> Option<bool> {
         self.standby
     }
 
-    /// Whether the lease is left to others for now, so that there is no use in reading it.
+    /// Whether this instance leaves the takeover to standbys for now, so that it need not read the record.
     #[must_use]
     pub fn defers_to_standbys(&self, now: clock::Instant) -> bool {
-        let watched = self.watched.as_ref();
+        let observation = self.observation.as_ref();
         self.held.is_none()
             && self.standby == Some(false)
-            && watched.is_some_and(|watched| now < watched.since.after(self.lapse()))
+            && observation
+                .is_some_and(|observation| now < observation.since.after(self.takeover_delay()))
     }
 
-    /// After so long without a change of the record this instance may take the lease.
-    fn lapse(&self) -> Duration {
+    /// How long the record must stay unchanged before this instance may take the lease over.
+    fn takeover_delay(&self) -> Duration {
         let term = self.options.term;
         match self.standby {
-            Some(false) => term.mul_f64(1.0 + STANDBY_SHARE),
+            Some(false) => term.mul_f64(1.0 + STANDBY_WINDOW_RATIO),
             Some(true) | None => term,
         }
     }
 
-    /// This instance's name in the record.
+    /// This instance's record as the holder.
     #[must_use]
     pub fn own_record(&self) -> &Record {
-        &self.me
+        &self.own_record
     }
 
-    /// The record that gives the lease up, and the end that it must be written at.
+    /// The record that releases the lease, and the end to write it at.
     #[must_use]
     pub fn release(&self) -> Option<(Position, Record)> {
         let held = self.held?;
         let record = Record {
             fencing: Some(held.fencing),
             released: true,
-            ..self.written()
+            ..self.current_record()
         };
         Some((held.end, record))
     }
 
-    /// How long until there is something to do; none while this instance must first read.
+    /// How long until the next action is due; `None` while this instance must read the record first.
     #[must_use]
     pub fn due(&self, now: clock::Instant) -> Option<Duration> {
-        let at = match (self.held, &self.watched) {
-            (Some(held), _) => held.sent.unwrap_or_default().after(self.options.renewal),
-            (None, Some(watched)) => watched.since.after(self.lapse()),
+        let at = match (self.held, &self.observation) {
+            (Some(held), _) => held
+                .renewed_at
+                .unwrap_or_default()
+                .after(self.options.renewal),
+            (None, Some(observation)) => observation.since.after(self.takeover_delay()),
             (None, None) => return None,
         };
         Some(at.since(now))
     }
 
-    fn has_given_up(&self, number: u64) -> bool {
-        self.given_up.is_some_and(|given_up| number <= given_up)
+    fn is_ceded(&self, fencing: u64) -> bool {
+        self.max_ceded_fencing
+            .is_some_and(|max_ceded_fencing| fencing <= max_ceded_fencing)
     }
 
-    fn is_mine(&self, record: &Record) -> bool {
-        record.instance == self.me.instance && record.incarnation == self.me.incarnation
+    fn is_own(&self, record: &Record) -> bool {
+        record.instance == self.own_record.instance
+            && record.incarnation == self.own_record.incarnation
     }
 }
 
-/// The number of a take-over: above those of all earlier eras, and above those of all earlier offsets of its own.
-fn first_number(place: Position) -> u64 {
-    let era = place.era.0.min(MOST_ERAS);
-    (era << OFFSET_BITS | place.offset) << HAND_OVER_BITS
+/// The fencing number of a takeover: above those of all earlier eras and of all earlier offsets of its own
+/// era.
+fn takeover_fencing(position: Position) -> u64 {
+    let era = position.era.0.min(MAX_FENCING_ERA);
+    (era << OFFSET_BITS | position.offset) << HAND_OVER_BITS
 }
--- a/crates/fireflywheel/tests/fleet/lease.rs
+++ b/crates/fireflywheel/tests/fleet/lease.rs
@@ -1,4 +1,5 @@
-//! Who is steward: two must never both believe it while engines take the orders of either.
+//! Tests of the lease: two instances must never both consider themselves steward while engines take the
+//! orders of either.
 
 mod eras;
 mod rig;
@@ -9,7 +10,7 @@
 use crate::cases;
 use rig::{ADDRESS, Log, act, at, held, lease, restarted};
 
-fn first_instance_takes_it_at_once() {
+fn first_instance_takes_lease_at_once() {
     let mut log = Log::default();
     let lease = held("a", false, &mut log, 10);
     assert_eq!(lease.fencing(at(10)), Some(0));
@@ -30,12 +31,15 @@
     let mut second = lease("b", false);
     second.observe(at(0), log.read());
     first.unanswered(at(1000));
-    let stops = (0..10_000).find(|now| first.fencing(at(*now)).is_none());
-    let starts = (0..10_000).find(|now| second.proposal(at(*now)).is_some());
-    assert!(stops < starts, "{stops:?} {starts:?}");
+    let stopped_at = (0..10_000).find(|now| first.fencing(at(*now)).is_none());
+    let started_at = (0..10_000).find(|now| second.proposal(at(*now)).is_some());
+    assert!(
+        stopped_at < started_at,
+        "holder stops at {stopped_at:?}, other instance starts at {started_at:?}"
+    );
 }
 
-fn fenced_holder_goes_on_while_the_store_is_away() {
+fn fenced_holder_continues_while_store_is_unreachable() {
     let mut log = Log::default();
     let mut lease = held("a", true, &mut log, 0);
     for now in (1000..30_000).step_by(1000) {
@@ -44,14 +48,14 @@
     }
 }
 
-fn thawed_holder_tries_before_it_goes_on() {
+fn resumed_holder_renews_before_it_acts() {
     let mut log = Log::default();
     let mut lease = held("a", true, &mut log, 0);
     lease.unanswered(at(1000));
     assert_eq!(lease.fencing(at(8000)), None);
 }
 
-fn fenced_holder_stops_when_another_wrote() {
+fn fenced_holder_stops_after_refused_renewal() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
@@ -63,7 +67,7 @@
     assert_eq!(first.fencing(at(3500)), None);
 }
 
-fn released_lease_is_free_at_once_where_engines_check() {
+fn released_lease_is_free_at_once_if_fenced() {
     for fenced in [true, false] {
         let mut log = Log::default();
         let first = held("a", fenced, &mut log, 0);
@@ -76,11 +80,11 @@
     }
 }
 
-fn lost_answer_of_a_take_over_is_recognised() {
+fn takeover_with_lost_answer_is_recognised() {
     let mut log = Log::default();
     let mut lease = lease("a", false);
     lease.observe(at(0), log.read());
-    let (end, record) = lease.proposal(at(0)).expect("it is free");
+    let (end, record) = lease.proposal(at(0)).expect("the lease is free");
     log.write(end, record);
     lease.unanswered(at(0));
     lease.observe(at(500), log.read());
@@ -93,53 +97,57 @@
     assert_eq!(lease.fencing(at(600)), Some(0));
 }
 
-fn restarted_instance_goes_on_with_its_old_number() {
+fn restarted_instance_keeps_its_number() {
     let mut log = Log::default();
     let mut other = held("b", false, &mut log, 0);
     other.lost();
     let mut before = lease("a", false);
     before.observe(at(0), log.read());
     act(&mut before, &mut log, 3000);
-    let number = before.fencing(at(3000));
+    let fencing = before.fencing(at(3000));
     drop(before);
     let mut after = restarted("a", 2, ADDRESS);
     after.observe(at(3100), log.read());
-    assert_eq!(after.fencing(at(3100)), None, "another may have taken it");
+    assert_eq!(
+        after.fencing(at(3100)),
+        None,
+        "another instance may have taken the lease"
+    );
     act(&mut after, &mut log, 3100);
-    assert_eq!(after.fencing(at(3100)), number);
+    assert_eq!(after.fencing(at(3100)), fencing);
 }
 
-fn restarted_instance_finds_another_holder() {
+fn restarted_instance_yields_to_new_holder() {
     let mut log = Log::default();
     let _before = held("a", false, &mut log, 0);
-    let read = log.read();
+    let stale_reading = log.read();
     let mut other = lease("b", false);
     other.observe(at(0), log.read());
     act(&mut other, &mut log, 3000);
     let mut after = restarted("a", 2, ADDRESS);
-    after.observe(at(3100), read);
+    after.observe(at(3100), stale_reading);
     act(&mut after, &mut log, 3100);
     assert_eq!(after.fencing(at(3100)), None);
 }
 
-fn standbys_go_first() {
+fn standbys_take_over_first() {
     let mut log = Log::default();
     let _dead = held("a", false, &mut log, 0);
     let [mut standby, mut other] = ["b", "c"].map(|name| lease(name, false));
-    let named = [standby.own_record().clone()];
+    let standbys = [standby.own_record().clone()];
     for lease in [&mut standby, &mut other] {
         lease.observe(at(0), log.read());
-        lease.set_standbys(&named);
+        lease.set_standbys(&standbys);
     }
-    let tries = |lease: &Lease| (0..20_000).find(|now| lease.proposal(at(*now)).is_some());
-    assert_eq!(tries(&standby), Some(3000));
-    assert_eq!(tries(&other), Some(4500));
+    let first_proposal = |lease: &Lease| (0..20_000).find(|now| lease.proposal(at(*now)).is_some());
+    assert_eq!(first_proposal(&standby), Some(3000));
+    assert_eq!(first_proposal(&other), Some(4500));
     assert!(!standby.defers_to_standbys(at(100)));
     assert!(other.defers_to_standbys(at(4499)));
     assert!(!other.defers_to_standbys(at(4500)));
 }
 
-fn gossip_leaves_the_term_as_it_is() {
+fn redirect_does_not_restart_term() {
     let mut log = Log::default();
     let dead = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
@@ -151,7 +159,7 @@
     assert!(second.proposal(at(3000)).is_some());
 }
 
-fn instance_at_another_address_waits() {
+fn instance_at_another_address_waits_a_term() {
     let mut log = Log::default();
     let _before = held("a", false, &mut log, 0);
     let mut after = restarted("a", 2, "10.0.0.9:1");
@@ -160,7 +168,7 @@
     assert!(after.proposal(at(3100)).is_some());
 }
 
-fn steward_s_word_of_the_record_s_end_starts_the_term() {
+fn reported_end_starts_the_term() {
     let mut log = Log::default();
     let mut first = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
@@ -173,8 +181,8 @@
     assert!(second.proposal(at(4010)).is_some());
 }
 
-/// Several instances act, stand still, lose answers and are killed in any order. At most one of them may believe
-/// that it holds the lease, and numbers never fall.
+/// Several instances act, are suspended, lose answers and are killed in any order. At most one of them may
+/// consider itself the holder, and fencing numbers never decrease.
 fn any_order_leaves_one_holder() {
     arbtest(|u| {
         let mut log = Log::default();
@@ -183,29 +191,29 @@
         let (mut now, mut highest, mut incarnation) = (0, None, 1);
         for _ in 0..60 {
             now += u.int_in_range(0..=1500)?;
-            let place = u.choose_index(leases.len())?;
-            let lease = &mut leases[place];
+            let index = u.choose_index(leases.len())?;
+            let lease = &mut leases[index];
             match u.int_in_range(0..=7)? {
                 6 => {
                     let other = restarted(names[u.choose_index(3)?], 1, ADDRESS);
                     lease.redirect(at(now), other.own_record().clone());
                 }
                 7 => {
-                    let named = u.arbitrary()?;
+                    let is_standby = u.arbitrary()?;
                     let standbys: Vec<Record> = Some(lease.own_record().clone())
-                        .filter(|_| named)
+                        .filter(|_| is_standby)
                         .into_iter()
                         .collect();
                     lease.set_standbys(&standbys);
                 }
                 5 => {
                     incarnation += 1;
-                    *lease = restarted(names[place], incarnation, ADDRESS);
+                    *lease = restarted(names[index], incarnation, ADDRESS);
                 }
                 0 => lease.observe(at(now), log.read()),
                 1 => {
                     if let Some((end, record)) = lease.proposal(at(now)) {
-                        // Done, but the answer is lost.
+                        // The write succeeds, but its answer is lost.
                         log.write(end, record);
                         lease.unanswered(at(now));
                         lease.observe(at(now), log.read());
@@ -214,31 +222,31 @@
                 2 => lease.observe_end(at(now), log.end()),
                 _ => act(lease, &mut log, now),
             }
-            let holders: Vec<u64> = leases
+            let active: Vec<u64> = leases
                 .iter()
                 .filter_map(|lease| lease.fencing(at(now)))
                 .collect();
-            assert!(holders.len() <= 1, "{holders:?} at {now}");
-            if let Some(number) = holders.first() {
-                assert!(highest.is_none_or(|highest| highest <= *number));
-                highest = Some(*number);
+            assert!(active.len() <= 1, "{active:?} at {now}");
+            if let Some(fencing) = active.first() {
+                assert!(highest.is_none_or(|highest| highest <= *fencing));
+                highest = Some(*fencing);
             }
         }
         Ok(())
     });
 }
 
-/// The store turns the holder away, which goes on past its term, and another takes over.
-fn holder_that_hears_of_a_later_one() {
+/// The store refuses the holder, which continues past its term, and another instance takes over.
+fn overtaken_holder_stops() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
     second.observe(at(0), log.read());
-    let before = log.end();
+    let earlier_end = log.end();
     act(&mut second, &mut log, 3000);
     first.unanswered(at(3000));
     assert!(first.fencing(at(3100)).is_some());
-    assert!(!first.overtaken(at(3100), before, second.own_record().clone()));
+    assert!(!first.overtaken(at(3100), earlier_end, second.own_record().clone()));
     assert!(first.overtaken(at(3200), log.end(), second.own_record().clone()));
     assert_eq!(first.fencing(at(3200)), None);
     let holder = first.holder().map(|holder| holder.instance.as_str());
@@ -249,30 +257,33 @@
     lease("b", true).own_record().clone()
 }
 
-/// The store turns the successor away, so the record names the first one for long.
-fn first_holder_reads_its_own_record() {
+/// The store refuses the successor, so the record names the first holder for a long time.
+fn own_record_after_hand_over_is_not_held() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
-    let given = first.hand_over(at(100), successor()).expect("it holds it");
+    let hand_over = first.hand_over(at(100), successor()).expect("it holds it");
     for now in [150, 1000, 2000] {
         first.observe(at(now), log.read());
         assert_eq!(first.fencing(at(now)), None);
         assert_eq!(
             first.proposal(at(now)),
             None,
-            "it would renew what it gave up"
+            "it would renew the lease that it handed over"
         );
         let holder = first.holder().map(|holder| holder.instance.as_str());
         assert_eq!(holder, Some("b"));
     }
     first.observe(at(3000), log.read());
     act(&mut first, &mut log, 3200);
-    let number = first.fencing(at(3200));
-    assert!(number > Some(given.fencing), "{number:?} after {given:?}");
+    let fencing = first.fencing(at(3200));
+    assert!(
+        fencing > Some(hand_over.fencing),
+        "{fencing:?} after {hand_over:?}"
+    );
 }
 
-/// A renewal is on its way while the lease is handed over, and is carried out after that.
-fn renewal_after_hand_over() {
+/// A renewal is in transit while the lease is handed over, and takes effect after the hand-over.
+fn late_renewal_does_not_undo_hand_over() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let (end, renewal) = first.proposal(at(1500)).expect("a renewal is due");
@@ -283,8 +294,8 @@
     );
     let offset = log.write(end, renewal.clone()).expect("nobody else wrote");
     first.accepted(at(1500), offset, &renewal);
-    assert_eq!(first.fencing(at(1520)), None, "it gave the lease up");
-    // The end of the record that it was given isn't its end any more.
+    assert_eq!(first.fencing(at(1520)), None, "it handed the lease over");
+    // The late renewal has moved the end that came with the hand-over.
     act(&mut second, &mut log, 1530);
     assert_eq!(second.fencing(at(1530)), Some(1));
     second.observe(at(1540), log.read());
@@ -292,8 +303,9 @@
     assert_eq!(second.fencing(at(3500)), Some(1));
 }
 
-/// All were killed. The steward's process is back first, takes the lease again, and has no standbys yet.
-fn nobody_to_leave_it_to() {
+/// All processes were killed. The steward's process restarts first, takes the lease again, and has no
+/// standbys yet.
+fn instance_without_standbys_does_not_wait() {
     let mut log = Log::default();
     let first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
@@ -304,8 +316,8 @@
     assert!(second.defers_to_standbys(at(30)));
 }
 
-/// It is given the lease back, under a number of its own.
-fn first_holder_is_given_it_back() {
+/// The successor hands the lease back, under a new number.
+fn lease_is_handed_back() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
@@ -323,14 +335,14 @@
     assert_eq!(first.fencing(at(1100)), Some(2));
 }
 
-fn successor_goes_on_with_a_higher_number() {
+fn successor_has_a_higher_number() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
-    let given = first.hand_over(at(1), successor()).expect("it holds it");
+    let hand_over = first.hand_over(at(1), successor()).expect("it holds it");
     assert_eq!(first.fencing(at(1)), None);
     assert_eq!(first.proposal(at(1)), None);
     let mut second = lease("b", true);
-    second.receive(at(10), given);
+    second.receive(at(10), hand_over);
     assert_eq!(second.fencing(at(10)), Some(1));
     act(&mut second, &mut log, 20);
     assert_eq!(second.fencing(at(2000)), Some(1));
@@ -339,37 +351,37 @@
     act(&mut third, &mut log, 6000);
     assert!(
         third.fencing(at(6000)) > Some(1),
-        "a take-over is above every hand-over before"
+        "the number of a takeover is above those of all earlier hand-overs"
     );
 }
 
 fn unfenced_successor_renews_first() {
     let mut log = Log::default();
-    let given = held("a", false, &mut log, 0)
+    let hand_over = held("a", false, &mut log, 0)
         .hand_over(at(0), successor())
         .expect("it holds it");
     let mut second = lease("b", false);
-    second.receive(at(10), given);
+    second.receive(at(10), hand_over);
     assert_eq!(second.fencing(at(10)), None);
     act(&mut second, &mut log, 20);
     assert_eq!(second.fencing(at(20)), Some(1));
 }
 
-fn successor_that_comes_too_late_finds_another() {
+fn late_successor_yields_to_new_holder() {
     let mut log = Log::default();
-    let given = held("a", false, &mut log, 0)
+    let hand_over = held("a", false, &mut log, 0)
         .hand_over(at(0), successor())
         .expect("it holds it");
     let mut other = lease("c", false);
     other.observe(at(0), log.read());
     act(&mut other, &mut log, 3000);
     let mut second = lease("b", false);
-    second.receive(at(3500), given);
+    second.receive(at(3500), hand_over);
     act(&mut second, &mut log, 3500);
     assert_eq!(second.fencing(at(3500)), None);
 }
 
-fn readings_do_not_undo_what_was_told() {
+fn reading_does_not_undo_hand_over() {
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
@@ -399,7 +411,7 @@
     );
 }
 
-fn ended_process_stays_ended() {
+fn reading_does_not_undo_holder_end() {
     let mut log = Log::default();
     let _dead = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
@@ -410,7 +422,7 @@
     assert_eq!(second.holder(), None);
 }
 
-fn lease_of_an_ended_process_is_free_where_engines_check() {
+fn lease_of_ended_process_is_free_if_fenced() {
     for fenced in [true, false] {
         let mut log = Log::default();
         let _dead = held("a", fenced, &mut log, 0);
@@ -428,66 +440,79 @@
 }
 
 cases! {
-    /// A steward hands over, and its successor and the others read the record before the successor has renewed it.
-    /// Were the old holder believed again, nobody would be steward for a whole term.
-    reading_after_hand_over => readings_do_not_undo_what_was_told();
-    /// The store turns the successor away, and the one before reads its own name in the record. Acting on it, both would order.
-    own_record_after_hand_over => first_holder_reads_its_own_record();
-    /// The store is slow, and the holder hands over while it renews. Both would act, and then neither until the term is over.
-    renewal_on_its_way => renewal_after_hand_over();
-    /// All instances would wait for one and a half terms for standbys that there aren't.
-    no_standbys => nobody_to_leave_it_to();
-    /// An instance that gave the lease up is given it back.
-    given_back => first_holder_is_given_it_back();
-    /// The same after a process was seen to have ended.
-    reading_after_an_end => ended_process_stays_ended();
-    /// All processes were killed and are back, and the lease names one of before. If they waited a term, cold
-    /// models would stay cold for as long after each such end.
-    ended_process => lease_of_an_ended_process_is_free_where_engines_check();
-    /// A planned stop hands the lease over while the store is away.
-    hand_over => successor_goes_on_with_a_higher_number();
-    /// The same where engines take orders of anyone: the holder's term may be nearly over.
+    /// A steward hands over, and its successor and the others read the record before the successor has
+    /// renewed it. If they took the old holder for the current one, there would be no steward for a whole
+    /// term.
+    reading_after_hand_over => reading_does_not_undo_hand_over();
+    /// The store refuses the successor, and the previous holder reads its own name in the record. If it
+    /// acted on that, both would send orders.
+    own_record_after_hand_over => own_record_after_hand_over_is_not_held();
+    /// The store is slow, and the holder hands over while a renewal is in transit. Both would act, and then
+    /// neither until the term is over.
+    renewal_in_transit => late_renewal_does_not_undo_hand_over();
+    /// Without standbys, all instances would wait one and a half terms for nobody.
+    no_standbys => instance_without_standbys_does_not_wait();
+    /// An instance that handed the lease over gets it back.
+    handed_back => lease_is_handed_back();
+    /// A reading of the record must not undo the report that its holder's process has ended.
+    reading_after_holder_end => reading_does_not_undo_holder_end();
+    /// All processes were killed and restarted, and the lease names one of the ended processes. If the new
+    /// ones waited a term, unloaded models would stay unloaded that long after each such stop.
+    ended_process => lease_of_ended_process_is_free_if_fenced();
+    /// A planned stop hands the lease over while the store is unreachable.
+    hand_over => successor_has_a_higher_number();
+    /// If engines do not check fencing numbers, the successor must renew first: the holder's term may be
+    /// nearly over.
     hand_over_unfenced => unfenced_successor_renews_first();
-    /// The hand-over is held up on its way for longer than a term.
-    late_hand_over => successor_that_comes_too_late_finds_another();
-    /// Nobody has ever been steward. Were it to wait a term, no cold model could be loaded for as long.
-    first_take_over => first_instance_takes_it_at_once();
-    /// A holder that changed its number with each renewal would make engines refuse orders on their way.
+    /// The hand-over is delayed in transit for longer than a term.
+    late_hand_over => late_successor_yields_to_new_holder();
+    /// There has never been a steward. If the first instance waited a term, no model could be loaded for
+    /// that long.
+    first_takeover => first_instance_takes_lease_at_once();
+    /// If the holder changed its fencing number with each renewal, engines would refuse its orders in
+    /// transit.
     renewals_keep_the_number => holder_renews_with_its_first_number();
-    /// The holder can't reach the store, and another instance sees its lease lapse. If the holder went on for
-    /// longer, both would order engines that don't check who does.
-    store_lost_by_the_holder => holder_that_cannot_renew_stops_before_others_may_start();
-    /// The store is away for everyone. If the holder stopped, models that aren't in memory would stay cold for
-    /// as long as the outage lasts.
-    store_away_for_all => fenced_holder_goes_on_while_the_store_is_away();
-    /// A process stands still for seconds and wakes up. Others may have taken over meanwhile; going on at once
-    /// it would undo their work.
-    holder_stood_still => thawed_holder_tries_before_it_goes_on();
-    /// The holder's renewal finds that another one wrote. Going on, it would order engines under an old number.
-    replaced_holder => fenced_holder_stops_when_another_wrote();
-    /// A planned stop gives the lease up. If others waited a term, each restart would leave models cold for it;
-    /// if they didn't where engines take any order, two would order at once.
-    planned_stop => released_lease_is_free_at_once_where_engines_check();
-    /// The answer to a take-over is lost although it was done. Not recognised, the instance would wait a term for
-    /// itself.
-    lost_answer => lost_answer_of_a_take_over_is_recognised();
-    /// A killed process starts again under its old name, and orders of the one before may still be on their way to
-    /// engines that take any. With a number of its own it would have to wait until they can't arrive any more.
-    killed_and_back => restarted_instance_goes_on_with_its_old_number();
-    /// The same, but another instance has taken the lease since its record was read.
-    killed_and_replaced => restarted_instance_finds_another_holder();
-    /// The steward of a large fleet dies. If all instances went for its lease, the store would get hundreds of calls
-    /// at once, and an instance too weak for so many links might win.
-    standbys_first => standbys_go_first();
-    /// Instances that haven't noticed yet that the steward is dead still name it. If that began the term anew, cold
-    /// models would wait for longer.
-    stale_gossip => gossip_leaves_the_term_as_it_is();
-    /// A machine was replaced by one of the same name elsewhere: nothing shows that the one before has ended.
-    same_name_elsewhere => instance_at_another_address_waits();
-    /// A link to the steward ends. Counting the term only from then on would leave models cold for a second more.
-    term_by_the_steward_s_word => steward_s_word_of_the_record_s_end_starts_the_term();
-    /// A steward that the store turns away believes for long that it is one, and serves an old configuration.
-    overtaken => holder_that_hears_of_a_later_one();
-    /// Any order of acts, pauses and lost answers.
+    /// The holder cannot reach the store, and another instance sees its lease lapse. If the holder
+    /// continued for longer, both would send orders to engines that do not check fencing numbers.
+    store_unreachable_for_holder => holder_that_cannot_renew_stops_before_others_may_start();
+    /// The store is unreachable for every instance. If the holder stopped, models that are not in memory
+    /// would stay unloaded for the whole outage.
+    store_unreachable_for_all => fenced_holder_continues_while_store_is_unreachable();
+    /// A process is suspended for seconds and resumes. Others may have taken over meanwhile; if it
+    /// continued at once, it would undo their work.
+    holder_suspended => resumed_holder_renews_before_it_acts();
+    /// The holder's renewal is refused because another instance wrote. If the holder continued, it would
+    /// send orders under an old number.
+    replaced_holder => fenced_holder_stops_after_refused_renewal();
+    /// A planned stop releases the lease. If others waited a term, each restart would leave models unloaded
+    /// that long; if they did not wait where engines take any order, two instances would send orders at
+    /// once.
+    planned_stop => released_lease_is_free_at_once_if_fenced();
+    /// A takeover succeeds, but its answer is lost. If the instance did not recognise its own record, it
+    /// would wait a term for itself.
+    lost_answer => takeover_with_lost_answer_is_recognised();
+    /// A killed process restarts under its old name, and orders of the previous process may still be in
+    /// transit to engines that take any number. With a new number it would have to wait until they cannot
+    /// arrive any more.
+    killed_and_restarted => restarted_instance_keeps_its_number();
+    /// A killed process restarts, but another instance has taken the lease since the process read the
+    /// record.
+    killed_and_replaced => restarted_instance_yields_to_new_holder();
+    /// The steward of a large fleet dies. If all instances tried to take its lease, the store would get
+    /// hundreds of calls at once, and an instance too weak for that many links might win.
+    standbys_first => standbys_take_over_first();
+    /// Instances that have not noticed the steward's death still name it. If that restarted the term,
+    /// unloaded models would wait for longer.
+    stale_gossip => redirect_does_not_restart_term();
+    /// A machine was replaced by one of the same name at another address: nothing shows that the previous
+    /// process has ended.
+    same_name_elsewhere => instance_at_another_address_waits_a_term();
+    /// A link to the steward ends. If the term were counted only from then on, models would stay unloaded
+    /// for a second more.
+    term_from_reported_end => reported_end_starts_the_term();
+    /// A steward that the store refuses would consider itself steward for a long time and serve an old
+    /// configuration.
+    overtaken => overtaken_holder_stops();
+    /// Random orders of actions, suspensions and lost answers.
     any_order => any_order_leaves_one_holder();
 }
--- a/crates/fireflywheel/tests/fleet/lease/rig.rs
+++ b/crates/fireflywheel/tests/fleet/lease/rig.rs
@@ -1,4 +1,4 @@
-//! The record of the lease, and instances that read and write it.
+//! A simulated log of the lease's record, and instances that read and write it.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 pub const ADDRESS: &str = "10.0.0.1:1";
 pub const TERM: Duration = Duration::from_secs(3);
 
-/// The platform's record, which is only replaced at its end.
+/// The platform's log, to which a record is written only at its end.
 #[derive(Clone, Default)]
 pub struct Log {
     pub era: Era,
@@ -32,18 +32,19 @@
         }
     }
 
-    /// The store knows offsets only: one that was given out in an earlier era may fit again.
+    /// Writes a record at the end. The store compares offsets only, so an offset of an earlier era may
+    /// match.
     pub fn write(&mut self, at: Position, record: Record) -> Option<Position> {
         if at.offset != self.offset {
             return None;
         }
-        let place = self.end();
+        let position = self.end();
         self.record = Some((at.offset, record));
         self.offset += 1;
-        Some(place)
+        Some(position)
     }
 
-    /// Comes back from an older copy.
+    /// Restores an older copy, in a new era.
     pub fn restore(&mut self, copy: &Self) {
         *self = Self {
             era: Era(self.era.0 + 1),
@@ -60,14 +61,14 @@
     Instant(millis)
 }
 
-/// Lets an instance do what is due at a moment: write, or read if there is nothing to write.
+/// Performs the action that is due: writes the proposal, or reads if there is none.
 pub fn act(lease: &mut Lease, log: &mut Log, now: u64) {
     match lease.proposal(at(now)) {
         Some((end, record)) => {
-            let written = log.write(end, record.clone());
+            let position = log.write(end, record.clone());
             lease.enter_era(at(now), log.era);
-            match written {
-                Some(place) => lease.accepted(at(now), place, &record),
+            match position {
+                Some(position) => lease.accepted(at(now), position, &record),
                 None => lease.refused(end),
             }
         }
@@ -79,7 +80,10 @@
     let mut lease = lease(name, fenced);
     lease.observe(at(now), log.read());
     act(&mut lease, log, now);
-    assert!(lease.fencing(at(now)).is_some(), "{name} should hold it");
+    assert!(
+        lease.fencing(at(now)).is_some(),
+        "{name} should hold the lease"
+    );
     lease
 }
 
