--- a/crates/fireflywheel/src/fleet/config.rs
+++ b/crates/fireflywheel/src/fleet/config.rs
@@ -8,46 +8,46 @@
 
 use super::organisation;
 
-/// One accepted configuration, whole.
+/// One accepted configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Config {
-    /// Rises with each configuration, in steps of any size.
+    /// The configuration's version, which rises with each configuration by any amount.
     pub version: u64,
-    /// Where requests go.
+    /// Routes that map requests to groups.
     pub routes: Vec<Route>,
-    /// Backend servers of one kind, by name.
+    /// Groups of backend servers, by name.
     pub groups: BTreeMap<SmolStr, Group>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
-    /// Whose requests are served; everybody's if there are none.
+    /// Organisations whose requests are served; if `None`, all requests are served.
     pub organisations: Option<organisation::Registry>,
 }
 
-/// Where requests of one host and path prefix go.
+/// A route: where requests for one host and path prefix go.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// The route's name, for logs and metrics.
     pub name: SmolStr,
-    /// The host that it serves.
+    /// The host that the route serves.
     pub host: SmolStr,
-    /// The start of the paths that it serves; begins and ends with a slash.
+    /// The path prefix that the route serves; begins and ends with a slash.
     pub prefix: SmolStr,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: Kind,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for a response.
     pub timeout: Duration,
-    /// Within this a response is on time; for a stream its first event.
+    /// The target time for a response, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between events of a stream that is still on time.
+    /// The target for the longest gap between events of a stream; `None` for routes without one.
     #[serde(rename = "pause")]
     pub max_event_gap: Option<Duration>,
-    /// 0 is the most urgent.
+    /// The priority of the route's requests; 0 is the most urgent.
     pub rank: u8,
-    /// Groups that serve it, by weight.
+    /// Groups that serve the route, by weight.
     pub targets: Vec<Target>,
-    /// The most backend servers that one request may be sent to.
+    /// The largest number of backend servers that one request may be sent to.
     pub attempts: u32,
-    /// Its requests need no organisation.
+    /// Requests of the route need no organisation.
     #[serde(rename = "open")]
     pub allow_anonymous: bool,
 }
@@ -57,25 +57,25 @@
 pub struct Target {
     /// The name of the group.
     pub group: SmolStr,
-    /// Its share against the other targets.
+    /// The target's weight relative to the other targets.
     pub weight: f64,
 }
 
-/// What may be repeated.
+/// How requests of a route run, which determines whether they may be retried.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Kind {
-    /// Any number of runs does no harm.
+    /// Requests that may run any number of times.
     Idempotent,
-    /// One run at most.
+    /// Requests that may run at most once.
     Once,
-    /// A stream of events, one run at most.
+    /// Requests that are answered by a stream of events and may run at most once.
     Stream,
-    /// A stream of events that may go on in another run.
+    /// Requests that are answered by a stream of events, which another run may resume.
     Resumable,
 }
 
 impl Kind {
-    /// Whether a second run does no harm while nothing of the answer was handed on.
+    /// Whether a request may run again while nothing of the answer was forwarded to the caller.
     #[must_use]
     pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
@@ -88,64 +88,64 @@
     }
 }
 
-/// Backend servers of one kind.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Group {
-    /// Connections that one server takes from all instances together.
+    /// The number of connections that one server accepts from all instances together.
     pub connections: usize,
-    /// Set for model engines.
+    /// Settings of model engines; `None` for other backend servers.
     pub engine: Option<Engine>,
 }
 
-/// What the engines of a group can hold.
+/// The capacity of the engines of a group.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Engine {
-    /// Requests that run at once on one server.
+    /// The number of requests that run at once on one server.
     pub slots: u32,
-    /// Memory for weights and adapters of one server.
+    /// The memory for weights and adapters of one server, in megabytes.
     pub memory_mb: f64,
-    /// Adapters that one server may hold.
+    /// The number of adapters that one server may hold.
     #[serde(rename = "adapter_places")]
     pub adapter_slots: usize,
-    /// Loads from the weight store a second, over all servers.
+    /// The number of loads from the weight store per second, over all servers.
     pub loads_per_second: f64,
-    /// Models by name.
+    /// Models, by name.
     pub models: BTreeMap<SmolStr, Model>,
 }
 
-/// One model.
+/// A model's size and load times.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Model {
-    /// Memory of its weights.
+    /// The memory of the model's weights, in megabytes.
     pub memory_mb: f64,
-    /// How long a load takes from the weight store, alone.
+    /// The time of a load from the weight store when no other load runs.
     #[serde(rename = "fetch")]
     pub store_load_time: Duration,
-    /// How long it takes from the server's own disk.
+    /// The time of a load from the server's own disk.
     #[serde(rename = "from_disk")]
     pub disk_load_time: Duration,
-    /// How long it takes from the server's host memory.
+    /// The time of a load from the server's host memory.
     #[serde(rename = "from_host")]
     pub host_load_time: Duration,
-    /// Memory of one of its adapters.
+    /// The memory of one of the model's adapters, in megabytes.
     pub adapter_mb: f64,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limits {
-    /// The largest header.
+    /// The largest header, in bytes.
     pub header_bytes: usize,
-    /// The largest body.
+    /// The largest body, in bytes.
     pub body_bytes: usize,
-    /// How long a header may take.
+    /// The longest time that a caller may take to send a header.
     pub header_time: Duration,
-    /// How long a connection may lie idle.
+    /// The longest time that a connection may be idle.
     pub idle: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds for an instance that has no configuration yet.
+    /// Limits for an instance that has no configuration yet.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -157,7 +157,7 @@
 }
 
 impl Config {
-    /// The route with the longest prefix of `path` at `host`. The port in `host` and its case don't matter.
+    /// The route for `host` with the longest prefix of `path`. The port in `host` and its case are ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -170,14 +170,14 @@
 }
 
 impl Route {
-    /// The group for a request; `draw` from 0 up to 1 divides requests by weight.
+    /// Selects the group for a request. `draw`, from 0 up to 1, distributes requests by weight.
     #[must_use]
     pub fn group(&self, draw: f64) -> Option<&SmolStr> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut rest = draw * total;
+        let mut remainder = draw * total;
         for target in &self.targets {
-            rest -= target.weight;
-            if rest < 0.0 {
+            remainder -= target.weight;
+            if remainder < 0.0 {
                 return Some(&target.group);
             }
         }
--- a/crates/fireflywheel/src/fleet/frame.rs
+++ b/crates/fireflywheel/src/fleet/frame.rs
@@ -1,4 +1,4 @@
-//! What instance and steward tell each other over their link.
+//! Frames that an instance and the steward exchange over their link.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,110 +13,110 @@
 use super::{config, demand, lease, limit, load, quota, server};
 use crate::clock;
 
-/// A span in whole milliseconds, as frames carry it; the most there is when it is longer.
+/// A duration in whole milliseconds, as frames carry it; longer durations saturate.
 #[must_use]
 pub fn millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// One message of a link.
+/// One message on a link.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// The first from an instance.
+    /// The first frame from an instance.
     Hello {
         /// The instance's name.
         instance: SmolStr,
-        /// Tells two processes of one name apart.
+        /// Distinguishes processes that run under the same instance name.
         incarnation: u64,
-        /// Where its peers reach it.
+        /// The address at which peers reach the instance.
         address: SmolStr,
-        /// The part of a processor that it has.
+        /// The instance's share of a processor.
         cpu_share: f64,
     },
-    /// All that an instance wants and has running; replaces what it said before.
+    /// Everything that an instance requests and has in flight; replaces its previous demand.
     Demand(demand::Demand),
-    /// What engines hold that have changed, from the steward that orders them.
+    /// The holdings of engines whose holdings have changed, from the steward that sends them orders.
     Held(Holdings),
-    /// Whether the receiver is told of all engines from now on, or of those that hold models which it asks for; from the
-    /// steward.
+    /// Whether the steward reports all engines to the receiver from now on, or only those that hold models
+    /// to which the receiver subscribes; from the steward.
     #[serde(rename = "Whole")]
     AllEngines(bool),
-    /// How long models will take that are nowhere yet, from the steward.
+    /// How long models that no engine holds yet will take to load; from the steward.
     Forecast(Vec<Forecast>),
-    /// What engines have to read, from the steward; one that isn't named has nothing.
+    /// The prefill load of engines, from the steward; engines that are not listed have none.
     Load(Vec<load::Load>),
-    /// The sender is alive, from the steward.
+    /// Shows that the sender is alive; from the steward.
     #[serde(rename = "Beat")]
     Heartbeat {
-        /// Tells two processes of one name apart.
+        /// Distinguishes processes that run under the same instance name.
         incarnation: u64,
-        /// It may order engines.
+        /// The sender may send orders to engines.
         #[serde(rename = "acts")]
         active: bool,
-        /// Instances that it has a link to, itself included.
+        /// The number of instances that the sender has a link to, itself included.
         instances: u32,
-        /// The end of the lease's record after the last renewal.
+        /// The end of the log of the lease's record after the last renewal.
         lease_end: u64,
-        /// The era of that end.
+        /// The era of `lease_end`.
         #[serde(default)]
         lease_era: Era,
-        /// The store's era, as far as known.
+        /// The store's era; `None` if the sender has not learned it.
         #[serde(default)]
         era: Option<Era>,
-        /// The newest configuration that it knows of.
+        /// The newest configuration version that the sender knows of.
         config_version: u64,
-        /// How old the oldest is of what it last read of the directory and the configuration, in milliseconds.
-        /// While it is young, other instances need not read the store themselves.
+        /// The age in milliseconds of the older of the sender's last reads of the directory and the
+        /// configuration. While the age is small, other instances need not read the store themselves.
         #[serde(rename = "read_ms")]
         read_age_ms: u32,
-        /// The stamp of the receiver's last demand. Without it frames that waited in a queue for seconds would
-        /// pass for young.
+        /// The stamp of the receiver's last demand. Without it, frames that waited in a queue for seconds
+        /// would appear fresh.
         stamp_ms: u64,
-        /// Standbys read for themselves, so that one that the store serves can take over.
+        /// Standbys are to read the store themselves, so that one that the store answers can take over.
         #[serde(default)]
         standbys_read: bool,
     },
-    /// The newest configuration that the sender knows, to one with an earlier one. Instances that the store doesn't answer have it
-    /// from here.
+    /// The newest configuration that the sender knows, to a receiver with an older one. Instances that the
+    /// store does not answer get the configuration this way.
     Configuration(Arc<config::Config>),
-    /// Entries of the directory that have changed, from the steward.
+    /// Changed entries of the directory, from the steward.
     Directory(Changes),
-    /// The receiver is steward from now on, from the one before, which stops.
+    /// The receiver is steward from now on; from its predecessor, which stops acting.
     HandOver(lease::HandOver),
-    /// Another instance is steward from now on, from the one before.
+    /// Another instance is steward from now on; from its predecessor.
     Moved(lease::Record),
-    /// The sender isn't steward, and has a link to this one.
+    /// The sender is not the steward, and has a link to this one.
     Steward(lease::Record),
-    /// All servers that name a limit, from the steward; replaces what it said before.
+    /// All servers that announce a limit, from the steward; replaces its previous list.
     Limits(Vec<limit::Notice>),
-    /// Answers to permit requests, from the steward.
+    /// Replies to permit requests, from the steward.
     Permits(Vec<limit::Reply>),
-    /// Which share of each organisation's requests to admit, from the steward; replaces what it said before.
+    /// The share of each organisation's requests to admit, from the steward; replaces its previous list.
     Shares(Vec<quota::Share>),
-    /// Instances that take over if the sender dies, and that know who did; from the steward.
+    /// Instances that may take over if the sender dies, and that know who has taken over; from the steward.
     Standbys(Vec<lease::Record>),
 }
 
 impl Frame {
-    /// Its form on a link. What is told to many is encoded once.
+    /// Encodes the frame for a link. A frame for many receivers is encoded once.
     #[must_use]
     pub fn encode(&self) -> Bytes {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a buffer takes all that is written");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a buffer cannot fail");
         bytes.into()
     }
 }
 
-/// What engines hold.
+/// The holdings of engines.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Holdings {
-    /// Engines, each with all that it holds.
+    /// Engines, each with its complete holdings.
     pub engines: Vec<Holding>,
-    /// No other engine holds these models, which the receiver asked for.
+    /// Models to which the receiver subscribes and that no engine outside `engines` holds.
     pub complete: Vec<SmolStr>,
 }
 
-/// What an engine holds.
+/// The holdings of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Holding {
     /// The engine's entry in the directory.
@@ -125,45 +125,46 @@
     pub models: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
 }
 
-/// Entries of the directory that have changed.
+/// Changes of the directory's entries.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Changes {
-    /// Groups of which these are all entries.
+    /// Groups whose entries are all listed in `entries`.
     #[serde(rename = "all_of")]
     pub complete_groups: BTreeSet<SmolStr>,
-    /// Entries that are new or other than before.
+    /// Entries that are new or have changed.
     pub entries: Vec<Entry>,
-    /// Ids of entries that are gone.
+    /// Ids of entries that were removed.
     pub gone: Vec<SmolStr>,
 }
 
-/// A backend server's entry, without what it holds.
+/// A backend server's entry in the directory, without its holdings.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
     /// The server's id.
     pub id: SmolStr,
-    /// The group that it belongs to.
+    /// The group that the server belongs to.
     pub group: SmolStr,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub domain: SmolStr,
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// It takes new requests.
+    /// The server accepts new requests.
     pub ready: bool,
-    /// How long until it is gone, if it said so, in milliseconds.
+    /// The time until the server stops, in milliseconds; `None` if it has not announced a stop.
     pub leaves_ms: Option<u32>,
-    /// Unix milliseconds of its start.
+    /// When the server started, in Unix milliseconds.
     #[serde(rename = "born")]
     pub started_ms: u64,
-    /// Which of its entries since its start this is; 0 if it doesn't say so.
+    /// The number of this entry among the server's entries since its start; 0 if the server does not number
+    /// them.
     #[serde(default, rename = "count")]
     pub revision: u64,
 }
 
 impl Entry {
-    /// The entry of a server, told at `now`.
+    /// The entry of a server, sent at `now`.
     #[must_use]
     pub fn new(server: &server::Server, now: clock::Instant) -> Self {
         let left = |at: clock::Instant| millis(at.since(now));
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The server, told at `now`; what it holds is told apart.
+    /// The server, received at `now`, without its holdings.
     #[must_use]
     pub fn server(self, now: clock::Instant) -> server::Server {
         let leaves = self
@@ -200,33 +201,34 @@
         }
     }
 
-    /// Whether the other says the same; how long it stays counts down, and its count rises with each heartbeat: both are left out.
-    fn says_same(&self, other: &Self) -> bool {
-        let same_stay = self.leaves_ms.is_some() == other.leaves_ms.is_some();
+    /// Whether both entries are equal. The remaining time until a stop and the revision are ignored: the
+    /// first counts down, and the second rises with each heartbeat.
+    fn is_equivalent(&self, other: &Self) -> bool {
+        let same_leaving_state = self.leaves_ms.is_some() == other.leaves_ms.is_some();
         let other = Self {
             leaves_ms: self.leaves_ms,
             revision: self.revision,
             ..other.clone()
         };
-        same_stay && *self == other
+        same_leaving_state && *self == other
     }
 }
 
 impl Changes {
-    /// What has changed between two states of the directory; none when nothing has.
+    /// The changes between two states of the directory; `None` if there are none.
     #[must_use]
     pub fn between(
         before: &BTreeMap<SmolStr, Entry>,
         after: &BTreeMap<SmolStr, Entry>,
     ) -> Option<Self> {
-        let is_new = |entry: &&Entry| {
+        let is_changed = |entry: &&Entry| {
             before
                 .get(&entry.id)
-                .is_none_or(|old| !old.says_same(entry))
+                .is_none_or(|previous| !previous.is_equivalent(entry))
         };
         let changes = Self {
             complete_groups: BTreeSet::new(),
-            entries: after.values().filter(is_new).cloned().collect(),
+            entries: after.values().filter(is_changed).cloned().collect(),
             gone: before
                 .keys()
                 .filter(|id| !after.contains_key(*id))
@@ -238,14 +240,14 @@
 }
 
 impl Changes {
-    /// Those of the changes whose servers are picked; none when there are none.
+    /// The changes of the selected servers; `None` if there are none.
     #[must_use]
-    pub fn filter<F>(&self, picked: F) -> Option<Self>
+    pub fn filter<F>(&self, is_selected: F) -> Option<Self>
     where
         F: Fn(&SmolStr) -> bool,
     {
-        let entries = self.entries.iter().filter(|entry| picked(&entry.id));
-        let gone = self.gone.iter().filter(|id| picked(id));
+        let entries = self.entries.iter().filter(|entry| is_selected(&entry.id));
+        let gone = self.gone.iter().filter(|id| is_selected(id));
         let changes = Self {
             complete_groups: self.complete_groups.clone(),
             entries: entries.cloned().collect(),
@@ -255,13 +257,13 @@
     }
 }
 
-/// When a model can be used.
+/// When a model becomes available.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Forecast {
-    /// The group of its engines.
+    /// The group of the engines that serve the model.
     pub group: SmolStr,
-    /// The model.
+    /// The model's name.
     pub model: SmolStr,
-    /// From now until it can be used, in milliseconds.
+    /// The time until the model can be used, in milliseconds.
     pub wait_ms: u32,
 }
--- a/crates/fireflywheel/src/fleet/organisation.rs
+++ b/crates/fireflywheel/src/fleet/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: whose requests are served, and by which key they are recognised.
+//! Organisations and the API keys that identify them.
 //!
 //! ```
 //! use fireflywheel::fleet::organisation::{Credential, Organisation, Registry};
@@ -18,16 +18,17 @@
 
 use super::quota;
 
-/// Bytes of a credential that are shown: enough to find it in a log, too few to recover a key from.
-const SHOWN_BYTES: usize = 4;
+/// The number of bytes of a credential that are displayed: enough to find it in a log, too few to recover a
+/// key.
+const DISPLAYED_BYTES: usize = 4;
 
-/// The hash of an API key. The key itself is never kept, so it can't end up in a log or a status page, and the
-/// time of a comparison tells nothing of it.
+/// The hash of an API key. The key itself is never stored, so it cannot appear in a log or on a status
+/// page, and the time of a comparison reveals nothing about it.
 #[derive(Clone, Copy, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Credential([u8; 32]);
 
 impl Credential {
-    /// The hash of a key.
+    /// Hashes a key.
     #[must_use]
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
@@ -35,9 +36,9 @@
 }
 
 impl fmt::Display for Credential {
-    /// The first digits of the hash.
+    /// Writes the first digits of the hash.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0[..SHOWN_BYTES]
+        self.0[..DISPLAYED_BYTES]
             .iter()
             .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -49,19 +50,20 @@
     }
 }
 
-/// One organisation.
+/// An organisation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Organisation {
-    /// Its name, as backend servers are told.
+    /// The organisation's name, as sent to backend servers.
     pub name: SmolStr,
-    /// Goes before the rank of a route; 0 is the most urgent.
+    /// The priority of the organisation's requests, which takes precedence over the rank of a route; 0 is
+    /// the most urgent.
     pub rank: Option<u8>,
-    /// How much it may ask for; no limit if there is none.
+    /// The organisation's quota; `None` if it is not limited.
     pub quota: Option<quota::Quota>,
 }
 
 impl Organisation {
-    /// An organisation without a rank or a quota.
+    /// Creates an organisation without a rank or a quota.
     #[must_use]
     pub fn new(name: impl Into<SmolStr>) -> Self {
         Self {
@@ -71,14 +73,14 @@
         }
     }
 
-    /// The same with a rank.
+    /// Sets the rank.
     #[must_use]
     pub fn with_rank(mut self, rank: u8) -> Self {
         self.rank = Some(rank);
         self
     }
 
-    /// The same with a quota.
+    /// Sets the quota.
     #[must_use]
     pub fn with_quota(mut self, quota: quota::Quota) -> Self {
         self.quota = Some(quota);
@@ -86,7 +88,7 @@
     }
 }
 
-/// An organisation's place in a [`Registry`].
+/// The index of an organisation in its [`Registry`].
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Key(u32);
 
@@ -98,21 +100,22 @@
     credentials: BTreeMap<Credential, Key>,
 }
 
-/// A registry on its way to another instance. It is checked again when it is read: keys of a registry are places in it.
+/// The serialized form of a registry. It is validated when it is read, because a registry's keys are
+/// indices into it.
 #[derive(Deserialize, Serialize)]
 struct Listing(Vec<(Organisation, Vec<Credential>)>);
 
 impl From<Registry> for Listing {
     fn from(registry: Registry) -> Self {
-        let mut listed: Vec<_> = registry
+        let mut listing: Vec<_> = registry
             .organisations
             .into_iter()
             .map(|organisation| (organisation, Vec::new()))
             .collect();
         for (credential, key) in registry.credentials {
-            listed[key.0 as usize].1.push(credential);
+            listing[key.0 as usize].1.push(credential);
         }
-        Self(listed)
+        Self(listing)
     }
 }
 
@@ -124,16 +127,16 @@
     }
 }
 
-/// Why organisations can't be in force together. Names organisations, never a key.
+/// Why organisations cannot be in force together. The message names organisations, but never a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Two organisations have one name.
+    /// Two organisations have the same name.
     SameName(SmolStr),
-    /// Two organisations have one key, so whose request it is couldn't be told.
+    /// Two organisations have the same API key, so a request with it could belong to either.
     SharedKey {
-        /// The organisation that is named first.
+        /// The organisation that is listed first.
         first: SmolStr,
-        /// The other one.
+        /// The organisation that is listed second.
         second: SmolStr,
     },
 }
@@ -152,11 +155,11 @@
 impl std::error::Error for Fault {}
 
 impl Registry {
-    /// Organisations with their credentials.
+    /// Creates a registry of organisations with their credentials.
     ///
     /// # Errors
     ///
-    /// When two organisations have the same name or a credential in common.
+    /// Returns a fault if two organisations have the same name or a credential in common.
     pub fn new<I>(organisations: I) -> Result<Self, Fault>
     where
         I: IntoIterator<Item = (Organisation, Vec<Credential>)>,
@@ -167,10 +170,10 @@
             if !names.insert(organisation.name.clone()) {
                 return Err(Fault::SameName(organisation.name));
             }
-            let place = u32::try_from(registry.organisations.len()).expect("far fewer than 2^32");
+            let index = u32::try_from(registry.organisations.len()).expect("far fewer than 2^32");
             for credential in credentials {
-                let before = registry.credentials.insert(credential, Key(place));
-                if let Some(first) = before.filter(|first| *first != Key(place)) {
+                let before = registry.credentials.insert(credential, Key(index));
+                if let Some(first) = before.filter(|first| *first != Key(index)) {
                     return Err(Fault::SharedKey {
                         first: registry.get(first).name.clone(),
                         second: organisation.name,
@@ -182,19 +185,19 @@
         Ok(registry)
     }
 
-    /// Whose key it is.
+    /// The organisation that a credential belongs to; `None` if the credential is unknown.
     #[must_use]
     pub fn find(&self, credential: Credential) -> Option<Key> {
         self.credentials.get(&credential).copied()
     }
 
-    /// The organisation at a key of this registry.
+    /// The organisation of a key of this registry.
     #[must_use]
     pub fn get(&self, key: Key) -> &Organisation {
         &self.organisations[key.0 as usize]
     }
 
-    /// All organisations.
+    /// All organisations, in the order of the configuration.
     pub fn iter(&self) -> impl Iterator<Item = &Organisation> {
         self.organisations.iter()
     }
--- a/crates/fireflywheel/src/fleet/server.rs
+++ b/crates/fireflywheel/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! What is known of a backend server.
+//! State of a backend server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,62 +8,63 @@
 
 use crate::clock;
 
-/// A backend server as the directory names it.
+/// A backend server as listed in the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its id; a restart may keep it.
+    /// The server's id, which may be the same after a restart.
     pub id: SmolStr,
-    /// The group that it belongs to.
+    /// The group that the server belongs to.
     pub group: SmolStr,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub domain: SmolStr,
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// It takes new requests.
+    /// The server accepts new requests.
     pub ready: bool,
-    /// When it will be gone, if it said so.
+    /// When the server will stop; `None` if it has not announced a stop.
     pub leaves: Option<clock::Instant>,
-    /// Unix milliseconds of its start.
+    /// When the server started, in Unix milliseconds.
     pub started_ms: u64,
-    /// Which of its entries since its start this is; 0 if it doesn't say so.
+    /// The number of this entry among the server's entries since its start; 0 if the server does not number
+    /// them.
     pub revision: u64,
-    /// What it holds, as of its last entry.
+    /// The server's holdings, as of its last entry.
     pub held: Held,
 }
 
 impl Server {
-    /// Whether its entry is older than another one of the same process.
+    /// Whether this entry is older than another entry of the same process.
     #[must_use]
     pub fn is_older(&self, started_ms: u64, revision: u64) -> bool {
         self.started_ms == started_ms && self.revision > 0 && self.revision < revision
     }
 }
 
-/// What an engine says when it is asked.
+/// An engine's answer to a status request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Orders accepted since its start.
+    /// The number of orders accepted since the engine's start.
     pub orders: u64,
-    /// What it holds.
+    /// The engine's holdings.
     pub held: Held,
 }
 
-/// What a model engine holds.
+/// The models and adapters that an engine holds.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Held {
-    /// An order is being carried out.
+    /// The engine is executing an order.
     pub busy: bool,
     /// Models in memory, with their adapters.
     pub models: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
-    /// Adapters on their way, as model and adapter.
+    /// Adapters that are being loaded, as pairs of model and adapter.
     #[serde(rename = "coming")]
     pub loading_adapters: BTreeSet<(SmolStr, SmolStr)>,
     /// Models with a copy in host memory.
     #[serde(rename = "in_host")]
     pub in_host_memory: BTreeSet<SmolStr>,
-    /// Models with a copy on its disk.
+    /// Models with a copy on the engine's disk.
     pub on_disk: BTreeSet<SmolStr>,
 }
 
@@ -76,7 +77,7 @@
             .is_some_and(|adapters| adapter.is_none_or(|adapter| adapters.contains(adapter)))
     }
 
-    /// Adapters in memory and on their way.
+    /// The number of adapters in memory and being loaded.
     #[must_use]
     pub fn adapters(&self) -> usize {
         self.models.values().map(BTreeSet::len).sum::<usize>() + self.loading_adapters.len()
--- a/crates/fireflywheel/tests/fleet/config.rs
+++ b/crates/fireflywheel/tests/fleet/config.rs
@@ -1,4 +1,4 @@
-//! Routes are found by host and longest prefix.
+//! Tests of routing by host and longest prefix, and of the split of a route among groups.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-fn found(host: &str, path: &str) -> Option<String> {
+fn route_name(host: &str, path: &str) -> Option<String> {
     let config = Config {
         routes: vec![
             route("a.example", "/", &[("g", 1.0)]),
@@ -39,11 +39,11 @@
     config.route(host, path).map(|route| route.name.to_string())
 }
 
-fn expect(host: &str, path: &str, name: Option<&str>) {
-    assert_eq!(found(host, path).as_deref(), name);
+fn assert_route(host: &str, path: &str, name: Option<&str>) {
+    assert_eq!(route_name(host, path).as_deref(), name);
 }
 
-fn split_follows_its_weights() {
+fn targets_are_selected_by_weight() {
     let route = route("a.example", "/", &[("g", 90.0), ("h", 10.0)]);
     let count = (0..1000)
         .filter(|draw| {
@@ -57,16 +57,16 @@
 }
 
 cases! {
-    /// The most exact rule wins, wherever it stands.
-    longest_prefix => expect("a.example", "/x/y/z", Some("/x/y/"));
-    /// A prefix ends at a slash.
-    prefix_ends_at_a_slash => expect("a.example", "/xy", Some("/"));
-    /// Callers add the port, and write hosts as they like.
-    host_with_port => expect("A.Example:8080", "/x/1", Some("/x/"));
-    /// A request for another host must not fall to this one.
-    other_host => expect("c.example", "/x/", None);
-    /// The host has no rule for this path.
-    other_path => expect("b.example", "/else/", None);
-    /// A share of a route is tried out on another group.
-    split => split_follows_its_weights();
+    /// The longest matching prefix wins, in whatever order the routes are listed.
+    longest_prefix_wins => assert_route("a.example", "/x/y/z", Some("/x/y/"));
+    /// A prefix matches only up to a slash.
+    prefix_ends_at_a_slash => assert_route("a.example", "/xy", Some("/"));
+    /// Callers may add the port and may write the host in any case.
+    port_and_case_of_host_are_ignored => assert_route("A.Example:8080", "/x/1", Some("/x/"));
+    /// A request for an unknown host must not match a route of another host.
+    unknown_host_has_no_route => assert_route("c.example", "/x/", None);
+    /// A request for a known host without a matching prefix has no route.
+    unknown_path_has_no_route => assert_route("b.example", "/else/", None);
+    /// A canary group gets its share of a route's requests.
+    split_by_weight => targets_are_selected_by_weight();
 }
