--- a/crates/fireflywheel/src/fleet/quota.rs
+++ b/crates/fireflywheel/src/fleet/quota.rs
@@ -1,10 +1,11 @@
-//! How much an organisation may ask for, over all instances together.
+//! Quotas of organisations, enforced over all instances together.
 //!
-//! No instance asks anybody before it admits a request. Instances tell the steward what they were asked for and
-//! what they admitted; the steward keeps one bucket for each organisation ([`meter`]) and tells everybody which
-//! share of its requests to admit. An organisation far below its quota has a share of one, and is refused
-//! nothing. Without news of the steward an instance keeps to a part of its own ([`gate`]); all parts together are
-//! no more than the quota, so that it holds also while there is no steward or an instance is cut off.
+//! An instance admits a request without asking another one first. Instances report to the steward what was
+//! offered to them and what they admitted; the steward keeps one token bucket per organisation ([`meter`])
+//! and tells all instances which share of the organisation's requests to admit. An organisation far below
+//! its quota has a share of one, so none of its requests is refused. Without recent news of the steward, an
+//! instance keeps to a rate of its own ([`gate`]); all these rates add up to the quota at most, so the
+//! quota also holds while there is no steward or an instance is partitioned.
 
 pub mod gate;
 pub mod meter;
@@ -14,33 +15,33 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Spans that the last window is kept in.
-const SPANS: u32 = 16;
+/// The number of spans into which the record of the last window is divided.
+const SPAN_COUNT: u32 = 16;
 
-/// What is counted.
+/// What a quota counts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Unit {
     /// Each request counts as one.
     Requests,
-    /// A request counts as its tokens; one that doesn't tell them as `plain`.
+    /// A request counts as its tokens; one that does not state them counts as `plain`.
     Tokens {
-        /// Tokens of a request that doesn't tell them.
+        /// The tokens of a request that does not state them.
         plain: f64,
     },
 }
 
-/// How much an organisation may ask for.
+/// The quota of an organisation.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Quota {
-    /// In a second, in the long run.
+    /// The long-term rate per second.
     pub per_second: f64,
-    /// At once, after a while without requests.
+    /// The burst that may be admitted at once after a time without requests.
     pub burst: f64,
-    /// What is counted.
+    /// What the quota counts.
     pub unit: Unit,
 }
 
-/// A limit that isn't a number of zero or more.
+/// A limit that is not a number of 0 or more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault(f64);
 
@@ -53,20 +54,20 @@
 impl std::error::Error for Fault {}
 
 impl Quota {
-    /// A quota, or none if nothing is limited.
+    /// Creates a quota; `None` if `per_second` is 0, which means no limit.
     ///
     /// # Errors
     ///
-    /// When one of the figures is negative or not a number.
+    /// Returns a fault if one of the figures is negative or not a finite number.
     pub fn new(per_second: f64, burst: f64, unit: Unit) -> Result<Option<Self>, Fault> {
         let plain = match unit {
             Unit::Requests => 0.0,
             Unit::Tokens { plain } => plain,
         };
-        let valid = |figure: &f64| figure.is_finite() && *figure >= 0.0;
+        let is_valid = |figure: &f64| figure.is_finite() && *figure >= 0.0;
         if let Some(figure) = [per_second, burst, plain]
             .into_iter()
-            .find(|figure| !valid(figure))
+            .find(|figure| !is_valid(figure))
         {
             return Err(Fault(figure));
         }
@@ -78,7 +79,7 @@
         Ok((per_second > 0.0).then_some(quota))
     }
 
-    /// What a request counts with so many tokens, if it tells them.
+    /// The cost of a request with this number of tokens, if it states them.
     #[must_use]
     pub fn cost(&self, tokens: Option<u32>) -> f64 {
         match self.unit {
@@ -88,28 +89,28 @@
     }
 }
 
-/// What an instance was asked for by one organisation since it said so last.
+/// An organisation's usage at one instance since that instance's last report.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Usage {
-    /// The organisation.
+    /// The organisation's name.
     pub organisation: SmolStr,
-    /// What all its requests count.
+    /// The cost of all its requests.
     pub offered: u32,
-    /// What those count that were admitted, less those that were not run after all.
+    /// The cost of its admitted requests, less that of admitted requests that did not run after all.
     pub admitted: i32,
-    /// What was admitted in the window before the link to the steward, with the first usage on it: in each of [`SPANS`]
-    /// equal spans, the newest first.
+    /// The cost admitted in the window before the link to the steward was opened, in [`SPAN_COUNT`] equal
+    /// spans, the newest first; only in the first usage on a link.
     #[serde(default)]
     pub before: Vec<u32>,
 }
 
-/// What the steward says of one organisation.
+/// The steward's decision on one organisation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Share {
-    /// The organisation.
+    /// The organisation's name.
     pub organisation: SmolStr,
-    /// The share of its requests that is to be admitted, from 0 to 1.
+    /// The share of its requests to admit, from 0 to 1.
     pub admit: f32,
-    /// What all instances admit for it in a second.
+    /// The cost that all instances together admit for it per second.
     pub used: f32,
 }
--- a/crates/fireflywheel/src/fleet/quota/gate.rs
+++ b/crates/fireflywheel/src/fleet/quota/gate.rs
@@ -1,96 +1,99 @@
-//! One instance's decision whether to admit a request.
+//! Admission control of one instance: whether to admit a request of an organisation.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-use super::{Quota, SPANS, Share, Usage};
+use super::{Quota, SPAN_COUNT, Share, Usage};
 use crate::clock;
 use crate::fleet::rate;
 
-/// An instance's own use of a quota is measured over this: callers keep their connections for longer.
+/// The half-life of the measured use of a quota at one instance: short against the time that callers keep
+/// their connections.
 const USE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// The same for what it is asked for, from which follows when the next request will be admitted.
+/// The half-life of the measured offered rate, which determines when the next request will be admitted.
 const OFFER_HALF_LIFE: Duration = Duration::from_secs(1);
-/// The steward's shares are followed for so long after the instance said something that the steward has heard. It is heard
-/// several times in that, unless the link or one of its ends is slow.
+/// How long the steward's shares are valid after the instance sent a message that the steward has received.
+/// The steward receives several in that time unless the link or one of its ends is slow.
 pub const SHARES_TTL: Duration = Duration::from_millis(800);
-/// The share of what nobody used that goes to instances by their use of the rest.
-const BY_USE: f64 = 0.5;
-/// The longest wait that a refused caller is told.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+/// The part of the unused quota that is distributed to instances in proportion to their use; the rest is
+/// distributed equally.
+const USE_BASED_RATIO: f64 = 0.5;
+/// The longest wait that is announced to a refused caller.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// A way to decide which requests of one organisation are admitted.
+/// A rule for which requests of one organisation are admitted.
 pub trait Policy {
-    /// Admits a request.
+    /// Decides on a request.
     ///
     /// # Errors
     ///
-    /// How long until a request is likely to be admitted.
+    /// Returns the time until a request is likely to be admitted if this one is refused.
     fn admit(&mut self) -> Result<(), Duration>;
 }
 
-/// Admits the share of requests that the steward tells, spread evenly over them. Large requests have the same chance as
-/// small ones: counted by tokens, one large request would take the place of dozens of callers.
+/// Admits the steward's share of requests, spread evenly over them. Large requests have the same chance as
+/// small ones: if tokens were counted, one large request would displace those of dozens of callers.
 #[derive(Debug)]
-struct Shared<'a> {
-    /// From 0 to 1.
+struct Sampler<'a> {
+    /// The share of requests to admit, from 0 to 1.
     admit: f64,
-    /// Requests of the organisation at this instance in a second.
+    /// The organisation's requests at this instance per second.
     offered: f64,
-    /// Requests that were to be admitted so far less those that were.
-    balance: &'a mut f64,
+    /// The number of requests that the share has allowed so far, less the number admitted.
+    credit: &'a mut f64,
 }
 
-impl Policy for Shared<'_> {
+impl Policy for Sampler<'_> {
     fn admit(&mut self) -> Result<(), Duration> {
         if self.admit >= 1.0 {
             return Ok(());
         }
-        *self.balance += self.admit;
-        if *self.balance >= 1.0 {
-            *self.balance -= 1.0;
+        *self.credit += self.admit;
+        if *self.credit >= 1.0 {
+            *self.credit -= 1.0;
             return Ok(());
         }
-        Err(wait(1.0 - *self.balance, self.offered * self.admit))
+        Err(wait_for(1.0 - *self.credit, self.offered * self.admit))
     }
 }
 
-/// Admits what this instance may admit by itself in a window. A request may go beyond that, which then has to be made up
-/// for: divided among hundreds of instances, a quota would otherwise admit nothing at all. A bucket that fills by the
-/// second would refuse the second of two requests that come together once a minute.
+/// Admits up to this instance's own limit per window. One request may exceed the limit, and the excess
+/// counts against the following ones: divided among hundreds of instances, a quota would otherwise admit
+/// nothing at all. A token bucket that fills every second would refuse the second of two requests that
+/// arrive together once a minute.
 #[derive(Debug)]
-struct Parted<'a> {
-    past: &'a Past,
+struct Window<'a> {
+    history: &'a History,
     now: clock::Instant,
     limit: f64,
 }
 
-impl Policy for Parted<'_> {
+impl Policy for Window<'_> {
     fn admit(&mut self) -> Result<(), Duration> {
-        if self.past.sum() < self.limit {
+        if self.history.sum() < self.limit {
             return Ok(());
         }
-        Err(self.past.until_below(self.now, self.limit))
+        Err(self.history.time_until_below(self.now, self.limit))
     }
 }
 
-fn wait(missing: f64, per_second: f64) -> Duration {
+fn wait_for(missing: f64, per_second: f64) -> Duration {
     let wait = Duration::try_from_secs_f64(missing / per_second);
-    wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT)
+    wait.unwrap_or(MAX_WAIT).min(MAX_WAIT)
 }
 
-/// What was admitted in the last window. It is kept up also while the steward's shares are followed, so that an instance
-/// which then loses the steward knows what it has used.
+/// The admitted cost over the last window. It is recorded also while the steward's shares are valid, so
+/// that an instance that then loses the steward knows its own use.
 #[derive(Clone, Debug)]
-struct Past {
+struct History {
     window: Duration,
-    /// Spans of a part of the window, with when each began.
+    /// The start and the admitted cost of each span of the window, the oldest first.
     spans: VecDeque<(clock::Instant, f64)>,
 }
 
-impl Past {
+impl History {
     fn new(window: Duration) -> Self {
         Self {
             window,
@@ -98,22 +101,23 @@
         }
     }
 
-    /// A past in which so much was admitted in each second.
-    fn used(now: clock::Instant, window: Duration, per_second: f64) -> Self {
-        let mut past = Self::new(window);
-        let span = window / SPANS;
-        for place in (1..=SPANS).rev() {
-            let began = now.before(span * place);
-            past.spans
-                .push_back((began, per_second * span.as_secs_f64()));
+    /// Creates a history in which `per_second` was admitted in each second.
+    fn at_rate(now: clock::Instant, window: Duration, per_second: f64) -> Self {
+        let mut history = Self::new(window);
+        let span = window / SPAN_COUNT;
+        for age in (1..=SPAN_COUNT).rev() {
+            let start = now.before(span * age);
+            history
+                .spans
+                .push_back((start, per_second * span.as_secs_f64()));
         }
-        past
+        history
     }
 
-    fn forget(&mut self, now: clock::Instant) {
-        let length = self.window + self.window / SPANS;
-        while let Some((began, _)) = self.spans.front() {
-            if now.since(*began) <= length {
+    fn prune(&mut self, now: clock::Instant) {
+        let length = self.window + self.window / SPAN_COUNT;
+        while let Some((start, _)) = self.spans.front() {
+            if now.since(*start) <= length {
                 break;
             }
             self.spans.pop_front();
@@ -122,7 +126,7 @@
 
     fn add(&mut self, now: clock::Instant, amount: f64) {
         match self.spans.back_mut() {
-            Some((began, sum)) if now.since(*began) < self.window / SPANS => *sum += amount,
+            Some((start, sum)) if now.since(*start) < self.window / SPAN_COUNT => *sum += amount,
             _ => self.spans.push_back((now, amount)),
         }
     }
@@ -131,13 +135,13 @@
         self.spans.iter().map(|(_, sum)| sum).sum()
     }
 
-    /// What was admitted in each span, beginning with the one that ends now.
+    /// The cost admitted in each span, beginning with the span that ends now.
     fn newest_first(&self, now: clock::Instant) -> Vec<u32> {
-        let length = self.window / SPANS;
-        let mut sums = vec![0.0; SPANS as usize];
-        for (began, amount) in &self.spans {
-            let place = now.since(*began).div_duration_f64(length) as usize;
-            if let Some(sum) = sums.get_mut(place) {
+        let length = self.window / SPAN_COUNT;
+        let mut sums = vec![0.0; SPAN_COUNT as usize];
+        for (start, amount) in &self.spans {
+            let index = now.since(*start).div_duration_f64(length) as usize;
+            if let Some(sum) = sums.get_mut(index) {
                 *sum += amount;
             }
         }
@@ -145,127 +149,134 @@
         sums.map(|sum: f64| sum.max(0.0).round() as u32).collect()
     }
 
-    fn until_below(&self, now: clock::Instant, limit: f64) -> Duration {
+    fn time_until_below(&self, now: clock::Instant, limit: f64) -> Duration {
         let mut sum = self.sum();
-        for (began, amount) in &self.spans {
+        for (start, amount) in &self.spans {
             sum -= amount;
             if sum < limit {
-                return began.after(self.window).since(now).min(LONGEST_WAIT);
+                return start.after(self.window).since(now).min(MAX_WAIT);
             }
         }
-        LONGEST_WAIT
+        MAX_WAIT
     }
 }
 
-/// One organisation's quota at one instance.
+/// An organisation's quota at one instance.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    told: Option<Share>,
-    past: Option<Past>,
-    balance: f64,
-    /// What it admits in a second.
-    own: rate::Rate,
-    /// The same when the steward told what all admit: together with that it gives this instance's part.
-    kept: f64,
-    offering: rate::Rate,
+    share: Option<Share>,
+    history: Option<History>,
+    credit: f64,
+    /// The cost that this instance admits per second.
+    admitted_rate: rate::Rate,
+    /// The admitted rate when the steward's share was last updated. Together with the total of all
+    /// instances in that update, it determines this instance's part.
+    rate_at_update: f64,
+    offered_rate: rate::Rate,
     offered: f64,
     admitted: f64,
-    /// The steward hasn't been told what was admitted before the link to it.
-    untold: bool,
+    /// The use before the link to the steward was opened is not yet reported.
+    history_unreported: bool,
 }
 
-/// What an instance knows when a request comes.
+/// The state of an instance when a request arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct View {
-    /// The time.
+    /// The current time.
     pub now: clock::Instant,
-    /// The quota holds over any span of this length.
+    /// The length of the window over which the quota holds.
     pub window: Duration,
-    /// Instances that share the quota.
+    /// The number of instances that share the quota.
     pub instances: usize,
-    /// The steward's shares are young enough to be followed.
+    /// The steward's shares are recent enough to be followed.
     pub shares_valid: bool,
 }
 
 impl Gate {
-    /// A gate of an instance that has admitted nothing. `draw`, from 0 to 1, is where in its share it begins: if all
-    /// instances began at the same place, all would admit their first request.
+    /// Creates a gate that has admitted nothing. `draw`, from 0 to 1, is the initial fraction of an
+    /// admission: if all instances began at the same fraction, all would admit their first request.
     #[must_use]
     pub fn new(draw: f64) -> Self {
         Self {
-            told: None,
-            past: None,
-            balance: draw,
-            own: rate::Rate::default(),
-            kept: 0.0,
-            offering: rate::Rate::default(),
+            share: None,
+            history: None,
+            credit: draw,
+            admitted_rate: rate::Rate::default(),
+            rate_at_update: 0.0,
+            offered_rate: rate::Rate::default(),
             offered: 0.0,
             admitted: 0.0,
-            untold: true,
+            history_unreported: true,
         }
     }
 
-    /// The steward tells the organisation's share; none if it doesn't know the organisation.
+    /// Updates the organisation's share; `None` if the steward does not know the organisation.
     pub fn update_share(&mut self, now: clock::Instant, share: Option<Share>) {
-        self.kept = self.own.per_second(now, USE_HALF_LIFE);
-        self.told = share;
+        self.rate_at_update = self.admitted_rate.per_second(now, USE_HALF_LIFE);
+        self.share = share;
     }
 
-    /// Admits a request that counts `cost`.
+    /// Decides on a request of this cost.
     ///
     /// # Errors
     ///
-    /// How long until a request is likely to be admitted.
+    /// Returns the time until a request is likely to be admitted if this one is refused.
     pub fn admit(&mut self, view: View, quota: &Quota, cost: f64) -> Result<(), Duration> {
         let now = view.now;
-        let part = self.part(view, quota);
+        let rate = self.local_rate(view, quota);
         let window = view.window;
-        // An instance that has just started doesn't know what was admitted before: as much as it may.
-        let fresh = || Past::used(now, window, part);
-        let past = self.past.get_or_insert_with(fresh);
-        past.forget(now);
+        // An instance that has just started does not know what was admitted before, and assumes its full
+        // rate.
+        let at_full_rate = || History::at_rate(now, window, rate);
+        let history = self.history.get_or_insert_with(at_full_rate);
+        history.prune(now);
         self.offered += cost;
-        self.offering.add(now, OFFER_HALF_LIFE, 1.0);
-        let told = self.told.as_ref().filter(|_| view.shares_valid);
-        if let Some(told) = told {
-            let mut policy = Shared {
-                admit: told.admit.into(),
-                offered: self.offering.per_second(now, OFFER_HALF_LIFE),
-                balance: &mut self.balance,
+        self.offered_rate.add(now, OFFER_HALF_LIFE, 1.0);
+        let share = self.share.as_ref().filter(|_| view.shares_valid);
+        if let Some(share) = share {
+            let mut policy = Sampler {
+                admit: share.admit.into(),
+                offered: self.offered_rate.per_second(now, OFFER_HALF_LIFE),
+                credit: &mut self.credit,
             };
             policy.admit()?;
         } else {
-            let burst = quota.burst / quota.per_second;
-            let limit = part * (window.as_secs_f64() + burst);
-            Parted { past, now, limit }.admit()?;
+            let burst_s = quota.burst / quota.per_second;
+            let limit = rate * (window.as_secs_f64() + burst_s);
+            Window {
+                history,
+                now,
+                limit,
+            }
+            .admit()?;
         }
-        past.add(now, cost);
+        history.add(now, cost);
         self.admitted += cost;
-        self.own.add(now, USE_HALF_LIFE, cost);
+        self.admitted_rate.add(now, USE_HALF_LIFE, cost);
         Ok(())
     }
 
-    /// A request that was admitted has not run and won't.
+    /// Refunds the cost of an admitted request that did not run and will not.
     pub fn refund(&mut self, now: clock::Instant, cost: f64) {
         self.admitted -= cost;
-        self.own.add(now, USE_HALF_LIFE, -cost);
-        if let Some(past) = &mut self.past {
-            past.add(now, -cost);
+        self.admitted_rate.add(now, USE_HALF_LIFE, -cost);
+        if let Some(history) = &mut self.history {
+            history.add(now, -cost);
         }
     }
 
-    /// A link was made. A steward that has acted all the while left this instance its part; a new one must know what was
-    /// admitted before it.
+    /// Resets the reported usage when a link is opened. A steward that was active throughout has reserved
+    /// this instance's part; a new one must learn what was admitted before it.
     pub fn link_opened(&mut self) {
         self.offered = 0.0;
         self.admitted = 0.0;
-        self.untold = true;
+        self.history_unreported = true;
     }
 
-    /// What was asked and admitted since this was called last; none if nothing was.
+    /// Takes the usage since the last call; `None` if there was none.
     pub fn take_usage(&mut self, now: clock::Instant, organisation: &SmolStr) -> Option<Usage> {
-        let past = self.past.as_ref().filter(|_| self.untold);
-        let before = past.map_or_else(Vec::new, |past| past.newest_first(now));
+        let history = self.history.as_ref().filter(|_| self.history_unreported);
+        let before = history.map_or_else(Vec::new, |history| history.newest_first(now));
         if self.offered == 0.0 && self.admitted == 0.0 && before.is_empty() {
             return None;
         }
@@ -277,19 +288,24 @@
         };
         self.offered = 0.0;
         self.admitted = 0.0;
-        self.untold = false;
+        self.history_unreported = false;
         Some(usage)
     }
 
-    /// What this instance may admit in a second by itself: as much as it did before, and a part of what nobody used. Half
-    /// of that goes by use, since callers stay at their instances, and half equally, since some may come. Over all instances
-    /// that is the quota.
-    fn part(&self, view: View, quota: &Quota) -> f64 {
-        let used = self.told.as_ref().map_or(0.0, |told| told.used.into());
+    /// The rate that this instance may admit by itself: its previous rate and a part of the unused quota.
+    /// One half of that part is proportional to use, since callers stay at their instances, and one half is
+    /// equal for all, since new callers may come. The rates of all instances add up to the quota.
+    fn local_rate(&self, view: View, quota: &Quota) -> f64 {
+        let used = self.share.as_ref().map_or(0.0, |share| share.used.into());
         let unused = (quota.per_second - used).max(0.0);
-        let by_use = if used > 0.0 { self.kept / used } else { 0.0 };
-        let equal = 1.0 / view.instances.max(1) as f64;
-        let part = self.kept + unused * (by_use * BY_USE + equal * (1.0 - BY_USE));
-        part.min(quota.per_second)
+        let use_ratio = if used > 0.0 {
+            self.rate_at_update / used
+        } else {
+            0.0
+        };
+        let equal_ratio = 1.0 / view.instances.max(1) as f64;
+        let rate = self.rate_at_update
+            + unused * (use_ratio * USE_BASED_RATIO + equal_ratio * (1.0 - USE_BASED_RATIO));
+        rate.min(quota.per_second)
     }
 }
--- a/crates/fireflywheel/src/fleet/quota/meter.rs
+++ b/crates/fireflywheel/src/fleet/quota/meter.rs
@@ -1,93 +1,99 @@
-//! What all instances admit for organisations, as the steward counts it.
+//! The steward's account of what all instances admit for organisations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-use super::{Quota, SPANS, Share, Usage};
+use super::{Quota, SPAN_COUNT, Share, Usage};
 use crate::clock;
 use crate::fleet::{organisation, rate};
 
-/// What is asked for is measured over this: longer than instances take to tell, shorter than a crowd takes to use a burst.
+/// The half-life of the measured offered rate: longer than instances take to report, shorter than a surge
+/// takes to use up a burst.
 const OFFER_HALF_LIFE: Duration = Duration::from_millis(300);
-/// What is admitted, from which follow the parts of instances without a steward.
+/// The half-life of the measured admitted rate, which determines the rates of instances without a steward.
 const USE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// What is left of the burst, or lacks, is spread over this.
-const CORRECTION: Duration = Duration::from_millis(300);
-/// What was admitted beyond the quota is made up for up to this many bursts, or seconds if there is none: an organisation
-/// isn't shut out for long by what nobody could know.
-const MOST_DEBT: f64 = 4.0;
-/// Links that are made later than this after a steward began were to it before: it counted what came over them.
-const INHERITED: Duration = Duration::from_secs(4);
-/// A new steward doesn't know what was admitted before it: it begins with this share of the burst.
-const START: f64 = 0.25;
-/// An instance whose link has ended may go on with its part. It is left to it for this long, unless it comes back.
-const AWAY: Duration = Duration::from_secs(30);
-
-/// All organisations' quotas.
+/// The time over which the rest of the burst is used up or a deficit is made up for.
+const CORRECTION_TIME: Duration = Duration::from_millis(300);
+/// The most that an organisation makes up for after it was admitted more than its quota, in bursts, or in
+/// seconds of its rate if it has a smaller burst. A larger debt would exclude the organisation for long for
+/// an excess that no instance could know of.
+const MAX_DEBT_RATIO: f64 = 4.0;
+/// How long after its start a steward takes over the use before a link. A link that is opened later was
+/// connected to this steward before, so the steward has counted what was reported over it.
+const INHERITANCE_PERIOD: Duration = Duration::from_secs(4);
+/// The part of the burst with which a new steward begins, because it does not know what was admitted
+/// before.
+const INITIAL_BURST_RATIO: f64 = 0.25;
+/// How long the part of an instance whose link has closed remains reserved, unless the instance reconnects:
+/// it may continue to admit that part.
+const RESERVATION_TTL: Duration = Duration::from_secs(30);
+
+/// The quotas of all organisations.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     accounts: BTreeMap<SmolStr, Account>,
     linked: BTreeSet<SmolStr>,
-    /// Instances whose links have ended, and when.
-    away: BTreeMap<SmolStr, clock::Instant>,
+    /// Instances whose links have closed, with the time of closing.
+    disconnected: BTreeMap<SmolStr, clock::Instant>,
 }
 
-/// A quota, and the span over which it holds.
+/// A quota and the window over which it holds.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     quota: Quota,
     window: Duration,
 }
 
-/// Instances that have no link now.
+/// The numbers of instances without a link.
 #[derive(Clone, Copy, Debug)]
-struct Silence {
-    /// Those that had one.
-    away: usize,
-    /// Those that this steward has never heard of.
+struct Absence {
+    /// Instances whose link has closed.
+    disconnected: usize,
+    /// Instances that this steward has never had a link to.
     unknown: usize,
-    /// All instances.
+    /// All instances, with or without a link.
     instances: usize,
 }
 
-/// One organisation's use.
+/// One organisation's use of its quota.
 #[derive(Clone, Debug)]
 struct Account {
     level: f64,
-    filled: clock::Instant,
+    filled_at: clock::Instant,
     /// When this steward began to count.
-    begun: clock::Instant,
+    started_at: clock::Instant,
     limit: Limit,
     offered: rate::Rate,
     admitted: rate::Rate,
     by_instance: BTreeMap<SmolStr, rate::Rate>,
-    /// What was set aside for instances without a link when the share was decided last.
-    aside: f64,
-    /// What was admitted before links were made to this steward, in spans of the window, the newest first.
-    before: Vec<f64>,
-    /// How far that went beyond the quota.
-    debt: f64,
-    /// What instances that are away may admit in a second.
-    reserved: BTreeMap<SmolStr, f64>,
+    /// The rate reserved for instances without a link at the last decision on the share.
+    reserved_rate: f64,
+    /// The cost admitted before links were opened to this steward, in spans of the window, the newest
+    /// first.
+    inherited: Vec<f64>,
+    /// By how much `inherited` exceeded the quota.
+    inherited_debt: f64,
+    /// The rates that disconnected instances may admit, per second.
+    reserved_by_instance: BTreeMap<SmolStr, f64>,
 }
 
-/// What decides an organisation's share.
+/// The figures that determine an organisation's share.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// What it asks for in a second.
+    /// The cost offered per second.
     pub offered: f64,
-    /// What is admitted for it in a second.
+    /// The cost admitted per second.
     pub used: f64,
-    /// What is left of its burst; below zero what has to be made up for.
+    /// The remaining burst; a negative value has to be made up for.
     pub level: f64,
-    /// What instances without a link may admit for it in a second.
+    /// The rate that instances without a link may admit, per second.
     pub reserved: f64,
 }
 
 impl Meter {
-    /// What decides the share of an organisation.
+    /// The figures that determine the share of an organisation; `None` if it has no quota.
     #[must_use]
     pub fn figures(&self, now: clock::Instant, organisation: &str) -> Option<Figures> {
         let account = self.accounts.get(organisation)?;
@@ -95,45 +101,47 @@
             offered: account.offered.per_second(now, OFFER_HALF_LIFE),
             used: account.admitted.per_second(now, USE_HALF_LIFE),
             level: account.level,
-            reserved: account.aside,
+            reserved: account.reserved_rate,
         })
     }
 
-    /// An instance has a link, or had one all along.
+    /// Records that an instance has a link.
     pub fn link_opened(&mut self, instance: &SmolStr) {
         self.linked.insert(instance.clone());
-        self.away.remove(instance);
+        self.disconnected.remove(instance);
         for account in self.accounts.values_mut() {
-            account.reserved.remove(instance);
+            account.reserved_by_instance.remove(instance);
         }
     }
 
-    /// An instance's link has ended: it may admit its part without telling.
+    /// Records that an instance's link has closed: the instance may admit its part without reporting it.
     pub fn link_closed(&mut self, now: clock::Instant, instance: &SmolStr) {
         if !self.linked.remove(instance) {
             return;
         }
-        self.away.insert(instance.clone(), now);
+        self.disconnected.insert(instance.clone(), now);
         for account in self.accounts.values_mut() {
-            if let Some(own) = account.by_instance.remove(instance) {
-                let own = own.per_second(now, USE_HALF_LIFE);
-                account.reserved.insert(instance.clone(), own);
+            if let Some(rate) = account.by_instance.remove(instance) {
+                let per_second = rate.per_second(now, USE_HALF_LIFE);
+                account
+                    .reserved_by_instance
+                    .insert(instance.clone(), per_second);
             }
         }
     }
 
-    /// An instance tells what it was asked for and admitted.
+    /// Records the usage that an instance reports.
     pub fn record_usage(&mut self, now: clock::Instant, instance: &SmolStr, usage: &[Usage]) {
         self.link_opened(instance);
         for used in usage {
             if let Some(account) = self.accounts.get_mut(&used.organisation) {
-                account.use_up(now, instance, used);
+                account.charge(now, instance, used);
             }
         }
     }
 
-    /// The shares of all organisations with a quota. `instances` is how many instances there are, also those that this
-    /// steward hasn't heard of; quotas hold over any `window`.
+    /// Decides the shares of all organisations with a quota. `instances` is the number of all instances,
+    /// including those that this steward has no report from; quotas hold over any `window`.
     pub fn shares(
         &mut self,
         now: clock::Instant,
@@ -141,9 +149,10 @@
         instances: usize,
         window: Duration,
     ) -> Vec<Share> {
-        self.away.retain(|_, since| now.since(*since) < AWAY);
-        let away = &self.away;
-        let known = self.linked.len() + away.len();
+        self.disconnected
+            .retain(|_, since| now.since(*since) < RESERVATION_TTL);
+        let disconnected = &self.disconnected;
+        let known = self.linked.len() + disconnected.len();
         let limited = organisations
             .iter()
             .filter_map(|organisation| Some((&organisation.name, organisation.quota?)));
@@ -152,15 +161,17 @@
         for (name, quota) in limited {
             let account = self.accounts.remove(name);
             let mut account = account.unwrap_or_else(|| Account::new(now, &quota, window));
-            account.reserved.retain(|name, _| away.contains_key(name));
-            let silence = Silence {
-                away: away.len(),
+            account
+                .reserved_by_instance
+                .retain(|instance, _| disconnected.contains_key(instance));
+            let absence = Absence {
+                disconnected: disconnected.len(),
                 unknown: instances.saturating_sub(known),
                 instances: instances.max(known),
             };
             shares.push(Share {
                 organisation: name.clone(),
-                admit: account.share(now, &quota, silence) as f32,
+                admit: account.share(now, &quota, absence) as f32,
                 used: account.admitted.per_second(now, USE_HALF_LIFE) as f32,
             });
             accounts.insert(name.clone(), account);
@@ -171,14 +182,15 @@
 }
 
 impl Account {
-    /// Until more is known, all of the quota counts as used: instances would take what is unused for theirs.
+    /// Until more is known, the whole quota counts as used: instances would otherwise claim the unused
+    /// part.
     fn new(now: clock::Instant, quota: &Quota, window: Duration) -> Self {
         let mut admitted = rate::Rate::default();
         admitted.add_rate(now, USE_HALF_LIFE, quota.per_second);
         Self {
-            level: quota.burst * START,
-            filled: now,
-            begun: now,
+            level: quota.burst * INITIAL_BURST_RATIO,
+            filled_at: now,
+            started_at: now,
             limit: Limit {
                 quota: *quota,
                 window,
@@ -186,33 +198,33 @@
             offered: rate::Rate::default(),
             admitted,
             by_instance: BTreeMap::new(),
-            aside: 0.0,
-            before: Vec::new(),
-            debt: 0.0,
-            reserved: BTreeMap::new(),
+            reserved_rate: 0.0,
+            inherited: Vec::new(),
+            inherited_debt: 0.0,
+            reserved_by_instance: BTreeMap::new(),
         }
     }
 
-    /// A new steward makes up for what was admitted before it beyond the quota.
+    /// Charges a new steward's account for what was admitted beyond the quota before its links were opened.
     fn inherit(&mut self, quota: &Quota, window: Duration, before: &[u32]) {
-        let spans = self.before.len().max(before.len());
-        self.before.resize(spans, 0.0);
-        for (sum, admitted) in self.before.iter_mut().zip(before) {
+        let spans = self.inherited.len().max(before.len());
+        self.inherited.resize(spans, 0.0);
+        for (sum, admitted) in self.inherited.iter_mut().zip(before) {
             *sum += f64::from(*admitted);
         }
-        let span = window.as_secs_f64() / f64::from(SPANS);
+        let span = window.as_secs_f64() / f64::from(SPAN_COUNT);
         let (mut admitted, mut allowed, mut debt) = (0.0, quota.burst, 0.0_f64);
-        for sum in &self.before {
+        for sum in &self.inherited {
             admitted += sum;
             allowed += quota.per_second * span;
             debt = debt.max(admitted - allowed);
         }
-        self.level -= debt - self.debt;
-        self.debt = debt;
+        self.level -= debt - self.inherited_debt;
+        self.inherited_debt = debt;
     }
 
-    fn use_up(&mut self, now: clock::Instant, instance: &SmolStr, used: &Usage) {
-        if now.since(self.begun) < INHERITED {
+    fn charge(&mut self, now: clock::Instant, instance: &SmolStr, used: &Usage) {
+        if now.since(self.started_at) < INHERITANCE_PERIOD {
             let Limit { quota, window } = self.limit;
             self.inherit(&quota, window, &used.before);
         }
@@ -220,24 +232,24 @@
         self.offered.add(now, OFFER_HALF_LIFE, used.offered.into());
         self.admitted.add(now, USE_HALF_LIFE, admitted);
         self.level -= admitted;
-        let own = self.by_instance.entry(instance.clone()).or_default();
-        own.add(now, USE_HALF_LIFE, admitted);
+        let rate = self.by_instance.entry(instance.clone()).or_default();
+        rate.add(now, USE_HALF_LIFE, admitted);
     }
 
-    /// The share to admit while some instances admit their parts without telling.
-    fn share(&mut self, now: clock::Instant, quota: &Quota, silence: Silence) -> f64 {
+    /// The share to admit while some instances admit their parts without reporting them.
+    fn share(&mut self, now: clock::Instant, quota: &Quota, absence: Absence) -> f64 {
         self.limit.quota = *quota;
         let used = self.admitted.per_second(now, USE_HALF_LIFE);
         let unused = (quota.per_second - used).max(0.0);
-        let instances = silence.instances.max(1) as f64;
-        let reserved = self.reserved.values().sum::<f64>()
-            + unused / instances * silence.away as f64
-            + quota.per_second / instances * silence.unknown as f64;
-        self.aside = reserved;
+        let instances = absence.instances.max(1) as f64;
+        let reserved = self.reserved_by_instance.values().sum::<f64>()
+            + unused / instances * absence.disconnected as f64
+            + quota.per_second / instances * absence.unknown as f64;
+        self.reserved_rate = reserved;
         let per_second = (quota.per_second - reserved).max(0.0);
         self.fill(now, quota, per_second);
         let offered = self.offered.per_second(now, OFFER_HALF_LIFE);
-        let allowed = per_second + self.level / CORRECTION.as_secs_f64();
+        let allowed = per_second + self.level / CORRECTION_TIME.as_secs_f64();
         if allowed >= offered {
             return 1.0;
         }
@@ -245,11 +257,11 @@
     }
 
     fn fill(&mut self, now: clock::Instant, quota: &Quota, per_second: f64) {
-        let elapsed = now.since(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        let lowest = -quota.burst.max(quota.per_second) * MOST_DEBT - self.debt;
+        let elapsed = now.since(self.filled_at).as_secs_f64();
+        self.filled_at = self.filled_at.max(now);
+        let min_level = -quota.burst.max(quota.per_second) * MAX_DEBT_RATIO - self.inherited_debt;
         self.level = (self.level + elapsed * per_second)
             .min(quota.burst)
-            .max(lowest);
+            .max(min_level);
     }
 }
--- a/crates/fireflywheel/tests/fleet/quota/fleet.rs
+++ b/crates/fireflywheel/tests/fleet/quota/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances and a steward that share one organisation's quota, in virtual time.
+//! A simulation, in virtual time, of instances and a steward that enforce one organisation's quota.
 
 use std::time::Duration;
 
@@ -11,54 +11,54 @@
 use rand::{Rng as _, SeedableRng as _};
 use smol_str::{SmolStr, format_smolstr};
 
-/// Time between two steps, in milliseconds.
-const STEP: u64 = 5;
-/// The window over which a quota is checked, in milliseconds.
-pub const WINDOW: u64 = 8_000;
-/// What may be admitted beyond the quota, as a share of it and in tokens for each instance.
-const OVERAGE: f64 = 0.1;
-const SLACK_AN_INSTANCE: f64 = 667.0;
-/// A link that is cut is noticed after this, in milliseconds.
-const SILENCE: u64 = 900;
-/// How long a frame takes, in milliseconds.
-const TRANSIT: u64 = 10;
-/// Requests of this many tokens each.
+/// The time between two steps, in milliseconds.
+const STEP_MS: u64 = 5;
+/// The window over which the quota is checked, in milliseconds.
+pub const WINDOW_MS: u64 = 8_000;
+/// What may be admitted beyond the quota: a share of the quota, and tokens per instance.
+const OVERAGE_RATIO: f64 = 0.1;
+const SLACK_PER_INSTANCE: f64 = 667.0;
+/// The time after which a lost link is detected, in milliseconds.
+const LINK_TIMEOUT_MS: u64 = 900;
+/// The transit time of a frame, in milliseconds.
+const TRANSIT_MS: u64 = 10;
+/// The tokens of each request.
 pub const COST: u32 = 715;
 
-/// What happens to the fleet, from one time to another in milliseconds.
+/// A failure, between two times in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
-    /// Nobody is steward; the next one knows nothing.
+pub enum Fault {
+    /// There is no steward; the next one has no state.
     NoSteward,
-    /// The first instances, this share of all, reach no steward.
-    Cut(f64),
-    /// All processes end; they are linked again at the end.
+    /// This share of all instances, the first ones, cannot reach the steward.
+    Partition(f64),
+    /// All processes are killed; they restart and reconnect at the end.
     AllKilled,
 }
 
-/// A load and what happens meanwhile.
+/// A scenario: a load and the failures during it.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct Scenario {
     pub instances: usize,
     pub quota: f64,
-    /// Instances at which the organisation's callers are.
-    pub callers_at: usize,
-    /// What it asks for, as a share of the quota, from this time on in milliseconds.
+    /// The number of instances that the organisation's callers are connected to.
+    pub caller_instances: usize,
+    /// The offered load as a share of the quota, each from a time in milliseconds on.
     pub load: Vec<(u64, f64)>,
-    /// The quota is divided by this from this time on.
+    /// The time from which on the quota is lowered, and the divisor.
     pub lowered: Option<(u64, f64)>,
-    pub troubles: Vec<(u64, u64, Trouble)>,
-    /// The size of a request.
+    pub faults: Vec<(u64, u64, Fault)>,
+    /// The tokens of a request.
     pub cost: u32,
     /// Whether instances follow the steward's shares.
     pub coordinated: bool,
     pub seed: u64,
 }
 
-/// What was admitted and refused.
+/// The admitted and refused requests.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Time and tokens of each request that was admitted.
+    /// The time and the tokens of each admitted request.
     pub admitted: Vec<(u64, f64)>,
     pub refused: Vec<(u64, f64)>,
 }
@@ -66,34 +66,34 @@
 struct Instance {
     name: SmolStr,
     gate: Gate,
-    told_until: Instant,
-    ever_told: bool,
+    shares_expiry: Instant,
+    has_shares: bool,
     linked: bool,
-    arriving: Vec<(u64, Vec<Share>, u64)>,
+    incoming: Vec<(u64, Vec<Share>, u64)>,
 }
 
 impl Instance {
-    fn new(place: usize, rng: &mut SmallRng) -> Self {
+    fn new(index: usize, rng: &mut SmallRng) -> Self {
         Self {
-            name: format_smolstr!("i{place}"),
+            name: format_smolstr!("i{index}"),
             gate: Gate::new(rng.random()),
-            told_until: Instant(0),
-            ever_told: false,
+            shares_expiry: Instant(0),
+            has_shares: false,
             linked: false,
-            arriving: Vec::new(),
+            incoming: Vec::new(),
         }
     }
 }
 
-impl Default for Play {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             instances: 108,
             quota: 18_000.0,
-            callers_at: 108,
+            caller_instances: 108,
             load: vec![(0, 0.55)],
             lowered: None,
-            troubles: Vec::new(),
+            faults: Vec::new(),
             cost: COST,
             coordinated: true,
             seed: 1,
@@ -103,12 +103,12 @@
 
 fn registry(per_second: f64) -> Registry {
     let unit = Unit::Tokens { plain: 200.0 };
-    let quota = Quota::new(per_second, per_second, unit).expect("a limit");
+    let quota = Quota::new(per_second, per_second, unit).expect("a valid limit");
     let organisation = Organisation::new("desk").with_quota(quota.expect("it is a limit"));
     Registry::new([(organisation, vec![Credential::of("k")])]).expect("one organisation")
 }
 
-impl Play {
+impl Scenario {
     fn quota_at(&self, now: u64) -> f64 {
         match self.lowered {
             Some((at, by)) if now >= at => self.quota / by,
@@ -117,63 +117,64 @@
     }
 
     fn load_at(&self, now: u64) -> f64 {
-        let begun = self.load.iter().rev().find(|(at, _)| now >= *at);
-        begun.map_or(0.0, |(_, load)| *load)
+        let step = self.load.iter().rev().find(|(at, _)| now >= *at);
+        step.map_or(0.0, |(_, load)| *load)
     }
 
-    fn is(&self, now: u64, kind: impl Fn(Trouble) -> bool) -> bool {
-        let mut troubles = self.troubles.iter();
-        troubles.any(|(from, until, trouble)| (*from..*until).contains(&now) && kind(*trouble))
+    fn has_fault(&self, now: u64, matches_fault: impl Fn(Fault) -> bool) -> bool {
+        let mut faults = self.faults.iter();
+        faults.any(|(from, until, fault)| (*from..*until).contains(&now) && matches_fault(*fault))
     }
 
-    fn cut(&self, now: u64, place: usize) -> bool {
-        self.is(now, |trouble| match trouble {
-            Trouble::Cut(share) => place < (share * self.instances as f64) as usize,
-            Trouble::NoSteward | Trouble::AllKilled => false,
+    fn is_partitioned(&self, now: u64, index: usize) -> bool {
+        self.has_fault(now, |fault| match fault {
+            Fault::Partition(share) => index < (share * self.instances as f64) as usize,
+            Fault::NoSteward | Fault::AllKilled => false,
         })
     }
 
-    /// Plays it until `end` milliseconds.
+    /// Runs the scenario until `end`, in milliseconds.
     pub fn run(&self, end: u64) -> Outcome {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut instances: Vec<Instance> = (0..self.instances)
-            .map(|place| Instance::new(place, &mut rng))
+            .map(|index| Instance::new(index, &mut rng))
             .collect();
         let mut meter = Meter::default();
         let mut outcome = Outcome::default();
-        let tell_every = (3 * self.instances as u64 / 4).clamp(50, 300);
-        let report_every = (3 * self.instances as u64 / 5).clamp(6, 300);
+        let share_interval = (3 * self.instances as u64 / 4).clamp(50, 300);
+        let report_interval = (3 * self.instances as u64 / 5).clamp(6, 300);
         let mut had_steward = false;
-        for now in (0..end).step_by(STEP as usize) {
-            let killed = self.is(now, |trouble| matches!(trouble, Trouble::AllKilled));
-            let steward = !killed && !self.is(now, |trouble| matches!(trouble, Trouble::NoSteward));
+        for now in (0..end).step_by(STEP_MS as usize) {
+            let killed = self.has_fault(now, |fault| matches!(fault, Fault::AllKilled));
+            let steward =
+                !killed && !self.has_fault(now, |fault| matches!(fault, Fault::NoSteward));
             if steward && !had_steward {
                 meter = Meter::default();
             }
             had_steward = steward;
             let quota = self.quota_at(now);
             let registry = registry(quota);
-            for (place, instance) in instances.iter_mut().enumerate() {
+            for (index, instance) in instances.iter_mut().enumerate() {
                 if killed {
-                    *instance = Instance::new(place, &mut rng);
+                    *instance = Instance::new(index, &mut rng);
                     continue;
                 }
-                self.talk(now, place, instance, steward, &mut meter, report_every);
+                self.exchange_frames(now, index, instance, steward, &mut meter, report_interval);
             }
-            if steward && now % tell_every < STEP {
+            if steward && now % share_interval < STEP_MS {
                 let shares = meter.shares(
                     Instant(now),
                     &registry,
                     self.instances,
-                    Duration::from_millis(WINDOW),
+                    Duration::from_millis(WINDOW_MS),
                 );
                 for instance in instances.iter_mut().filter(|instance| instance.linked) {
-                    let arrives = now + TRANSIT;
-                    instance.arriving.push((arrives, shares.clone(), now));
+                    let arrives = now + TRANSIT_MS;
+                    instance.incoming.push((arrives, shares.clone(), now));
                 }
             }
             if !killed {
-                self.load(
+                self.offer_load(
                     now,
                     quota,
                     &mut instances,
@@ -186,48 +187,49 @@
         outcome
     }
 
-    fn talk(
+    fn exchange_frames(
         &self,
         now: u64,
-        place: usize,
+        index: usize,
         instance: &mut Instance,
         steward: bool,
         meter: &mut Meter,
-        report_every: u64,
+        report_interval: u64,
     ) {
-        let reaches = steward && !self.cut(now, place);
-        let was = now < SILENCE || !self.cut(now - SILENCE, place);
-        let unnoticed = steward && was && instance.linked;
-        if !reaches && !unnoticed {
+        let is_reachable = steward && !self.is_partitioned(now, index);
+        let was_reachable =
+            now < LINK_TIMEOUT_MS || !self.is_partitioned(now - LINK_TIMEOUT_MS, index);
+        let is_undetected = steward && was_reachable && instance.linked;
+        if !is_reachable && !is_undetected {
             if instance.linked && steward {
                 meter.link_closed(Instant(now), &instance.name);
             }
             instance.linked = false;
-            instance.arriving.clear();
+            instance.incoming.clear();
         }
-        if !reaches {
+        if !is_reachable {
             return;
         }
         if !instance.linked {
             instance.gate.link_opened();
         }
         instance.linked = true;
-        let offset = place as u64 * 7 % report_every;
-        if (now + offset) % report_every < STEP {
+        let offset = index as u64 * 7 % report_interval;
+        if (now + offset) % report_interval < STEP_MS {
             let usage = instance.gate.take_usage(Instant(now), &"desk".into());
             meter.record_usage(Instant(now), &instance.name, &Vec::from_iter(usage));
         }
-        while instance.arriving.first().is_some_and(|(at, ..)| *at <= now) {
-            let (_, shares, sent) = instance.arriving.remove(0);
+        while instance.incoming.first().is_some_and(|(at, ..)| *at <= now) {
+            let (_, shares, sent) = instance.incoming.remove(0);
             instance
                 .gate
                 .update_share(Instant(now), shares.into_iter().next());
-            instance.told_until = Instant(sent).after(SHARES_TTL);
-            instance.ever_told = true;
+            instance.shares_expiry = Instant(sent).after(SHARES_TTL);
+            instance.has_shares = true;
         }
     }
 
-    fn load(
+    fn offer_load(
         &self,
         now: u64,
         quota: f64,
@@ -238,24 +240,24 @@
     ) {
         let organisation = registry.iter().next().expect("there is one");
         let quota_now = organisation.quota.expect("it has one");
-        let asked = self.load_at(now) * self.quota.max(quota) * STEP as f64 / 1000.0;
-        let mut requests = asked / f64::from(self.cost);
+        let offered = self.load_at(now) * self.quota.max(quota) * STEP_MS as f64 / 1000.0;
+        let mut requests = offered / f64::from(self.cost);
         while requests > 0.0 {
             if requests < 1.0 && rng.random::<f64>() >= requests {
                 break;
             }
             requests -= 1.0;
-            let place = rng.random_range(0..self.callers_at);
-            let instance = &mut instances[self.instances - 1 - place];
+            let index = rng.random_range(0..self.caller_instances);
+            let instance = &mut instances[self.instances - 1 - index];
             let view = View {
                 now: Instant(now),
-                window: Duration::from_millis(WINDOW),
-                instances: if instance.ever_told {
+                window: Duration::from_millis(WINDOW_MS),
+                instances: if instance.has_shares {
                     self.instances
                 } else {
                     300.max(self.instances)
                 },
-                shares_valid: self.coordinated && Instant(now) < instance.told_until,
+                shares_valid: self.coordinated && Instant(now) < instance.shares_expiry,
             };
             let cost = f64::from(self.cost);
             let admitted = instance.gate.admit(view, &quota_now, cost).is_ok();
@@ -268,20 +270,20 @@
         }
     }
 
-    /// The most that may be admitted in any window.
+    /// The largest number of tokens that may be admitted in any window.
     pub fn bound(&self, quota: f64) -> f64 {
-        let window = Duration::from_millis(WINDOW).as_secs_f64();
-        quota * (window + 1.0) * (1.0 + OVERAGE) + SLACK_AN_INSTANCE * self.instances as f64
+        let window = Duration::from_millis(WINDOW_MS).as_secs_f64();
+        quota * (window + 1.0) * (1.0 + OVERAGE_RATIO) + SLACK_PER_INSTANCE * self.instances as f64
     }
 }
 
-/// The most that was admitted in a window that begins at `from` or later.
-pub fn most_in_a_window(admitted: &[(u64, f64)], from: u64) -> f64 {
+/// The largest number of tokens admitted in a window that begins at `from` or later.
+pub fn max_in_a_window(admitted: &[(u64, f64)], from: u64) -> f64 {
     let (mut first, mut sum, mut most) = (0, 0.0, 0.0_f64);
     let admitted: Vec<_> = admitted.iter().filter(|(at, _)| *at >= from).collect();
     for (at, cost) in &admitted {
         sum += cost;
-        while admitted[first].0 + WINDOW < *at {
+        while admitted[first].0 + WINDOW_MS < *at {
             sum -= admitted[first].1;
             first += 1;
         }
@@ -290,7 +292,7 @@
     most
 }
 
-/// What was admitted or refused between two times.
+/// The tokens of the requests between two times.
 pub fn sum(list: &[(u64, f64)], from: u64, until: u64) -> f64 {
     let within = list.iter().filter(|(at, _)| (from..until).contains(at));
     within.map(|(_, cost)| cost).sum()
