--- a/crates/fireflywheel/src/fleet/limit.rs
+++ b/crates/fireflywheel/src/fleet/limit.rs
@@ -1,9 +1,10 @@
-//! Limits that overloaded backend servers name, kept by all instances together.
+//! Request limits that overloaded backend servers announce, enforced by all instances together.
 //!
-//! A server names how many requests a second it takes from all instances. Some take so few that a part for each instance would
-//! be a request a minute, so they aren't divided. An instance asks the steward for a permit before each request to such a server
-//! ([`gate`]); the steward grants as many as the server takes ([`pacer`]). An instance without a steward sends by
-//! chance, so rarely that all together stay below the limit.
+//! A server announces how many requests per second it accepts from all instances. Some limits are so low
+//! that an equal part for each instance would be one request per minute, so limits are not divided.
+//! Instead, an instance asks the steward for a permit before each request to such a server ([`gate`]), and
+//! the steward grants permits at the rate that the server accepts ([`pacer`]). An instance without a
+//! steward sends requests at random, so rarely that all instances together stay below the limit.
 
 pub mod gate;
 pub mod pacer;
@@ -11,40 +12,41 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// What a server's answers say of its limit.
+/// A server's limit as stated in its answers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Notice {
-    /// The server.
+    /// The server's id.
     pub server: SmolStr,
-    /// Requests a second that it takes from all instances; none if it names no limit any more.
+    /// The requests per second that the server accepts from all instances; `None` if it no longer announces
+    /// a limit.
     pub per_second: Option<f64>,
 }
 
-/// A request waits for a permit.
+/// A request for a permit, on behalf of a waiting request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Request {
-    /// The server that it would go to.
+    /// The id of the server that the waiting request would go to.
     pub server: SmolStr,
-    /// How long it can wait, in milliseconds.
+    /// How long the waiting request can still wait, in milliseconds.
     pub left_ms: u32,
 }
 
-/// The steward's answer to an [`Request`].
+/// The steward's answer to a [`Request`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reply {
-    /// The server.
+    /// The server's id.
     pub server: SmolStr,
-    /// Whether one request may go there.
+    /// The decision on the request.
     pub outcome: Outcome,
 }
 
-/// What became of an [`Request`].
+/// The steward's decision on a [`Request`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// One request may go there now.
+    /// One request may be sent now.
     Granted,
-    /// It is in the queue, and has its turn in so many milliseconds.
+    /// The request is queued and expects its permit in this many milliseconds.
     Queued(u32),
-    /// Its turn would come too late, in so many milliseconds.
+    /// The permit would come too late; it would take this many milliseconds.
     Refused(u32),
 }
--- a/crates/fireflywheel/src/fleet/limit/gate.rs
+++ b/crates/fireflywheel/src/fleet/limit/gate.rs
@@ -1,4 +1,5 @@
-//! What one instance knows of one server's limit, and whether it may send a request there.
+//! One instance's state of one server's limit, and the decision whether it may send a request to that
+//! server.
 
 use std::time::Duration;
 
@@ -9,149 +10,159 @@
 use crate::clock;
 use crate::fleet::frame;
 
-/// A permit is used within this time or lapses: kept for longer, permits of several seconds could be used at once.
-const PERMIT_LASTS: Duration = Duration::from_millis(400);
-/// A steward that doesn't answer for so long isn't waited for.
-const STEWARD_SILENT: Duration = Duration::from_millis(600);
-/// A turn that is this late isn't waited for any more, and asked for again.
-const TURN_LATE: Duration = Duration::from_millis(500);
-/// Time between two asks for the same server that the steward refuses.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
-/// Without a steward all instances together send this share of what the server takes, on the average: draws may fall together, and a
-/// steward that only some have lost grants the whole limit to the others.
-const ALONE: f64 = 0.3;
-/// The steward is told again of a limit that answers go on naming.
-const RETELL: Duration = Duration::from_secs(5);
-/// A limit that nothing names any more is forgotten after this: a server that gets no requests can't say that it is well.
-const FORGOTTEN: Duration = Duration::from_secs(30);
-/// A limit below this counts as this, in requests a second: now and then a request shows whether it still holds.
-const LEAST: f64 = 0.05;
-/// The longest wait that is expected.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// How long a permit is valid. If permits were kept for longer, those of several seconds could be used at
+/// once.
+const PERMIT_TTL: Duration = Duration::from_millis(400);
+/// How long an instance waits for the steward's answer.
+const STEWARD_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long an instance waits for a queued permit past its expected time before it requests another one.
+const QUEUED_PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The interval between two requests for a permit for the same server after the steward refused one.
+const REFUSED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The share of a server's limit that all instances together use on average without a steward. It is below
+/// one because random draws may coincide, and because a steward that only some instances have lost grants
+/// the whole limit to the others.
+const UNCOORDINATED_RATIO: f64 = 0.3;
+/// The interval at which the steward is notified again of a limit that answers still announce.
+const NOTICE_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a limit remains in force after it was last announced: a server that gets no requests cannot
+/// announce that it has recovered.
+const LIMIT_TTL: Duration = Duration::from_secs(30);
+/// The lowest limit that is enforced, in requests per second: an occasional request shows whether the limit
+/// is still in force.
+const MIN_PER_SECOND: f64 = 0.05;
+/// The longest expected wait.
+const MAX_EXPECTED_WAIT: Duration = Duration::from_secs(30);
 
-/// What an instance knows when it asks whether it may send.
+/// The state of an instance when it decides whether to send a request.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// The time.
+    /// The current time.
     pub now: clock::Instant,
-    /// This instance's name: each draws its own numbers.
+    /// This instance's name, which makes its random draws differ from those of others.
     pub instance: &'a str,
-    /// Instances that share the limit.
+    /// The number of instances that share the limit.
     pub instances: usize,
     /// There is a steward that grants permits.
     pub steward: bool,
 }
 
-/// A limit as known here.
+/// A limit with the time at which it became known.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Limit {
     per_second: f64,
-    since: clock::Instant,
-    /// When an answer or the steward last named it.
-    confirmed: clock::Instant,
+    known_since: clock::Instant,
+    /// When an answer or the steward last stated the limit.
+    confirmed_at: clock::Instant,
 }
 
-impl Known {
-    fn update(known: Option<Self>, now: clock::Instant, per_second: f64) -> Self {
+impl Limit {
+    fn update(limit: Option<Self>, now: clock::Instant, per_second: f64) -> Self {
         Self {
             per_second,
-            since: known.map_or(now, |known| known.since),
-            confirmed: now,
+            known_since: limit.map_or(now, |limit| limit.known_since),
+            confirmed_at: now,
         }
     }
 }
 
-/// An ask that was made.
+/// A pending request for a permit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Pending {
-    /// To be told to the steward; how long its request can wait.
-    Untold(Duration),
-    /// Told, without an answer yet.
-    Told(clock::Instant),
-    /// Its turn is expected at this time.
+    /// Not yet sent to the steward; the waiting request can wait for this long.
+    Unsent(Duration),
+    /// Sent at this time, and not yet answered.
+    Sent(clock::Instant),
+    /// Queued by the steward; the permit is expected at this time.
     Queued(clock::Instant),
 }
 
-/// One server's limit at one instance. Without a limit it lets everything through.
+/// One server's limit at one instance. Without a limit, the gate admits every request.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
-    /// By answers that came here.
-    own: Option<Known>,
-    /// By the steward.
-    told: Option<Known>,
-    /// The steward hasn't heard yet what answers said.
-    untold: bool,
-    /// When it was told last.
-    told_at: Option<clock::Instant>,
-    pending: Option<Pending>,
-    /// When a permit lapses.
-    permit: Option<clock::Instant>,
-    /// The steward refused, and when a turn would have come.
-    refused: Option<(clock::Instant, clock::Instant)>,
-    /// The last round whose draw was used.
-    drawn: Option<u64>,
+    /// The limit stated in answers to this instance.
+    observed: Option<Limit>,
+    /// The limit reported by the steward.
+    reported: Option<Limit>,
+    /// The steward has not been notified of the latest answers.
+    notice_pending: bool,
+    /// When the steward was last notified.
+    notified_at: Option<clock::Instant>,
+    pending_request: Option<Pending>,
+    /// The expiry of the granted permit.
+    permit_expiry: Option<clock::Instant>,
+    /// When the steward refused a request, and when the permit would have been granted.
+    refusal: Option<(clock::Instant, clock::Instant)>,
+    /// The last round in which a draw was used.
+    last_draw_round: Option<u64>,
 }
 
 impl Gate {
-    /// An answer of the server names a limit. Returns whether that is news.
+    /// Records the limit stated in an answer of the server. Returns whether the limit in force changed.
     pub fn observe_limit(&mut self, now: clock::Instant, per_second: f64) -> bool {
         let before = self.per_second();
-        let changed = self.own.map(|own| own.per_second) != Some(per_second);
-        self.own = Some(Known::update(self.own, now, per_second));
-        let due = self.told_at.is_none_or(|at| now.since(at) >= RETELL);
-        self.untold |= changed || due;
+        let changed = self.observed.map(|observed| observed.per_second) != Some(per_second);
+        self.observed = Some(Limit::update(self.observed, now, per_second));
+        let is_notice_due = self
+            .notified_at
+            .is_none_or(|at| now.since(at) >= NOTICE_INTERVAL);
+        self.notice_pending |= changed || is_notice_due;
         before != self.per_second()
     }
 
-    /// An answer of the server to a request that was sent at `sent` names no limit. Returns whether that is news. One that was sent before
-    /// the limit was known here may have been answered before the server was overloaded.
+    /// Processes an answer without a limit, to a request that was sent at `sent`. Returns whether a limit
+    /// was lifted. An answer to a request that was sent before the limit became known here is ignored,
+    /// because it may have been given before the server was overloaded.
     pub fn observe_no_limit(&mut self, sent: clock::Instant) -> bool {
-        let since = [self.own, self.told].into_iter().flatten();
-        let Some(since) = since.map(|known| known.since).min() else {
+        let limits = [self.observed, self.reported].into_iter().flatten();
+        let Some(since) = limits.map(|limit| limit.known_since).min() else {
             return false;
         };
         if sent <= since {
             return false;
         }
         *self = Self {
-            untold: true,
+            notice_pending: true,
             ..Self::default()
         };
         true
     }
 
-    /// The steward tells the server's limit, or that it knows of none. Returns whether that is news.
+    /// Updates the limit that the steward reports; `None` if it knows of none. Returns whether the limit in
+    /// force changed.
     pub fn update_from_steward(&mut self, now: clock::Instant, per_second: Option<f64>) -> bool {
         let before = self.per_second();
-        self.told = per_second.map(|per_second| Known::update(self.told, now, per_second));
-        // It has heard what answers said here, and later from elsewhere that the limit is lifted.
-        if self.told.is_none() && !self.untold {
-            self.own = None;
+        self.reported = per_second.map(|per_second| Limit::update(self.reported, now, per_second));
+        // The steward was notified of this instance's answers, and later learned elsewhere that the limit
+        // is lifted.
+        if self.reported.is_none() && !self.notice_pending {
+            self.observed = None;
         }
         before != self.per_second()
     }
 
-    /// A link to a steward was made, which knows nothing of what was told before.
+    /// Resets the state of the exchange with the steward when a link is opened: the steward on it may know
+    /// of no earlier notices.
     pub fn link_opened(&mut self) {
-        self.untold = self.is_limited();
-        self.pending = None;
-        self.refused = None;
+        self.notice_pending = self.is_limited();
+        self.pending_request = None;
+        self.refusal = None;
     }
 
-    /// Requests a second that the server takes from all instances, if it names a limit.
+    /// The requests per second that the server accepts from all instances; `None` if it has no limit.
     #[must_use]
     pub fn per_second(&self) -> Option<f64> {
-        let known = [self.own, self.told].into_iter().flatten();
-        known.map(|known| known.per_second).min_by(f64::total_cmp)
+        let limits = [self.observed, self.reported].into_iter().flatten();
+        limits.map(|limit| limit.per_second).min_by(f64::total_cmp)
     }
 
-    /// Whether the server names a limit.
+    /// Whether the server has a limit.
     #[must_use]
     pub fn is_limited(&self) -> bool {
-        self.own.is_some() || self.told.is_some()
+        self.observed.is_some() || self.reported.is_some()
     }
 
-    /// Whether a request may go there now.
+    /// Whether a request may be sent to the server now.
     #[must_use]
     pub fn is_open(&self, view: View<'_>) -> bool {
         let Some(per_second) = self.per_second() else {
@@ -160,124 +171,132 @@
         if self.has_permit(view.now) {
             return true;
         }
-        let round = round_at(view.now, per_second);
-        self.is_alone(view) && self.drawn != Some(round) && draws(view, round)
+        let round = draw_round(view.now, per_second);
+        self.is_uncoordinated(view) && self.last_draw_round != Some(round) && wins_draw(view, round)
     }
 
-    /// A request goes there.
+    /// Uses the permit or the draw for a request that is being sent.
     pub fn use_permit(&mut self, view: View<'_>) {
         let Some(per_second) = self.per_second() else {
             return;
         };
         if self.has_permit(view.now) {
-            self.permit = None;
+            self.permit_expiry = None;
         } else {
-            self.drawn = Some(round_at(view.now, per_second));
+            self.last_draw_round = Some(draw_round(view.now, per_second));
         }
     }
 
-    /// A request that can wait for `left` would go there. Returns whether the steward is to be asked, and wasn't a moment ago.
+    /// Requests a permit for a request that can wait for `left`. Returns whether the steward is to be
+    /// asked; it is not if a request is already pending.
     pub fn request_permit(&mut self, view: View<'_>, left: Duration) -> bool {
-        self.forget(view.now);
-        let asks = view.steward && self.is_limited() && !self.is_waiting(view.now);
-        if asks {
-            self.pending = Some(Pending::Untold(left));
+        self.drop_expired(view.now);
+        let is_due = view.steward && self.is_limited() && !self.is_waiting(view.now);
+        if is_due {
+            self.pending_request = Some(Pending::Unsent(left));
         }
-        asks
+        is_due
     }
 
-    /// Whether the steward was asked, and need not be asked again yet.
+    /// Whether the steward was asked and need not be asked again yet.
     #[must_use]
     pub fn is_waiting(&self, now: clock::Instant) -> bool {
-        let refused = |(at, _)| now.since(at) < REFUSED_PAUSE;
-        match self.pending {
-            None => self.refused.is_some_and(refused),
-            Some(Pending::Untold(_)) => true,
-            Some(Pending::Told(at)) => now.since(at) < STEWARD_SILENT,
-            Some(Pending::Queued(turn)) => now < turn.after(TURN_LATE),
+        let is_recent = |(at, _)| now.since(at) < REFUSED_RETRY_INTERVAL;
+        match self.pending_request {
+            None => self.refusal.is_some_and(is_recent),
+            Some(Pending::Unsent(_)) => true,
+            Some(Pending::Sent(at)) => now.since(at) < STEWARD_TIMEOUT,
+            Some(Pending::Queued(expected_at)) => now < expected_at.after(QUEUED_PERMIT_TIMEOUT),
         }
     }
 
-    /// When a request may go there, as far as the steward tells.
+    /// The expected wait for a permit; `None` if the steward has not stated one.
     #[must_use]
     pub fn expected_wait(&self, now: clock::Instant) -> Option<Duration> {
-        match (self.pending, self.refused) {
-            (Some(Pending::Queued(turn)), _) | (_, Some((_, turn))) => Some(turn.since(now)),
+        match (self.pending_request, self.refusal) {
+            (Some(Pending::Queued(expected_at)), _) | (_, Some((_, expected_at))) => {
+                Some(expected_at.since(now))
+            }
             _ => None,
         }
     }
 
-    /// What the steward hasn't heard of the limit yet.
+    /// Takes the notice of the limit that is due to the steward.
     pub fn take_notice(&mut self, now: clock::Instant, server: &SmolStr) -> Option<Notice> {
-        if !std::mem::take(&mut self.untold) {
+        if !std::mem::take(&mut self.notice_pending) {
             return None;
         }
-        self.told_at = Some(now);
+        self.notified_at = Some(now);
         Some(Notice {
             server: server.clone(),
             per_second: self
-                .own
-                .map_or_else(|| self.per_second(), |own| Some(own.per_second)),
+                .observed
+                .map_or_else(|| self.per_second(), |observed| Some(observed.per_second)),
         })
     }
 
-    /// What the steward is to be asked.
+    /// Takes the permit request that is to be sent to the steward.
     pub fn take_request(&mut self, now: clock::Instant, server: &SmolStr) -> Option<Request> {
-        let Some(Pending::Untold(left)) = self.pending else {
+        let Some(Pending::Unsent(left)) = self.pending_request else {
             return None;
         };
-        self.pending = Some(Pending::Told(now));
+        self.pending_request = Some(Pending::Sent(now));
         Some(Request {
             server: server.clone(),
             left_ms: frame::millis(left),
         })
     }
 
-    /// The steward answers.
+    /// Processes the steward's reply.
     pub fn handle_reply(&mut self, now: clock::Instant, reply: &Reply) {
-        let turn =
-            |wait_ms: u32| now.after(Duration::from_millis(wait_ms.into()).min(LONGEST_WAIT));
-        self.refused = None;
-        self.pending = match reply.outcome {
+        let expected_at =
+            |wait_ms: u32| now.after(Duration::from_millis(wait_ms.into()).min(MAX_EXPECTED_WAIT));
+        self.refusal = None;
+        self.pending_request = match reply.outcome {
             Outcome::Granted => {
-                self.permit = Some(now.after(PERMIT_LASTS));
+                self.permit_expiry = Some(now.after(PERMIT_TTL));
                 None
             }
-            Outcome::Queued(wait_ms) => Some(Pending::Queued(turn(wait_ms))),
+            Outcome::Queued(wait_ms) => Some(Pending::Queued(expected_at(wait_ms))),
             Outcome::Refused(wait_ms) => {
-                self.refused = Some((now, turn(wait_ms)));
+                self.refusal = Some((now, expected_at(wait_ms)));
                 None
             }
         };
     }
 
     fn has_permit(&self, now: clock::Instant) -> bool {
-        self.permit.is_some_and(|until| now < until)
+        self.permit_expiry.is_some_and(|expiry| now < expiry)
     }
 
-    /// Whether no steward grants permits. One that has answered, and be it with a refusal, is there.
-    fn is_alone(&self, view: View<'_>) -> bool {
-        let silent =
-            matches!(self.pending, Some(Pending::Told(at)) if view.now.since(at) >= STEWARD_SILENT);
-        !view.steward || silent
+    /// Whether no steward grants permits. A steward that has answered, even with a refusal, counts as
+    /// present.
+    fn is_uncoordinated(&self, view: View<'_>) -> bool {
+        let timed_out = matches!(
+            self.pending_request,
+            Some(Pending::Sent(at)) if view.now.since(at) >= STEWARD_TIMEOUT
+        );
+        !view.steward || timed_out
     }
 
-    fn forget(&mut self, now: clock::Instant) {
-        let lasts = |known: &Known| now.since(known.confirmed) < FORGOTTEN;
-        self.own = self.own.filter(lasts);
-        self.told = self.told.filter(lasts);
+    fn drop_expired(&mut self, now: clock::Instant) {
+        let is_current = |limit: &Limit| now.since(limit.confirmed_at) < LIMIT_TTL;
+        self.observed = self.observed.filter(is_current);
+        self.reported = self.reported.filter(is_current);
     }
 }
 
-/// The round in which instances without a steward draw now. In each, one of all instances sends a request, on the average.
-fn round_at(now: clock::Instant, per_second: f64) -> u64 {
-    let rounds = per_second.max(LEAST) * ALONE;
-    (now.0 as f64 / 1000.0 * rounds) as u64
+/// The round of draws at `now` for instances without a steward. In each round, one of all instances sends a
+/// request on average.
+fn draw_round(now: clock::Instant, per_second: f64) -> u64 {
+    let rounds_per_second = per_second.max(MIN_PER_SECOND) * UNCOORDINATED_RATIO;
+    (now.0 as f64 / 1000.0 * rounds_per_second) as u64
 }
 
-/// Whether an instance may send a request in a round, by a draw of its own.
-fn draws(view: View<'_>, round: u64) -> bool {
-    // A hash with the round as its seed repeats the draws of one instance at another some rounds later.
+/// Whether this instance's draw allows it to send a request in a round.
+fn wins_draw(view: View<'_>, round: u64) -> bool {
+    // With the round as the hash's seed, one instance's draws would be repeated by another some rounds
+    // later.
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(view.instance.as_bytes());
     hasher.update(&round.to_le_bytes());
--- a/crates/fireflywheel/src/fleet/settings.rs
+++ b/crates/fireflywheel/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! What one process is told at its start, in INI.
+//! Settings that one process reads at its start, in INI format.
 //!
 //! ```
 //! use fireflywheel::fleet::settings::Settings;
@@ -28,125 +28,131 @@
 use crate::{fault, field, ini_text};
 
 /// The largest settings file, in bytes.
-const LIMIT: usize = 64 << 10;
+const MAX_FILE_BYTES: usize = 64 << 10;
 
 const SECTIONS: [&str; 10] = [
     "instance", "listen", "platform", "steward", "repeats", "quotas", "backend", "stop", "limits",
     "log",
 ];
 
-const LEVELS: [field::Word<log::LevelFilter>; 4] = [
+const LEVEL_WORDS: [field::Word<log::LevelFilter>; 4] = [
     ("error", log::LevelFilter::Error),
     ("warn", log::LevelFilter::Warn),
     ("info", log::LevelFilter::Info),
     ("debug", log::LevelFilter::Debug),
 ];
-const YES_NO: [field::Word<bool>; 4] = [
+const BOOLEAN_WORDS: [field::Word<bool>; 4] = [
     ("true", true),
     ("yes", true),
     ("false", false),
     ("no", false),
 ];
 const ADDRESS_RULE: &str = "an IP address with a port";
-const LEASE_MS: RangeInclusive<u64> = 500..=60_000;
-const OBEY_MS: RangeInclusive<u64> = 100..=60_000;
-const GRACE_MS: RangeInclusive<u64> = 500..=600_000;
-const WINDOW_MS: RangeInclusive<u64> = 100..=600_000;
-const DESCRIPTORS: RangeInclusive<u64> = 64..=10_000_000;
-const TELL_ALL: RangeInclusive<u64> = 0..=1_000_000_000;
-const CONFIG_BYTES: RangeInclusive<u64> = 0..=1_000_000_000;
-const LINES: RangeInclusive<u64> = 1..=1_000_000;
-const CPU_SHARE: RangeInclusive<f64> = 0.001..=1024.0;
-const RATIO: RangeInclusive<f64> = 0.0..=10.0;
-const EXTRA: RangeInclusive<f64> = 0.0..=1_000_000.0;
+const LEASE_MS_RANGE: RangeInclusive<u64> = 500..=60_000;
+const OBEY_MS_RANGE: RangeInclusive<u64> = 100..=60_000;
+const GRACE_MS_RANGE: RangeInclusive<u64> = 500..=600_000;
+const WINDOW_MS_RANGE: RangeInclusive<u64> = 100..=600_000;
+const DESCRIPTORS_RANGE: RangeInclusive<u64> = 64..=10_000_000;
+const TELL_ALL_RANGE: RangeInclusive<u64> = 0..=1_000_000_000;
+const CONFIG_BYTES_RANGE: RangeInclusive<u64> = 0..=1_000_000_000;
+const LINES_PER_SECOND_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+const CPU_SHARE_RANGE: RangeInclusive<f64> = 0.001..=1024.0;
+const RATIO_RANGE: RangeInclusive<f64> = 0.0..=10.0;
+const EXTRA_RANGE: RangeInclusive<f64> = 0.0..=1_000_000.0;
 
-/// Stands in for an address that has a fault.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
-/// An instance with fewer could not serve at all.
-const LEAST_CONNECTIONS: usize = 16;
-/// Descriptors that aren't for connections.
-const OTHER_DESCRIPTORS: u64 = 250;
+/// Placeholder for an address that has a fault.
+const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// The lowest limit of connections: an instance with fewer could not serve at all.
+const MIN_CONNECTIONS: usize = 16;
+/// File descriptors that are not available for connections.
+const RESERVED_DESCRIPTORS: u64 = 250;
 
 /// The settings of an instance that serves from a directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// `[instance] name`.
+    /// `[instance] name`: the instance's name.
     pub instance: SmolStr,
-    /// `[instance] failure_domain`.
+    /// `[instance] failure_domain`: the instance's failure domain.
     pub domain: SmolStr,
-    /// `[instance] cpu_share`, 1 if left out: the part of a processor that it has.
+    /// `[instance] cpu_share`, 1 if left out: the instance's share of a processor.
     pub cpu_share: f64,
-    /// `[listen] callers`: where callers reach it.
+    /// `[listen] callers`: the address for callers.
     pub callers: SocketAddr,
-    /// `[listen] ready`: where it is asked whether it is ready, and for its metrics.
+    /// `[listen] ready`: the address for readiness checks and metrics.
     pub ready: SocketAddr,
-    /// `[listen] peers`: where other instances reach it.
+    /// `[listen] peers`: the address for other instances.
     pub peers: SocketAddr,
-    /// `[listen] peers_advertised`, that of `peers` if left out: the address that other instances are told, where
-    /// something stands between that forwards to `peers`.
+    /// `[listen] peers_advertised`, the address of `peers` if left out: the address announced to other
+    /// instances, for an instance behind something that forwards to `peers`.
     pub peers_advertised: SocketAddr,
-    /// `[platform] store`.
+    /// `[platform] store`: the address of the platform's store.
     pub store: SocketAddr,
-    /// `[platform] apply_ms`, 2,000 if left out: within this of its acceptance a configuration must be in force.
+    /// `[platform] apply_ms`, 2,000 if left out: the time from a configuration's acceptance within which it
+    /// must be in force.
     pub config_deadline: Duration,
-    /// `[steward] lease_ms`, 3,000 if left out: the times of the steward's lease.
+    /// `[steward] lease_ms`, 3,000 if left out: the durations of the steward's lease, derived from its
+    /// term.
     pub lease: lease::Options,
-    /// `[steward] fenced`, no if left out: engines refuse orders of an earlier holder.
+    /// `[steward] fenced`, no if left out: engines check fencing numbers and refuse orders of an earlier
+    /// holder.
     pub fenced: bool,
-    /// `[steward] first_start`, yes if left out: the whole system starts for the first time, so that a lease which was never written is
-    /// free at once.
+    /// `[steward] first_start`, yes if left out: the whole system starts for the first time, so a lease
+    /// that was never written is free at once.
     pub first_start: bool,
-    /// `[steward] tell_all`, 50,000 if left out: up to so many instances times engines, the steward tells all instances of all
-    /// engines. Then one that loses the steward while the store is away still knows where each model is; beyond, what is
-    /// told would grow faster than links carry.
+    /// `[steward] tell_all`, 50,000 if left out: up to this product of instances and engines, the steward
+    /// reports all engines to all instances. An instance that loses the steward while the store is
+    /// unreachable then still knows where each model is. Above it, the reports would grow faster than links
+    /// can carry.
     pub all_engines_limit: usize,
-    /// `[steward] config_bytes`, a megabyte if left out: a new configuration is sent to all instances if that is no more in all, and else to
-    /// those only that the store doesn't answer.
+    /// `[steward] config_bytes`, a megabyte if left out: a new configuration is sent to all instances if
+    /// the total size is at most this, and otherwise only to those that the store does not answer.
     pub config_bytes: usize,
-    /// `[repeats] ratio`, `extra` and `window_ms`: how much may be repeated; a tenth and nothing more if left out.
+    /// `[repeats] ratio`, `extra` and `window_ms`: the retry budget; a tenth of the requests and nothing
+    /// more if left out.
     pub retry_budget: retry_budget::Options,
-    /// `[quotas]`: how quotas of organisations are held.
+    /// `[quotas]`: how quotas of organisations are enforced.
     pub quotas: Quotas,
-    /// `[backend] obey_ms`, 2,000 if left out: within this of its entry a backend server that leaves must get no
-    /// more requests.
+    /// `[backend] obey_ms`, 2,000 if left out: the time after its entry in the directory within which
+    /// requests to a leaving backend server must stop.
     pub leaving_deadline: Duration,
-    /// `[stop] grace_ms`, 8,000 if left out: how long a planned stop may take.
+    /// `[stop] grace_ms`, 8,000 if left out: the longest time that a planned stop may take.
     pub grace: Duration,
-    /// Connections of callers at once, from `[limits] descriptors`.
+    /// The number of concurrent connections of callers, derived from `[limits] descriptors`.
     pub connections: usize,
     /// `[log]`: what is written to the log.
     pub log: Log,
 }
 
-/// How quotas of organisations are held.
+/// How quotas of organisations are enforced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Quotas {
-    /// `window_ms`, 8,000 if left out: a quota holds over any span of this length.
+    /// `window_ms`, 8,000 if left out: the length of the window over which a quota holds.
     pub window: Duration,
-    /// `shared`, yes if left out: the steward tells which share of requests to admit. Otherwise each instance keeps to an
-    /// equal part.
+    /// `shared`, yes if left out: the steward decides which share of requests to admit. Otherwise each
+    /// instance enforces an equal part of the quota.
     pub shared: bool,
 }
 
 /// What is written to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Log {
-    /// `level`, `info` if left out.
+    /// `level`, `info` if left out: the most verbose level that is written.
     pub level: log::LevelFilter,
-    /// `lines_per_second`, 1,000 if left out: more are dropped and counted, but for warnings and errors. A fifth of
-    /// a processor serves some 200 requests in a second, with three lines each.
+    /// `lines_per_second`, 1,000 if left out: lines above this rate are dropped and counted, except for
+    /// warnings and errors. For comparison: with a fifth of a processor, an instance serves some 200
+    /// requests per second, with three lines each.
     pub lines_per_second: u32,
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Every fault, in the order of lines; see [`fault::LIMIT`].
+    /// Returns every fault, in the order of lines; see [`fault::LIMIT`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
-        let sections = ini_text::read(text, LIMIT, &mut faults)?;
+        let sections = ini_text::read(text, MAX_FILE_BYTES, &mut faults)?;
         for section in &sections {
             if !SECTIONS.contains(&section.name.as_str()) {
                 let allowed = fault::Allowed::Known {
@@ -165,12 +171,12 @@
     let find = |name| ini_text::find(sections, name);
     let (instance, domain, cpu_share) = read_instance(&find("instance"), faults);
     let ([callers, ready, peers], peers_advertised) = read_listen(&find("listen"), faults);
-    let (store, apply) = read_platform(&find("platform"), faults);
+    let (store, config_deadline) = read_platform(&find("platform"), faults);
     let steward = read_steward(&find("steward"), faults);
-    let repeats = read_repeats(&find("repeats"), faults);
+    let retry_budget = read_retry_budget(&find("repeats"), faults);
     let quotas = read_quotas(&find("quotas"), faults);
-    let obey = read_span(&find("backend"), "obey_ms", OBEY_MS, faults);
-    let grace = read_span(&find("stop"), "grace_ms", GRACE_MS, faults);
+    let leaving_deadline = read_duration(&find("backend"), "obey_ms", OBEY_MS_RANGE, faults);
+    let grace = read_duration(&find("stop"), "grace_ms", GRACE_MS_RANGE, faults);
     Settings {
         instance,
         domain,
@@ -180,15 +186,15 @@
         peers,
         peers_advertised,
         store,
-        config_deadline: apply,
+        config_deadline,
         lease: steward.lease,
         fenced: steward.fenced,
         first_start: steward.first_start,
-        all_engines_limit: steward.tell_all,
+        all_engines_limit: steward.all_engines_limit,
         config_bytes: steward.config_bytes,
-        retry_budget: repeats,
+        retry_budget,
         quotas,
-        leaving_deadline: obey.unwrap_or(Duration::from_secs(2)),
+        leaving_deadline: leaving_deadline.unwrap_or(Duration::from_secs(2)),
         grace: grace.unwrap_or(Duration::from_secs(8)),
         connections: read_connections(&find("limits"), faults),
         log: read_log(&find("log"), faults),
@@ -199,20 +205,19 @@
     let mut reader = field::Reader::new(section, faults);
     let name = reader.name("name");
     let domain = reader.name("failure_domain");
-    let cpu_share = reader.optional_number("cpu_share", CPU_SHARE);
+    let cpu_share = reader.optional_number("cpu_share", CPU_SHARE_RANGE);
     reader.finish();
     (name, domain, cpu_share.unwrap_or(1.0))
 }
 
-/// The addresses for callers, for those who ask whether the instance is ready, and for peers; and the one that
-/// peers are told.
+/// Reads the addresses for callers, for readiness checks and for peers, and the address announced to peers.
 fn read_listen(
     section: &ini_text::Section,
     faults: &mut fault::List,
 ) -> ([SocketAddr; 3], SocketAddr) {
     let mut reader = field::Reader::new(section, faults);
     let addresses = ["callers", "ready", "peers"]
-        .map(|key| reader.required(key, ADDRESS_RULE, NOWHERE, field::parsed));
+        .map(|key| reader.required(key, ADDRESS_RULE, PLACEHOLDER_ADDRESS, field::parsed));
     let advertised = reader.optional("peers_advertised", ADDRESS_RULE, field::parsed);
     reader.finish();
     (addresses, advertised.unwrap_or(addresses[2]))
@@ -220,71 +225,71 @@
 
 fn read_platform(section: &ini_text::Section, faults: &mut fault::List) -> (SocketAddr, Duration) {
     let mut reader = field::Reader::new(section, faults);
-    let store = reader.required("store", ADDRESS_RULE, NOWHERE, field::parsed);
-    let apply = reader.optional_millis("apply_ms", OBEY_MS);
+    let store = reader.required("store", ADDRESS_RULE, PLACEHOLDER_ADDRESS, field::parsed);
+    let config_deadline = reader.optional_millis("apply_ms", OBEY_MS_RANGE);
     reader.finish();
-    (store, apply.unwrap_or(Duration::from_secs(2)))
+    (store, config_deadline.unwrap_or(Duration::from_secs(2)))
 }
 
-/// What stands under `[steward]`.
+/// The settings of section `[steward]`.
 struct Steward {
     lease: lease::Options,
     fenced: bool,
     first_start: bool,
-    tell_all: usize,
+    all_engines_limit: usize,
     config_bytes: usize,
 }
 
 fn read_steward(section: &ini_text::Section, faults: &mut fault::List) -> Steward {
     let mut reader = field::Reader::new(section, faults);
-    let term = reader.optional_millis("lease_ms", LEASE_MS);
-    let fenced = reader.optional_word("fenced", &YES_NO);
-    let first_start = reader.optional_word("first_start", &YES_NO);
-    let tell_all = reader.optional_whole("tell_all", TELL_ALL);
-    let config_bytes = reader.optional_whole("config_bytes", CONFIG_BYTES);
+    let term = reader.optional_millis("lease_ms", LEASE_MS_RANGE);
+    let fenced = reader.optional_word("fenced", &BOOLEAN_WORDS);
+    let first_start = reader.optional_word("first_start", &BOOLEAN_WORDS);
+    let all_engines_limit = reader.optional_whole("tell_all", TELL_ALL_RANGE);
+    let config_bytes = reader.optional_whole("config_bytes", CONFIG_BYTES_RANGE);
     reader.finish();
     let term = term.unwrap_or(Duration::from_secs(3));
-    let tell_all = tell_all.and_then(|most: u64| usize::try_from(most).ok());
+    let all_engines_limit = all_engines_limit.and_then(|limit: u64| usize::try_from(limit).ok());
     Steward {
         lease: lease::Options::new(term),
         fenced: fenced.unwrap_or(false),
         first_start: first_start.unwrap_or(true),
-        tell_all: tell_all.unwrap_or(50_000),
+        all_engines_limit: all_engines_limit.unwrap_or(50_000),
         config_bytes: config_bytes
-            .and_then(|most: u64| usize::try_from(most).ok())
+            .and_then(|limit: u64| usize::try_from(limit).ok())
             .unwrap_or(1 << 20),
     }
 }
 
-/// A section with one span of time.
-fn read_span(
+/// Reads a section with one duration.
+fn read_duration(
     section: &ini_text::Section,
     key: &'static str,
     range: RangeInclusive<u64>,
     faults: &mut fault::List,
 ) -> Option<Duration> {
     let mut reader = field::Reader::new(section, faults);
-    let span = reader.optional_millis(key, range);
+    let duration = reader.optional_millis(key, range);
     reader.finish();
-    span
+    duration
 }
 
 fn read_connections(section: &ini_text::Section, faults: &mut fault::List) -> usize {
     let mut reader = field::Reader::new(section, faults);
-    let descriptors = reader.optional_whole("descriptors", DESCRIPTORS);
+    let descriptors = reader.optional_whole("descriptors", DESCRIPTORS_RANGE);
     reader.finish();
     let descriptors: u64 = descriptors.unwrap_or(1024);
-    // Each request needs a connection on both sides.
-    let connections = descriptors.saturating_sub(OTHER_DESCRIPTORS) / 2;
+    // Each request needs a connection to the caller and one to the backend server.
+    let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     usize::try_from(connections)
         .unwrap_or(usize::MAX)
-        .max(LEAST_CONNECTIONS)
+        .max(MIN_CONNECTIONS)
 }
 
 fn read_log(section: &ini_text::Section, faults: &mut fault::List) -> Log {
     let mut reader = field::Reader::new(section, faults);
-    let level = reader.optional_word("level", &LEVELS);
-    let lines_per_second = reader.optional_whole("lines_per_second", LINES);
+    let level = reader.optional_word("level", &LEVEL_WORDS);
+    let lines_per_second = reader.optional_whole("lines_per_second", LINES_PER_SECOND_RANGE);
     reader.finish();
     Log {
         level: level.unwrap_or(log::LevelFilter::Info),
@@ -294,8 +299,8 @@
 
 fn read_quotas(section: &ini_text::Section, faults: &mut fault::List) -> Quotas {
     let mut reader = field::Reader::new(section, faults);
-    let window = reader.optional_millis("window_ms", WINDOW_MS);
-    let shared = reader.optional_word("shared", &YES_NO);
+    let window = reader.optional_millis("window_ms", WINDOW_MS_RANGE);
+    let shared = reader.optional_word("shared", &BOOLEAN_WORDS);
     reader.finish();
     Quotas {
         window: window.unwrap_or(Duration::from_secs(8)),
@@ -303,15 +308,18 @@
     }
 }
 
-fn read_repeats(section: &ini_text::Section, faults: &mut fault::List) -> retry_budget::Options {
+fn read_retry_budget(
+    section: &ini_text::Section,
+    faults: &mut fault::List,
+) -> retry_budget::Options {
     let mut reader = field::Reader::new(section, faults);
-    let repeats = retry_budget::Options {
-        ratio: reader.optional_number("ratio", RATIO).unwrap_or(0.1),
-        extra: reader.optional_number("extra", EXTRA).unwrap_or(0.0),
+    let options = retry_budget::Options {
+        ratio: reader.optional_number("ratio", RATIO_RANGE).unwrap_or(0.1),
+        extra: reader.optional_number("extra", EXTRA_RANGE).unwrap_or(0.0),
         window: reader
-            .optional_millis("window_ms", WINDOW_MS)
+            .optional_millis("window_ms", WINDOW_MS_RANGE)
             .unwrap_or(Duration::from_secs(10)),
     };
     reader.finish();
-    repeats
+    options
 }
--- a/crates/fireflywheel/src/fleet/subscription.rs
+++ b/crates/fireflywheel/src/fleet/subscription.rs
@@ -1,8 +1,9 @@
-//! Which instances are told of which engines.
+//! Subscriptions: which instances receive updates of which engines.
 //!
-//! An instance is asked for few of all models, so it subscribes to those. The steward answers with all engines that hold
-//! the model, and tells of each change of these from then on. Told of every change of every engine, an instance would read
-//! mostly what it never uses: with hundreds of instances and thousands of engines, more than its link carries.
+//! An instance gets requests for few of all models, and subscribes to those. The steward answers a
+//! subscription with all engines that hold the model, and sends every change of these engines from then on.
+//! If an instance received every change of every engine, it would mostly read updates that it never uses:
+//! with hundreds of instances and thousands of engines, more than its link can carry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,33 +12,35 @@
 
 use crate::clock;
 
-/// An instance takes what it was told of a model for complete until this long after its last request for it.
+/// How long after its last request for a model an instance considers its information on that model
+/// complete.
 pub const TTL: Duration = Duration::from_secs(30);
-/// The steward goes on telling for longer, so that an instance never relies on what it isn't told any more.
-const KEPT: Duration = Duration::from_secs(60);
+/// How long the steward continues to send updates after a subscription was last used. It is longer than
+/// [`TTL`], so that an instance never relies on information that is no longer updated.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// Subscriptions of all links to a steward. A link is a number, an engine is its id.
+/// The subscriptions of all links to a steward. A link is identified by a number, an engine by its id.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    /// Engines that hold a model.
+    /// Engines that hold a model, by model.
     holders: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
-    /// Models that an engine holds.
+    /// Models that an engine holds, by engine.
     held: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
-    /// Links that are told of a model, and when each was last asked for it.
+    /// Links that subscribe to a model, by model, with the time when each last used the subscription.
     subscribers: BTreeMap<SmolStr, BTreeMap<u64, clock::Instant>>,
-    /// Models that a link is told of.
+    /// Models that a link subscribes to, by link.
     models: BTreeMap<u64, BTreeSet<SmolStr>>,
 }
 
 impl Registry {
-    /// An engine holds these models from now on; the links that are to be told.
+    /// Updates the models that an engine holds. Returns the links that must receive the update.
     pub fn update_engine<'a, I>(&mut self, engine: &SmolStr, models: I) -> BTreeSet<u64>
     where
         I: IntoIterator<Item = &'a SmolStr>,
     {
-        let now: BTreeSet<SmolStr> = models.into_iter().cloned().collect();
-        let before = self.held.remove(engine).unwrap_or_default();
-        for model in before.difference(&now) {
+        let current: BTreeSet<SmolStr> = models.into_iter().cloned().collect();
+        let previous = self.held.remove(engine).unwrap_or_default();
+        for model in previous.difference(&current) {
             if let Some(holders) = self.holders.get_mut(model) {
                 holders.remove(engine);
                 if holders.is_empty() {
@@ -45,23 +48,23 @@
                 }
             }
         }
-        for model in now.difference(&before) {
+        for model in current.difference(&previous) {
             let holders = self.holders.entry(model.clone()).or_default();
             holders.insert(engine.clone());
         }
-        let links = before
-            .union(&now)
+        let links = previous
+            .union(&current)
             .filter_map(|model| self.subscribers.get(model))
             .flat_map(BTreeMap::keys)
             .copied()
             .collect();
-        if !now.is_empty() {
-            self.held.insert(engine.clone(), now);
+        if !current.is_empty() {
+            self.held.insert(engine.clone(), current);
         }
         links
     }
 
-    /// The links that are told of an engine.
+    /// The links that receive updates of an engine.
     #[must_use]
     pub fn subscribers(&self, engine: &str) -> BTreeSet<u64> {
         let models = self.held.get(engine).into_iter().flatten();
@@ -72,7 +75,7 @@
             .collect()
     }
 
-    /// A link asks for a model; the engines that hold it.
+    /// Subscribes a link to a model. Returns the engines that hold the model.
     pub fn subscribe(&mut self, now: clock::Instant, link: u64, model: &SmolStr) -> Vec<SmolStr> {
         let links = self.subscribers.entry(model.clone()).or_default();
         links.insert(link, now);
@@ -82,37 +85,39 @@
         holders.into_iter().flatten().cloned().collect()
     }
 
-    /// A link still uses what it is told of a model.
+    /// Records that a link still uses its subscription to a model.
     pub fn renew(&mut self, now: clock::Instant, link: u64, model: &str) {
         let links = self.subscribers.get_mut(model);
-        if let Some(used) = links.and_then(|links| links.get_mut(&link)) {
-            *used = now;
+        if let Some(last_use) = links.and_then(|links| links.get_mut(&link)) {
+            *last_use = now;
         }
     }
 
-    /// A link has ended.
+    /// Removes all subscriptions of a closed link.
     pub fn remove_link(&mut self, link: u64) {
         for model in self.models.remove(&link).unwrap_or_default() {
-            self.drop_link(&model, link);
+            self.unsubscribe(&model, link);
         }
     }
 
-    /// Ends subscriptions that aren't used any more.
+    /// Removes subscriptions that are no longer used.
     pub fn prune(&mut self, now: clock::Instant) {
         let mut unused = Vec::new();
         for (model, links) in &self.subscribers {
-            let old = links.iter().filter(|(_, used)| now.since(**used) > KEPT);
-            unused.extend(old.map(|(link, _)| (model.clone(), *link)));
+            let expired = links
+                .iter()
+                .filter(|(_, last_use)| now.since(**last_use) > RETENTION);
+            unused.extend(expired.map(|(link, _)| (model.clone(), *link)));
         }
         for (model, link) in unused {
-            self.drop_link(&model, link);
+            self.unsubscribe(&model, link);
             if let Some(models) = self.models.get_mut(&link) {
                 models.remove(&model);
             }
         }
     }
 
-    fn drop_link(&mut self, model: &SmolStr, link: u64) {
+    fn unsubscribe(&mut self, model: &SmolStr, link: u64) {
         if let Some(links) = self.subscribers.get_mut(model) {
             links.remove(&link);
             if links.is_empty() {
--- a/crates/fireflywheel/src/fleet/successor.rs
+++ b/crates/fireflywheel/src/fleet/successor.rs
@@ -1,88 +1,97 @@
-//! To which instance a steward hands the lease.
+//! The choice of the instance to which a steward hands its lease over.
 //!
-//! A steward hands over when it is stopped, when the store turns it away but not others, and when it is much weaker than
-//! another. In the second case its reads grow old, and all instances would read the store themselves at the same moment:
-//! with hundreds of them that takes longer than a configuration may take to be in force.
+//! A steward hands the lease over when it is being stopped, when the store refuses its calls but not those
+//! of others, and when it is much weaker than another instance. In the second case its reads of the store
+//! grow old, and all instances would read the store themselves at the same moment; with hundreds of
+//! instances that takes longer than the deadline for applying a configuration.
 
 use std::time::Duration;
 
-/// A steward is much weaker than an instance with this many times its share of a processor.
-const MUCH_STRONGER: f64 = 2.0;
-/// A steward's reads are old from this share of the time on within which changes must be obeyed. They stand for those of
-/// others somewhat longer, which leaves a successor time to be heard.
-const OLD: f64 = 0.5;
-/// From this share of it on any instance with young reads is better than none: the reads of the steward stand no more.
-const LAST: f64 = 0.75;
-/// A successor's reads are young up to this share of it: one whose reads follow each other at once has them, at any moment.
-const YOUNG: f64 = 0.5;
+/// The ratio of processor shares from which on another instance is much stronger than the steward.
+const MUCH_STRONGER_RATIO: f64 = 2.0;
+/// The age from which on a steward's reads are old, as a share of the deadline for obeying changes. Other
+/// instances may rely on them for somewhat longer, which leaves a successor time to be heard.
+const OLD_READS_RATIO: f64 = 0.5;
+/// The age of the steward's reads, as a share of that deadline, from which on any instance with fresh reads
+/// is accepted as successor: the steward's reads are then no longer valid for others.
+const LAST_RESORT_RATIO: f64 = 0.75;
+/// The age up to which a successor's reads are fresh, as a share of that deadline. An instance that starts
+/// each read right after the previous one has fresh reads at any moment.
+const FRESH_READS_RATIO: f64 = 0.5;
 
 /// An instance that has a link to the steward.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Peer {
-    /// The part of a processor that it has.
+    /// The instance's share of a processor.
     pub cpu_share: f64,
-    /// It is being stopped.
+    /// The instance is being stopped.
     pub leaving: bool,
-    /// How old its own reads of the store are.
+    /// The age of the instance's own reads of the store.
     pub read_age: Duration,
 }
 
 /// The steward itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Own {
-    /// The part of a processor that it has.
+    /// The steward's share of a processor.
     pub cpu_share: f64,
-    /// Its last call to the store had no usable answer.
+    /// The steward's last call to the store had no usable answer.
     pub store_fails: bool,
-    /// How old its reads of the store are.
+    /// The age of the steward's reads of the store.
     pub read_age: Duration,
 }
 
-/// The strongest that stays, for a steward that is being stopped.
+/// The successor of a steward that is being stopped: the strongest instance that stays. Returns its index
+/// in `peers`.
 #[must_use]
 pub fn of_stopping(peers: &[Peer]) -> Option<usize> {
     strongest(peers, |_| true)
 }
 
-/// The one that should be steward in place of a steward that stays, if any. Changes must be obeyed within `obey`.
+/// The successor of a steward that stays, if it should hand the lease over. Changes must be obeyed within
+/// `deadline`. Returns an index in `peers`.
 #[must_use]
-pub fn of_staying(own: Own, peers: &[Peer], obey: Duration) -> Option<usize> {
-    // One that doesn't read for itself may be cut off from the store: it would hand the lease back.
-    let young = |peer: &Peer| peer.read_age <= obey.mul_f64(YOUNG);
+pub fn of_staying(own: Own, peers: &[Peer], deadline: Duration) -> Option<usize> {
+    // An instance that does not read the store itself may be unable to reach it, and would hand the lease
+    // back.
+    let is_fresh = |peer: &Peer| peer.read_age <= deadline.mul_f64(FRESH_READS_RATIO);
     if own.store_fails {
-        let old = own.read_age >= obey.mul_f64(OLD);
-        // A strong one may be reading just now; a weak one is a steward for the time without any other.
-        let last = own.read_age >= obey.mul_f64(LAST);
+        let is_old = own.read_age >= deadline.mul_f64(OLD_READS_RATIO);
+        // A strong instance may be reading at this moment. A weak one is only better than no steward at
+        // all.
+        let is_last_resort = own.read_age >= deadline.mul_f64(LAST_RESORT_RATIO);
         return strongest(peers, |peer| {
-            old && young(peer) && (last || !much_stronger_than(own.cpu_share, peer.cpu_share))
+            is_old
+                && is_fresh(peer)
+                && (is_last_resort || !is_share_much_larger(own.cpu_share, peer.cpu_share))
         });
     }
-    strongest(peers, |peer| young(peer) && much_stronger(own, peer))
+    strongest(peers, |peer| is_fresh(peer) && is_much_stronger(own, peer))
 }
 
-/// Whether standbys should read the store for themselves, which shows whom the store answers: the steward may have to hand
-/// over to one of them.
+/// Whether standbys should read the store themselves. Their reads show which of them the store answers,
+/// since the steward may have to hand the lease over to one of them.
 #[must_use]
 pub fn standbys_read(own: Own, peers: &[Peer]) -> bool {
     let mut staying = peers.iter().filter(|peer| !peer.leaving);
-    own.store_fails || staying.any(|peer| much_stronger(own, peer))
+    own.store_fails || staying.any(|peer| is_much_stronger(own, peer))
 }
 
-fn much_stronger(own: Own, peer: &Peer) -> bool {
-    much_stronger_than(peer.cpu_share, own.cpu_share)
+fn is_much_stronger(own: Own, peer: &Peer) -> bool {
+    is_share_much_larger(peer.cpu_share, own.cpu_share)
 }
 
-fn much_stronger_than(share: f64, other: f64) -> bool {
-    share >= other * MUCH_STRONGER
+fn is_share_much_larger(share: f64, other: f64) -> bool {
+    share >= other * MUCH_STRONGER_RATIO
 }
 
-fn strongest<F>(peers: &[Peer], fits: F) -> Option<usize>
+fn strongest<F>(peers: &[Peer], is_suitable: F) -> Option<usize>
 where
     F: Fn(&Peer) -> bool,
 {
     let staying = peers.iter().enumerate().filter(|(_, peer)| !peer.leaving);
     staying
-        .filter(|(_, peer)| fits(peer))
+        .filter(|(_, peer)| is_suitable(peer))
         .max_by(|(_, a), (_, b)| a.cpu_share.total_cmp(&b.cpu_share))
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
 }
--- a/crates/fireflywheel/tests/fleet/size.rs
+++ b/crates/fireflywheel/tests/fleet/size.rs
@@ -1,4 +1,5 @@
-//! The number of instances that share a limit never looks smaller than it was a window ago.
+//! Tests that the number of instances that share a limit is never estimated lower than it was within the
+//! last window.
 
 use std::time::Duration;
 
@@ -17,8 +18,8 @@
 };
 const FLEET: usize = 125;
 
-/// Repeats of an instance that may send as many as its budget allows.
-fn repeats(size: &Size, now: Instant) -> usize {
+/// The retries of an instance that sends as many as its budget allows.
+fn retries(size: &Size, now: Instant) -> usize {
     let mut budget = Budget::new(OPTIONS);
     std::iter::repeat_with(|| budget.try_retry(now, size.count()))
         .take_while(|allowed| *allowed)
@@ -33,57 +34,58 @@
     sizes
 }
 
-fn together(sizes: &[Size], now: Instant) -> usize {
-    sizes.iter().map(|size| repeats(size, now)).sum()
+fn total_retries(sizes: &[Size], now: Instant) -> usize {
+    sizes.iter().map(|size| retries(size, now)).sum()
 }
 
-fn new_steward_with_few_links() {
+fn count_of_new_steward_is_not_adopted_at_once() {
     let mut sizes = fleet();
-    for (place, size) in sizes.iter_mut().take(20).enumerate() {
-        size.update(Instant(21_000), place + 1);
+    for (index, size) in sizes.iter_mut().take(20).enumerate() {
+        size.update(Instant(21_000), index + 1);
     }
-    let all = together(&sizes, Instant(21_000));
-    assert!(all as f64 <= OPTIONS.extra, "{all}");
+    let total = total_retries(&sizes, Instant(21_000));
+    assert!(total as f64 <= OPTIONS.extra, "{total}");
 }
 
-fn links_of_all_instances_come_in_turn() {
-    let mut all = 0;
-    for place in 0..FLEET {
+fn counts_of_starting_fleet_stay_within_limit() {
+    let mut total = 0;
+    for index in 0..FLEET {
         let mut size = Size::new(Instant(0), WINDOW, 24);
-        size.update(Instant(place as u64 * 5), place + 1);
+        size.update(Instant(index as u64 * 5), index + 1);
         size.update(Instant(1_000), FLEET);
-        all += repeats(&size, Instant(1_000));
+        total += retries(&size, Instant(1_000));
     }
-    assert!(all as f64 <= OPTIONS.extra, "{all}");
+    assert!(total as f64 <= OPTIONS.extra, "{total}");
 }
 
-fn smaller_fleet_is_believed_in_the_end() {
+fn lower_count_is_adopted_after_a_window() {
     let mut size = Size::new(Instant(0), WINDOW, 24);
     size.update(Instant(1_000), 100);
-    for beat in 1..=40 {
-        size.update(Instant(1_000 + beat * 300), 3);
+    for heartbeat in 1..=40 {
+        size.update(Instant(1_000 + heartbeat * 300), 3);
     }
     assert_eq!(size.count(), 3);
 }
 
-fn count_stays_without_a_steward() {
+fn count_is_kept_without_a_steward() {
     let mut size = Size::new(Instant(0), WINDOW, 24);
     size.update(Instant(20_000), 7);
     assert_eq!(size.count(), 7);
 }
 
-/// Counts at any times: never less than any that was told in the last window, never more than any ever told.
-fn any_counts() {
+/// Random counts at random times: the estimate is never below a count reported in the last window, and
+/// never above the largest count ever reported.
+fn count_is_max_of_last_window() {
     arbtest(|u| {
         let mut now = 0;
         let mut size = Size::new(Instant(0), WINDOW, 24);
-        let mut told = vec![(0, 24)];
+        let mut reported = vec![(0, 24)];
         for _ in 0..u.int_in_range(1..=60)? {
             now += u.int_in_range(0..=4_000_u64)?;
             let count = u.int_in_range(0..=200_usize)?;
             size.update(Instant(now), count);
-            told.push((now, count.max(1)));
-            let recent = told.iter().filter(|(at, _)| now - at <= 10_000);
+            reported.push((now, count.max(1)));
+            let recent = reported.iter().filter(|(at, _)| now - at <= 10_000);
             let most = recent.map(|(_, count)| *count).max();
             assert_eq!(Some(size.count()), most);
         }
@@ -92,16 +94,16 @@
 }
 
 cases! {
-    /// The steward is lost while backend servers fail many requests. The next one has three links a moment later,
-    /// says so, and those three believe that a third of the fleet's repeats is theirs. The backend servers get
-    /// more repeats than the operator allows.
-    new_steward => new_steward_with_few_links();
-    /// The whole fleet starts again, and its links come one after the other.
-    start => links_of_all_instances_come_in_turn();
-    /// Most instances were taken away for good. The rest must not go on with a hundredth each.
-    taken_away => smaller_fleet_is_believed_in_the_end();
-    /// No steward for longer than a window.
-    no_steward => count_stays_without_a_steward();
-    /// Any counts at any times.
-    any => any_counts();
+    /// The steward is lost while backend servers fail many requests. The next steward has three links a
+    /// moment later and reports that count, and those three instances each take a third of the fleet's
+    /// retries. The backend servers get more retries than the operator allows.
+    new_steward => count_of_new_steward_is_not_adopted_at_once();
+    /// The whole fleet restarts, and its links are opened one after another.
+    fleet_restart => counts_of_starting_fleet_stay_within_limit();
+    /// Most instances were removed for good. The rest must not be left with a hundredth of the limit each.
+    removed_instances => lower_count_is_adopted_after_a_window();
+    /// There is no steward for longer than a window.
+    no_steward => count_is_kept_without_a_steward();
+    /// Random counts at random times.
+    random_counts => count_is_max_of_last_window();
 }
