--- a/crates/fireflywheel/src/fleet/lease.rs
+++ b/crates/fireflywheel/src/fleet/lease.rs
@@ -286,13 +286,13 @@
         self.max_ceded_fencing = self.max_ceded_fencing.max(expired.map(|held| held.fencing));
     }
 
-    /// Processes a reading that was requested at `asked`.
-    pub fn observe(&mut self, asked: clock::Instant, reading: Reading) {
+    /// Processes a reading that was requested at `requested_at`.
+    pub fn observe(&mut self, requested_at: clock::Instant, reading: Reading) {
         let era = reading.end.era;
         if self.era.is_some_and(|known| era < known) {
             return;
         }
-        self.enter_era(asked, era);
+        self.enter_era(requested_at, era);
         let reading = reading.current();
         let own_fencing = reading
             .record
@@ -357,7 +357,7 @@
             },
             None => Observation {
                 end: Some(reading.end),
-                since: asked,
+                since: requested_at,
                 is_reported: record.is_none() && previous_holder.is_some(),
                 holder: record.or(previous_holder),
             },
@@ -518,7 +518,7 @@
     }
 
     /// Processes a proposal that was refused because another record was written at its end. If that may be
-    /// a late renewal by the predecessor that handed the lease over, only a reading of the record can tell,
+    /// a late renewal by the predecessor that handed the lease over, only a reading of the record can show it,
     /// so the lease is kept. In another era the end says nothing.
     pub fn refused(&mut self, end: Position) {
         if self.era != Some(end.era) {
