--- a/crates/fireflywheel/benches/frames.rs
+++ b/crates/fireflywheel/benches/frames.rs
@@ -17,7 +17,7 @@
     let digest = wire::Digest {
         version: 1_000_000,
         next: 1_000_000,
-        log: true,
+        log_readable: true,
     };
     let items = size
         .placements()
--- a/crates/fireflywheel/benches/requests.rs
+++ b/crates/fireflywheel/benches/requests.rs
@@ -36,7 +36,7 @@
         let mut table = routing::Table::new(routing::Options::default());
         let join = |worker| {
             let address = Size::times(factor).server(worker);
-            table.join(clock::Instant(0), address, SmolStr::new_static("fd0"), 16)
+            table.add_server(clock::Instant(0), address, SmolStr::new_static("fd0"), 16)
         };
         let candidates: Vec<_> = (0..12 * factor).map(join).collect();
         let now = clock::Instant(60_000);
@@ -108,7 +108,8 @@
         });
         let entries = fleet.entries();
         group.bench_function(BenchmarkId::new("list", name), |bencher| {
-            bencher.iter(|| fleet.step(fireflywheel::event::Event::Listed(entries.clone())));
+            bencher
+                .iter(|| fleet.step(fireflywheel::event::Event::InstancesListed(entries.clone())));
         });
         group.bench_function(BenchmarkId::new("status", name), |bencher| {
             bencher.iter(|| fleet.node.status());
@@ -173,7 +174,7 @@
             now: clock::Instant(0),
         };
         let others: Vec<_> = (1..instances).map(fleet::update).collect();
-        round.membership.told(round.now, &others);
+        round.membership.handle_members(round.now, &others);
         (0..10).for_each(|_| round.run());
         round
     }
@@ -190,10 +191,10 @@
                 }
                 membership::Action::Ping { to, number } => {
                     let by = incarnation_of(&to);
-                    self.membership.gossip(membership::GOSSIP);
-                    self.membership.answered(self.now, number, &by);
-                    self.membership.heard(self.now, &by);
-                    self.membership.gossip(membership::GOSSIP);
+                    self.membership.gossip(membership::MAX_GOSSIP_UPDATES);
+                    self.membership.handle_pong(self.now, number, &by);
+                    self.membership.record_contact(self.now, &by);
+                    self.membership.gossip(membership::MAX_GOSSIP_UPDATES);
                 }
                 membership::Action::Disconnect { .. } | membership::Action::Sync { .. } => {}
             }
--- a/crates/fireflywheel/benches/sized/fleet.rs
+++ b/crates/fireflywheel/benches/sized/fleet.rs
@@ -33,7 +33,7 @@
             me,
             failure_domain: SmolStr::new_static("fd0"),
             seeds: Vec::new(),
-            queue: 1_000,
+            max_queue: 1_000,
             timing: timing(),
             seed: 1,
         });
@@ -48,7 +48,7 @@
         fleet.read_all();
         fleet.list();
         fleet.meet();
-        assert_eq!(fleet.node.ready(), Ok(()));
+        assert_eq!(fleet.node.check_ready(), Ok(()));
         fleet
     }
 
@@ -62,7 +62,7 @@
             }
             let Some(from) = newest else { return };
             let records = self.writer.log[usize::try_from(from).expect("small")..].to_vec();
-            let read = event::Event::Read {
+            let read = event::Event::LogRead {
                 first: 0,
                 next: self.writer.log.len() as u64,
                 records,
@@ -73,7 +73,7 @@
     }
 
     /// The platform's list.
-    pub fn entries(&self) -> Vec<report::Listed> {
+    pub fn entries(&self) -> Vec<report::ListEntry> {
         let size = self.writer.size;
         let routers = (0..size.instances).map(|instance| {
             let name = incarnation(instance).instance;
@@ -98,7 +98,7 @@
 
     pub fn list(&mut self) {
         let entries = self.entries();
-        self.step(event::Event::Listed(entries));
+        self.step(event::Event::InstancesListed(entries));
     }
 
     /// Learns of all members from instance 1.
@@ -120,7 +120,7 @@
 
     /// A tick, 10 ms after the last event.
     pub fn tick(&mut self) {
-        self.now = self.now.after(node::TICK);
+        self.now = self.now.after(node::TICK_INTERVAL);
         self.step(event::Event::Tick);
     }
 
@@ -130,7 +130,7 @@
             slots: 16,
             ..report::Report::default()
         };
-        self.step(event::Event::Reported {
+        self.step(event::Event::ReportReceived {
             server: self.writer.size.server(worker),
             report,
         });
@@ -154,7 +154,7 @@
             stream: false,
         };
         self.out.clear();
-        let admitted = self.node.arrive(self.now, arrival, &mut self.out);
+        let admitted = self.node.handle_arrival(self.now, arrival, &mut self.out);
         let dispatched = self
             .out
             .iter()
@@ -165,7 +165,7 @@
             content_type: SmolStr::new_static("application/json"),
             body: None,
         };
-        self.step(event::Event::Attempted {
+        self.step(event::Event::AttemptUpdated {
             request: admitted.key,
             attempt: request::Attempt::Done(outcome),
         });
@@ -173,7 +173,7 @@
 
     /// A record is read.
     pub fn read(&mut self, stored: record::Stored) {
-        self.step(event::Event::Read {
+        self.step(event::Event::LogRead {
             first: 0,
             next: stored.offset + 1,
             records: vec![stored],
@@ -183,19 +183,24 @@
 
 fn timing() -> node::Timing {
     node::Timing {
-        ping: Duration::from_millis(500),
-        suspect: Duration::from_secs(3600),
-        dead: Duration::from_secs(3600),
+        ping_interval: Duration::from_millis(500),
+        suspect_timeout: Duration::from_secs(3600),
+        dead_timeout: Duration::from_secs(3600),
         drain_delay: Duration::from_secs(5),
         drain_limit: Duration::from_secs(600),
         gone_after: Duration::from_secs(30),
         checkpoint_records: u64::MAX,
-        checkpoint_every: Duration::from_secs(1_000_000),
+        checkpoint_interval: Duration::from_secs(1_000_000),
     }
 }
 
-fn listed(name: SmolStr, address: SmolStr, kind: report::Kind, group: SmolStr) -> report::Listed {
-    report::Listed {
+fn listed(
+    name: SmolStr,
+    address: SmolStr,
+    kind: report::Kind,
+    group: SmolStr,
+) -> report::ListEntry {
+    report::ListEntry {
         name,
         address,
         kind,
--- a/crates/fireflywheel/benches/sized/mod.rs
+++ b/crates/fireflywheel/benches/sized/mod.rs
@@ -192,25 +192,25 @@
             number: TIME_MS + 1,
         };
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id { by, sequence: 1 },
             entries: Vec::new(),
         };
-        let stored = self.store(record.body());
+        let stored = self.store(record.encode());
         self.fold(stored);
     }
 
     /// A group goes from this writer to another process, in its first record.
     pub fn hand_over(&mut self, group: usize, by: record::Incarnation) {
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id { by, sequence: 1 },
             entries: vec![record::Entry::Steward {
                 group: self.size.group(group),
                 epoch: 2,
             }],
         };
-        let stored = self.store(record.body());
+        let stored = self.store(record.encode());
         self.fold(stored);
     }
 
@@ -218,14 +218,14 @@
     pub fn record(&mut self, entries: Vec<record::Entry>) -> record::Stored {
         self.sequence += 1;
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id {
                 by: self.by.clone(),
                 sequence: self.sequence,
             },
             entries,
         };
-        self.store(record.body())
+        self.store(record.encode())
     }
 
     fn store(&mut self, body: String) -> record::Stored {
@@ -243,7 +243,7 @@
         let folded = self.ledger.fold(&stored).expect("the next record");
         let folded = folded.expect("a record of ours");
         for (entry, judgement) in &folded.entries {
-            assert_eq!(*judgement, ledger::Judgement::Accepted, "{entry:?}");
+            assert_eq!(*judgement, ledger::Decision::Accepted, "{entry:?}");
         }
         self.log.push(stored);
     }
--- a/crates/fireflywheel/src/answer/lines.rs
+++ b/crates/fireflywheel/src/answer/lines.rs
@@ -1,6 +1,6 @@
 //! Lines of server-sent events, put together to the data of each event.
 
-use super::{EVENT_LIMIT, Flaw};
+use super::{Flaw, MAX_EVENT_BYTES};
 
 const DATA_FIELD: &[u8] = b"data";
 
@@ -26,7 +26,7 @@
                 self.returned = true;
                 self.line_end()
             }
-            _ if self.line.len() + self.data.len() >= EVENT_LIMIT => Err(Flaw::Long),
+            _ if self.line.len() + self.data.len() >= MAX_EVENT_BYTES => Err(Flaw::TooLong),
             _ => {
                 self.line.push(byte);
                 Ok(None)
--- a/crates/fireflywheel/src/answer/mod.rs
+++ b/crates/fireflywheel/src/answer/mod.rs
@@ -4,7 +4,7 @@
 //! reused. A caller would take another's quote for its own, or half a report for all of it. So each answer
 //! must name its request in every part and come to its end marker; what doesn't is never handed on as whole.
 //!
-//! [`Check`] is for streams of server-sent events, [`Body`] for answers in one piece.
+//! [`StreamChecker`] is for streams of server-sent events, [`BodyChecker`] for answers in one piece.
 
 mod lines;
 
@@ -14,37 +14,37 @@
 use smol_str::SmolStr;
 
 /// The longest event taken, in bytes.
-pub const EVENT_LIMIT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// The data of the event that ends a stream.
-pub const END: &str = "[DONE]";
+pub const END_MARKER: &str = "[DONE]";
 
 /// What is wrong with an answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Flaw {
     /// It belongs to another request.
-    Crossed,
+    WrongRequest,
     /// It ended before its end marker.
-    Short,
+    Truncated,
     /// A chunk came again.
-    Doubled,
+    DuplicateChunk,
     /// A chunk is lacking.
-    Gap,
+    MissingChunk,
     /// It isn't what the protocol says.
     Malformed,
     /// It is larger than taken, or goes on after its end marker.
-    Long,
+    TooLong,
 }
 
 impl fmt::Display for Flaw {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Crossed => "the answer belongs to another request",
-            Self::Short => "the answer ended before its end marker",
-            Self::Doubled => "a chunk of the answer came twice",
-            Self::Gap => "a chunk of the answer is lacking",
+            Self::WrongRequest => "the answer belongs to another request",
+            Self::Truncated => "the answer ended before its end marker",
+            Self::DuplicateChunk => "a chunk of the answer came twice",
+            Self::MissingChunk => "a chunk of the answer is lacking",
             Self::Malformed => "the answer is not what the protocol says",
-            Self::Long => "the answer is larger than taken, or goes on after its end marker",
+            Self::TooLong => "the answer is larger than taken, or goes on after its end marker",
         })
     }
 }
@@ -71,7 +71,7 @@
 ///
 /// The verdict and the events don't depend on how the bytes are split.
 #[derive(Clone, Debug)]
-pub struct Check {
+pub struct StreamChecker {
     id: SmolStr,
     /// The sequence number of the next chunk.
     next: u64,
@@ -83,7 +83,7 @@
     flaw: Option<Flaw>,
 }
 
-impl Check {
+impl StreamChecker {
     /// Expects the whole stream of the request `id`.
     #[must_use]
     pub fn new(id: impl Into<SmolStr>) -> Self {
@@ -133,12 +133,12 @@
     ///
     /// # Errors
     ///
-    /// The [`Flaw`] found in the bytes, or [`Flaw::Short`] without the end marker.
+    /// The [`Flaw`] found in the bytes, or [`Flaw::Truncated`] without the end marker.
     pub fn end(&self) -> Result<(), Flaw> {
         match self.flaw {
             Some(flaw) => Err(flaw),
             None if self.ended => Ok(()),
-            None => Err(Flaw::Short),
+            None => Err(Flaw::Truncated),
         }
     }
 
@@ -159,12 +159,12 @@
             return Ok(());
         };
         if self.ended {
-            return Err(Flaw::Long);
+            return Err(Flaw::TooLong);
         }
-        if data == END {
+        if data == END_MARKER {
             // An end marker alone names no request, so it may be another's.
             if self.chunks == 0 {
-                return Err(Flaw::Short);
+                return Err(Flaw::Truncated);
             }
             self.ended = true;
             events.push(Event::End);
@@ -191,10 +191,10 @@
 
     fn in_sequence(&mut self, sequence: u64) -> Result<(), Flaw> {
         if sequence < self.next {
-            return Err(Flaw::Doubled);
+            return Err(Flaw::DuplicateChunk);
         }
         if sequence > self.next {
-            return Err(Flaw::Gap);
+            return Err(Flaw::MissingChunk);
         }
         self.next = sequence.saturating_add(1);
         Ok(())
@@ -203,14 +203,14 @@
 
 /// Checks an answer in one piece: a JSON object that names its request.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct BodyChecker {
     id: SmolStr,
     limit: usize,
     bytes: Vec<u8>,
     flaw: Option<Flaw>,
 }
 
-impl Body {
+impl BodyChecker {
     /// Expects the answer to the request `id`, of at most `limit` bytes.
     #[must_use]
     pub fn new(id: impl Into<SmolStr>, limit: usize) -> Self {
@@ -240,9 +240,9 @@
             return Err(flaw);
         }
         if self.bytes.len() + bytes.len() > self.limit {
-            self.flaw = Some(Flaw::Long);
+            self.flaw = Some(Flaw::TooLong);
             self.bytes = Vec::new();
-            return Err(Flaw::Long);
+            return Err(Flaw::TooLong);
         }
         self.bytes.extend_from_slice(bytes);
         Ok(())
@@ -268,14 +268,14 @@
 fn own(expected: &SmolStr, id: Option<&SmolStr>) -> Result<(), Flaw> {
     match id {
         Some(id) if id == expected => Ok(()),
-        Some(_) => Err(Flaw::Crossed),
+        Some(_) => Err(Flaw::WrongRequest),
         None => Err(Flaw::Malformed),
     }
 }
 
 fn flaw(error: &serde_json::Error) -> Flaw {
     match error.is_eof() {
-        true => Flaw::Short,
+        true => Flaw::Truncated,
         false => Flaw::Malformed,
     }
 }
--- a/crates/fireflywheel/src/start.rs
+++ b/crates/fireflywheel/src/bootstrap.rs
@@ -5,7 +5,7 @@
 //! join without a gap. Peers hand over checkpoints too, in the same parts. Only parts are kept while it
 //! reads: the records after the checkpoint are read once more, so the memory taken doesn't grow with the log.
 //!
-//! An instance that already holds a ledger and lost its place in the log starts with [`Start::above`], and
+//! An instance that already holds a ledger and lost its place in the log starts with [`Bootstrap::resume_from`], and
 //! takes only a checkpoint that goes further. One that goes less far would bring back an older document,
 //! and rights that were given up.
 
@@ -24,7 +24,7 @@
 
 /// What an instance does until it has a ledger.
 #[derive(Debug, Default)]
-pub struct Start {
+pub struct Bootstrap {
     /// Only a checkpoint that covers more than this is of use.
     above: u64,
     /// The oldest offset that the log retains, once it was read.
@@ -63,9 +63,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Waiting {
     /// Neither the log nor a peer has answered.
-    Silence,
+    NoResponse,
     /// The log is being read for checkpoints.
-    Scan {
+    ReadingLog {
         /// The next offset to read.
         from: u64,
         /// The offset to read up to.
@@ -81,8 +81,8 @@
 impl fmt::Display for Waiting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Silence => f.write_str("neither the log nor a peer has answered yet"),
-            Self::Scan { from, until } => {
+            Self::NoResponse => f.write_str("neither the log nor a peer has answered yet"),
+            Self::ReadingLog { from, until } => {
                 write!(f, "reading the log for a checkpoint, at {from} of {until}")
             }
             Self::NoCheckpoint { first } => write!(
@@ -94,7 +94,7 @@
     }
 }
 
-impl Start {
+impl Bootstrap {
     /// The start of an instance that holds nothing.
     #[must_use]
     pub fn new() -> Self {
@@ -103,7 +103,7 @@
 
     /// The start of an instance that holds a ledger up to `next`, whose successor the log has dropped.
     #[must_use]
-    pub fn above(next: u64) -> Self {
+    pub fn resume_from(next: u64) -> Self {
         Self {
             above: next,
             ..Self::default()
@@ -128,8 +128,8 @@
     #[must_use]
     pub fn waiting(&self) -> Waiting {
         match self.first {
-            None => Waiting::Silence,
-            Some(_) if self.from < self.until => Waiting::Scan {
+            None => Waiting::NoResponse,
+            Some(_) if self.from < self.until => Waiting::ReadingLog {
                 from: self.from,
                 until: self.until,
             },
@@ -139,7 +139,7 @@
 
     /// Takes in what the log answered to a read from [`Self::read_from`]: the oldest offset that it retains,
     /// the offset of its next record, and records in order.
-    pub fn read(&mut self, first: u64, next: u64, records: Vec<record::Stored>) {
+    pub fn add_records(&mut self, first: u64, next: u64, records: Vec<record::Stored>) {
         if self.first.is_none() {
             self.until = next;
         }
@@ -155,7 +155,7 @@
     }
 
     /// Takes in a part that a peer sent.
-    pub fn part(&mut self, part: record::Part) {
+    pub fn add_part(&mut self, part: record::Part) {
         self.gather(part, true);
     }
 
@@ -164,10 +164,10 @@
     ///
     /// # Errors
     ///
-    /// [`ledger::Halt::Rule`] when the log or a peer follows rules that this build doesn't know.
-    pub fn ledger(&mut self) -> Result<Option<ledger::Ledger>, ledger::Halt> {
+    /// [`ledger::FoldError::UnsupportedRules`] when the log or a peer follows rules that this build doesn't know.
+    pub fn build_ledger(&mut self) -> Result<Option<ledger::Ledger>, ledger::FoldError> {
         if let Some(rule) = self.newer {
-            return Err(ledger::Halt::Rule(rule));
+            return Err(ledger::FoldError::UnsupportedRules(rule));
         }
         if self.first == Some(0) && self.above == 0 {
             return Ok(Some(ledger::Ledger::new()));
@@ -180,7 +180,9 @@
                     self.gathered.retain(|other, _| other.next > name.next);
                     return Ok(Some(ledger));
                 }
-                Err(checkpoint::Fault::Rule(rule)) => return Err(ledger::Halt::Rule(rule)),
+                Err(checkpoint::Fault::Rule(rule)) => {
+                    return Err(ledger::FoldError::UnsupportedRules(rule));
+                }
                 // Damaged or forged: the next best may do.
                 Err(_) => {}
             }
@@ -201,7 +203,7 @@
     }
 
     fn look(&mut self, body: &str) {
-        match record::Record::read(body) {
+        match record::Record::decode(body) {
             Ok(Some(record)) => {
                 for entry in record.entries {
                     if let record::Entry::Checkpoint(part) = entry {
@@ -210,13 +212,13 @@
                 }
             }
             Ok(None) => {}
-            Err(record::Newer(rule)) => self.newer = Some(rule),
+            Err(record::UnsupportedRules(rule)) => self.newer = Some(rule),
         }
     }
 
     fn gather(&mut self, part: record::Part, by_peer: bool) {
-        let sized = part.text.len() <= checkpoint::PART_LIMIT;
-        let counted = part.part < part.parts && part.parts <= checkpoint::PARTS_LIMIT;
+        let sized = part.text.len() <= checkpoint::MAX_PART_BYTES;
+        let counted = part.part < part.parts && part.parts <= checkpoint::MAX_PARTS;
         let useful = part.next > self.above && part.next >= self.first.unwrap_or(0);
         if !sized || !counted || !useful {
             return;
--- a/crates/fireflywheel/src/claim.rs
+++ b/crates/fireflywheel/src/claim.rs
@@ -23,7 +23,7 @@
         status: u16,
         /// The content type.
         content_type: SmolStr,
-        /// The body, unless it was larger than [`BODY_LIMIT`]; a repeat then hears that it ran.
+        /// The body, unless it was larger than [`MAX_BODY_BYTES`]; a repeat then hears that it ran.
         body: Option<String>,
     },
     /// There is no whole answer. `NotRun` frees the key at once.
@@ -31,7 +31,7 @@
 }
 
 /// The largest answer kept with a claim, in bytes.
-pub const BODY_LIMIT: usize = 4096;
+pub const MAX_BODY_BYTES: usize = 4096;
 
 /// A claimed key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
--- a/crates/fireflywheel/src/credit.rs
+++ b/crates/fireflywheel/src/credit.rs
@@ -137,7 +137,7 @@
     /// When more is wanted than there is, each gets in proportion to what it wants, so that the first to
     /// ask doesn't keep all of it.
     #[must_use]
-    pub fn needed(
+    pub fn handle_need(
         &mut self,
         now: clock::Instant,
         by: &record::Incarnation,
@@ -247,7 +247,7 @@
     /// Asks to hold so many in all; to be sent at once, and again while they are needed, well within the
     /// lease. It never asks for less than it has in use.
     #[must_use]
-    pub fn need(&mut self, now: clock::Instant, hold: u32) -> Need {
+    pub fn request_credits(&mut self, now: clock::Instant, hold: u32) -> Need {
         let hold = hold.max(self.in_use);
         self.hold = self.hold.min(hold);
         self.number += 1;
@@ -259,7 +259,7 @@
     }
 
     /// Takes the home's answer; `false` when it is late or doubled.
-    pub fn lent(&mut self, lend: Lend) -> bool {
+    pub fn handle_lend(&mut self, lend: Lend) -> bool {
         if lend.number != self.number {
             return false;
         }
@@ -289,7 +289,7 @@
     /// Takes a credit into use; `false` when none is left. To be asked last thing before the use: the
     /// margin of the lease covers a short pause between the two, not a long one.
     #[must_use]
-    pub fn take(&mut self, now: clock::Instant) -> bool {
+    pub fn try_acquire(&mut self, now: clock::Instant) -> bool {
         if self.in_use >= self.held(now) {
             return false;
         }
@@ -298,7 +298,7 @@
     }
 
     /// Gives a credit back after its use.
-    pub fn give(&mut self) {
+    pub fn release(&mut self) {
         debug_assert!(self.in_use > 0, "a credit is given back once");
         self.in_use = self.in_use.saturating_sub(1);
     }
--- a/crates/fireflywheel/src/document/mod.rs
+++ b/crates/fireflywheel/src/document/mod.rs
@@ -35,7 +35,7 @@
 pub use self::{
     diff::{Change, diff},
     form::Section,
-    parse::LIMIT,
+    parse::MAX_BYTES,
     warning::{Warning, warnings},
 };
 
--- a/crates/fireflywheel/src/document/parse.rs
+++ b/crates/fireflywheel/src/document/parse.rs
@@ -27,7 +27,7 @@
 
 /// The largest document, in bytes. The log takes records of at most 1 MiB, and a document becomes longer
 /// inside of one, since line ends are escaped there.
-pub const LIMIT: usize = 900 * 1024;
+pub const MAX_BYTES: usize = 900 * 1024;
 
 const COLD_START_WEIGHT: RangeInclusive<f64> = 0.0..=1.0;
 const STORE_LOADS_PER_SECOND: RangeInclusive<f64> = 0.01..=10_000.0;
@@ -77,14 +77,14 @@
 ];
 
 impl Document {
-    /// Reads and checks a document of at most [`LIMIT`] bytes.
+    /// Reads and checks a document of at most [`MAX_BYTES`] bytes.
     ///
     /// # Errors
     ///
     /// Every fault, in the order of lines; see [`fault::LIMIT`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
-        let sections = ini_text::read(text, LIMIT, &mut faults)?;
+        let sections = ini_text::read(text, MAX_BYTES, &mut faults)?;
         let mut document = Self::default();
         for section in &sections {
             document.read(section, &mut faults);
--- a/crates/fireflywheel/src/effect.rs
+++ b/crates/fireflywheel/src/effect.rs
@@ -28,11 +28,11 @@
         frame: wire::Frame,
     },
     /// Ask these backend servers for load reports from now on, and no others.
-    Watch(Vec<SmolStr>),
+    PollReports(Vec<SmolStr>),
     /// Send an order to an engine and say what came of it.
     Order {
         /// Names this sending.
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         /// The engine's address.
         server: SmolStr,
         /// The order.
--- a/crates/fireflywheel/src/estimate.rs
+++ b/crates/fireflywheel/src/estimate.rs
@@ -10,9 +10,9 @@
 /// would otherwise raise the estimate past every deadline, and callers would be refused for nothing until it
 /// had worn off. Repeated high samples widen the deviation, so a real change is followed within a few.
 const SAMPLE_DEVIATIONS: f64 = 4.0;
-/// Deviations added to the mean by [`Estimate::cautious`].
+/// Deviations added to the mean by [`Estimate::upper_bound`].
 const CAUTION_DEVIATIONS: f64 = 2.0;
-/// [`Estimate::cautious`] is at most this many times the mean, so that a scattered service time doesn't turn
+/// [`Estimate::upper_bound`] is at most this many times the mean, so that a scattered service time doesn't turn
 /// into refusals of what would mostly have been in time.
 const CAUTION_LIMIT: f64 = 2.0;
 /// The first deviation, as a share of the expected time.
@@ -58,7 +58,7 @@
 
     /// A time that is seldom exceeded, at most twice the mean.
     #[must_use]
-    pub fn cautious(&self) -> Duration {
+    pub fn upper_bound(&self) -> Duration {
         let cautious = self.mean + CAUTION_DEVIATIONS * self.deviation;
         Duration::from_secs_f64(cautious.min(self.mean * CAUTION_LIMIT))
     }
@@ -69,15 +69,16 @@
     /// The mean is used here: over many requests deviations cancel out, and the cautious time of each would
     /// add up to a refusal of what would have been in time.
     #[must_use]
-    pub fn wait(&self, ahead: usize, slots: u32) -> Duration {
+    pub fn queue_wait(&self, ahead: usize, slots: u32) -> Duration {
         let turns = (ahead as f64 + 1.0) / f64::from(slots.max(1));
         seconds(self.mean * turns)
     }
 
     /// How long until a request with `ahead` others before it has its whole answer.
     #[must_use]
-    pub fn finish(&self, ahead: usize, slots: u32) -> Duration {
-        self.wait(ahead, slots).saturating_add(self.cautious())
+    pub fn completion_time(&self, ahead: usize, slots: u32) -> Duration {
+        self.queue_wait(ahead, slots)
+            .saturating_add(self.upper_bound())
     }
 }
 
--- a/crates/fireflywheel/src/event.rs
+++ b/crates/fireflywheel/src/event.rs
@@ -7,10 +7,10 @@
 /// One thing that happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; sent every [`crate::node::TICK`].
+    /// Time has passed; sent every [`crate::node::TICK_INTERVAL`].
     Tick,
     /// The log answered a read.
-    Read {
+    LogRead {
         /// The oldest offset that it retains.
         first: u64,
         /// The offset that its next record gets.
@@ -19,11 +19,11 @@
         records: Vec<record::Stored>,
     },
     /// The log could not be read.
-    ReadFailed,
+    LogReadFailed,
     /// What came of [`crate::effect::Effect::Append`].
     Appended(writer::Answer),
     /// The platform's list.
-    Listed(Vec<report::Listed>),
+    InstancesListed(Vec<report::ListEntry>),
     /// A link to a peer is open: it has proven the key. The update tells of the peer itself.
     LinkUp(member::Update),
     /// A link ended.
@@ -36,33 +36,33 @@
         frame: wire::Frame,
     },
     /// A backend server's load report.
-    Reported {
+    ReportReceived {
         /// Its address.
         server: SmolStr,
         /// The report.
         report: report::Report,
     },
     /// A backend server gave no report.
-    Unreported {
+    ReportFailed {
         /// Its address.
         server: SmolStr,
     },
     /// What came of [`crate::effect::Effect::Order`].
-    Ordered {
+    OrderAnswered {
         /// Which sending.
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         /// What is known.
         answer: order::Answer,
     },
     /// What came of [`crate::effect::Effect::Dispatch`] or [`crate::effect::Effect::Resume`].
-    Attempted {
+    AttemptUpdated {
         /// The request.
         request: request::Key,
         /// What is known.
         attempt: request::Attempt,
     },
     /// The caller has gone.
-    Abandoned(request::Key),
+    CallerGone(request::Key),
     /// A planned stop was asked for.
     Stop,
 }
--- a/crates/fireflywheel/src/ledger/checkpoint.rs
+++ b/crates/fireflywheel/src/ledger/checkpoint.rs
@@ -12,11 +12,11 @@
 use crate::{document, record};
 
 /// Bytes of text in one part at most.
-pub const PART_LIMIT: usize = 256 << 10;
+pub const MAX_PART_BYTES: usize = 256 << 10;
 
 /// Parts of a checkpoint that is taken at most. More than any ledger has; a forged count must not make an
 /// instance gather parts without end.
-pub const PARTS_LIMIT: u32 = 256;
+pub const MAX_PARTS: u32 = 256;
 
 /// Why parts are no checkpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -72,7 +72,7 @@
     #[must_use]
     pub fn checkpoint(&self) -> Vec<record::Part> {
         let content = Content {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             next: self.next,
             time_ms: self.time_ms,
             version: self.version,
@@ -95,7 +95,7 @@
         let next = parts.first().ok_or(Fault::Parts)?.next;
         let text = join(parts)?;
         let head: Head = read(&text)?;
-        if head.rule > record::RULE {
+        if head.rule > record::RULES_VERSION {
             return Err(Fault::Rule(head.rule));
         }
         let content: Content<'_> = read(&text)?;
@@ -152,7 +152,7 @@
 /// Cuts a text between characters.
 fn cut(mut text: &str) -> Vec<&str> {
     let mut pieces = Vec::new();
-    while text.len() > PART_LIMIT {
+    while text.len() > MAX_PART_BYTES {
         let (piece, rest) = text.split_at(boundary(text));
         pieces.push(piece);
         text = rest;
@@ -161,9 +161,9 @@
     pieces
 }
 
-/// The last place between two characters within [`PART_LIMIT`].
+/// The last place between two characters within [`MAX_PART_BYTES`].
 fn boundary(text: &str) -> usize {
-    let places = (0..=PART_LIMIT).rev();
+    let places = (0..=MAX_PART_BYTES).rev();
     let mut places = places.filter(|place| text.is_char_boundary(*place));
     places.next().unwrap_or(0)
 }
--- a/crates/fireflywheel/src/ledger/claims.rs
+++ b/crates/fireflywheel/src/ledger/claims.rs
@@ -20,8 +20,8 @@
 use crate::{claim, record, verdict};
 
 /// Bytes of kept answers over all claims. Beyond it the oldest answers are dropped, and a repeat of theirs
-/// hears that the request ran; without it, `keys` answers of [`claim::BODY_LIMIT`] would outgrow the memory.
-pub const BODIES_LIMIT: usize = 8 << 20;
+/// hears that the request ran; without it, `keys` answers of [`claim::MAX_BODY_BYTES`] would outgrow the memory.
+pub const MAX_BODIES_BYTES: usize = 8 << 20;
 
 /// Every key that is remembered.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -97,7 +97,7 @@
         claim.closed = Some((outcome, time_ms));
         let claim = claim.clone();
         self.index(key, &claim);
-        while self.bytes > BODIES_LIMIT
+        while self.bytes > MAX_BODIES_BYTES
             && let Some((time_ms, key)) = self.bodies.first().cloned()
         {
             self.drop_body(time_ms, &key);
@@ -132,7 +132,7 @@
 /// The outcome without a body that is too long to be kept.
 fn kept(outcome: &claim::Outcome) -> claim::Outcome {
     let mut outcome = outcome.clone();
-    let long = body_len(&outcome) > claim::BODY_LIMIT;
+    let long = body_len(&outcome) > claim::MAX_BODY_BYTES;
     if long && let claim::Outcome::Answered { body, .. } = &mut outcome {
         *body = None;
     }
--- a/crates/fireflywheel/src/ledger/fold.rs
+++ b/crates/fireflywheel/src/ledger/fold.rs
@@ -7,11 +7,11 @@
 
 /// How an entry was judged.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Judgement {
+pub enum Decision {
     /// In force from here on.
     Accepted,
     /// Without effect, and why.
-    Void(Reason),
+    Rejected(Reason),
 }
 
 /// Why an entry is without effect.
@@ -41,7 +41,7 @@
     Full,
     /// The pins may not be released yet.
     Pinned,
-    /// The writer was silent for [`sequences::LIFE_MS`]; it must go on as a new incarnation.
+    /// The writer was silent for [`sequences::INCARNATION_TTL_MS`]; it must go on as a new incarnation.
     Expired,
     /// A command line of an operator may only publish.
     Writer,
@@ -55,14 +55,14 @@
     /// Who wrote it.
     pub id: record::Id,
     /// Each entry with its judgement; empty when the id had been taken before.
-    pub entries: Vec<(record::Entry, Judgement)>,
+    pub entries: Vec<(record::Entry, Decision)>,
 }
 
 /// Why a ledger can't go on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Halt {
+pub enum FoldError {
     /// The record is not the next one. When it is a later one, the log dropped those between, and only a
-    /// checkpoint helps; see [`crate::start`].
+    /// checkpoint helps; see [`crate::bootstrap`].
     Gap {
         /// The offset that was due.
         next: u64,
@@ -71,41 +71,41 @@
     },
     /// The record was written under rules that this build doesn't know. Going on would judge it in another
     /// way than newer instances do, so this instance must stop until it is replaced.
-    Rule(u32),
+    UnsupportedRules(u32),
 }
 
-impl fmt::Display for Halt {
+impl fmt::Display for FoldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Gap { next, offset } => {
                 write!(f, "record {next} of the log is due, {offset} came")
             }
-            Self::Rule(rule) => write!(
+            Self::UnsupportedRules(rule) => write!(
                 f,
                 "the log holds records of rule {rule}, this build knows rules up to {}",
-                record::RULE
+                record::RULES_VERSION
             ),
         }
     }
 }
 
-impl std::error::Error for Halt {}
+impl std::error::Error for FoldError {}
 
 impl Ledger {
     /// Folds the log's next record. A body that is no record of ours is passed over.
     ///
     /// # Errors
     ///
-    /// [`Halt`]; the ledger is as it was.
-    pub fn fold(&mut self, stored: &record::Stored) -> Result<Option<Folded>, Halt> {
+    /// [`FoldError`]; the ledger is as it was.
+    pub fn fold(&mut self, stored: &record::Stored) -> Result<Option<Folded>, FoldError> {
         if stored.offset != self.next {
-            return Err(Halt::Gap {
+            return Err(FoldError::Gap {
                 next: self.next,
                 offset: stored.offset,
             });
         }
-        let record =
-            record::Record::read(&stored.body).map_err(|record::Newer(rule)| Halt::Rule(rule))?;
+        let record = record::Record::decode(&stored.body)
+            .map_err(|record::UnsupportedRules(rule)| FoldError::UnsupportedRules(rule))?;
         self.next = stored.offset + 1;
         self.time_ms = self.time_ms.max(stored.time_ms);
         self.expire_claims();
@@ -129,11 +129,11 @@
         offset: u64,
         by: &record::Incarnation,
         entries: Vec<record::Entry>,
-    ) -> Vec<(record::Entry, Judgement)> {
+    ) -> Vec<(record::Entry, Decision)> {
         let judged = entries.into_iter().map(|entry| {
             let judgement = match self.judge(offset, by, &entry) {
-                Ok(()) => Judgement::Accepted,
-                Err(reason) => Judgement::Void(reason),
+                Ok(()) => Decision::Accepted,
+                Err(reason) => Decision::Rejected(reason),
             };
             (entry, judgement)
         });
@@ -198,9 +198,9 @@
     }
 }
 
-fn void_all(entries: Vec<record::Entry>, reason: Reason) -> Vec<(record::Entry, Judgement)> {
+fn void_all(entries: Vec<record::Entry>, reason: Reason) -> Vec<(record::Entry, Decision)> {
     let entries = entries.into_iter();
     entries
-        .map(|entry| (entry, Judgement::Void(reason)))
+        .map(|entry| (entry, Decision::Rejected(reason)))
         .collect()
 }
--- a/crates/fireflywheel/src/ledger/mod.rs
+++ b/crates/fireflywheel/src/ledger/mod.rs
@@ -29,7 +29,7 @@
 
 use crate::{claim, document, record, right};
 
-pub use fold::{Folded, Halt, Judgement, Reason};
+pub use fold::{Decision, FoldError, Folded, Reason};
 
 /// Who serves a group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -141,7 +141,7 @@
 
     /// How many keys are remembered.
     #[must_use]
-    pub fn claims_len(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
--- a/crates/fireflywheel/src/ledger/sequences.rs
+++ b/crates/fireflywheel/src/ledger/sequences.rs
@@ -12,14 +12,14 @@
 use crate::record;
 
 /// How long an incarnation may be silent, and how old it must be, until it is forgotten: 30 days of log time.
-pub const LIFE_MS: u64 = 30 * 24 * 60 * 60 * 1000;
+pub const INCARNATION_TTL_MS: u64 = 30 * 24 * 60 * 60 * 1000;
 
 /// The start of the instance names of operators' command lines.
-pub const OPERATOR: &str = "operator/";
+pub const OPERATOR_PREFIX: &str = "operator/";
 
 /// The highest sequence of each incarnation that is remembered.
 ///
-/// An incarnation is forgotten when its number and its last record are both older than [`LIFE_MS`]. A copy
+/// An incarnation is forgotten when its number and its last record are both older than [`INCARNATION_TTL_MS`]. A copy
 /// of one of its records that lands later still finds it unknown, and an unknown incarnation with a number
 /// that old is refused for ever: it can't be new. So forgetting never lets a copy in, and a process that
 /// appends at least once in that time lives on.
@@ -52,7 +52,7 @@
 /// own and thousands a day would fill the table. Only their publications count, and a copy of one is made
 /// from a version that its first landing replaced.
 pub(super) fn is_operator(by: &record::Incarnation) -> bool {
-    by.instance.starts_with(OPERATOR)
+    by.instance.starts_with(OPERATOR_PREFIX)
 }
 
 impl Sequences {
@@ -96,5 +96,5 @@
 }
 
 fn is_old(then_ms: u64, now_ms: u64) -> bool {
-    then_ms.saturating_add(LIFE_MS) < now_ms
+    then_ms.saturating_add(INCARNATION_TTL_MS) < now_ms
 }
--- a/crates/fireflywheel/src/lib.rs
+++ b/crates/fireflywheel/src/lib.rs
@@ -9,14 +9,14 @@
 //! use std::time::Duration;
 //!
 //! let timing = node::Timing {
-//!     ping: Duration::from_millis(500),
-//!     suspect: Duration::from_secs(2),
-//!     dead: Duration::from_secs(10),
+//!     ping_interval: Duration::from_millis(500),
+//!     suspect_timeout: Duration::from_secs(2),
+//!     dead_timeout: Duration::from_secs(10),
 //!     drain_delay: Duration::from_secs(5),
 //!     drain_limit: Duration::from_secs(600),
 //!     gone_after: Duration::from_secs(30),
 //!     checkpoint_records: 5000,
-//!     checkpoint_every: Duration::from_secs(60),
+//!     checkpoint_interval: Duration::from_secs(60),
 //! };
 //! let me = record::Incarnation { instance: "a1".into(), number: 1_700_000_000_000 };
 //! let options = node::Options {
@@ -24,7 +24,7 @@
 //!     address: "10.20.1.11:8081".into(),
 //!     failure_domain: "fd1".into(),
 //!     seeds: Vec::new(),
-//!     queue: 1024,
+//!     max_queue: 1024,
 //!     timing,
 //!     seed: 1,
 //! };
@@ -34,14 +34,14 @@
 //! assert_eq!(effects, [effect::Effect::ReadFrom(0)]);
 //!
 //! // An empty log: there is a ledger now, and no configuration yet.
-//! let read = event::Event::Read { first: 0, next: 0, records: Vec::new() };
+//! let read = event::Event::LogRead { first: 0, next: 0, records: Vec::new() };
 //! node.step(clock::Instant(5), read, &mut effects);
-//! assert!(node.ready().is_err());
+//! assert!(node.check_ready().is_err());
 //! ```
 //!
 //! # One cold request, in reading order
 //!
-//! 1. [`node::Node::arrive`] takes a [`request::Arrival`]: limits ([`credit`]), a claim where it may run only
+//! 1. [`node::Node::handle_arrival`] takes a [`request::Arrival`]: limits ([`credit`]), a claim where it may run only
 //!    once ([`claim`]), and an [`estimate`] that refuses at once what would be late.
 //! 2. It waits in a [`queue`]. Nothing is loaded, so the group's [`steward`] is told ([`wire::Frame::Want`]).
 //! 3. The steward chooses by [`placement`], appends an intent ([`record::Entry::Grant`], by the [`writer`]), and
@@ -54,12 +54,12 @@
 //!
 //! *What if the steward dies or is paused?* See [`ledger::rights`] and [`steward`].
 //! *What if the log is out?* What was granted goes on; see [`node`].
-//! *How does an instance start?* From the log or a checkpoint; see [`start`].
+//! *How does an instance start?* From the log or a checkpoint; see [`bootstrap`].
 //! *Who decides that an instance is dead?* Nobody for certain: [`membership`] gives hints, and the ledger decides.
 
 pub mod answer;
+pub mod bootstrap;
 pub mod bucket;
-pub mod budget;
 pub mod claim;
 pub mod clock;
 pub mod credit;
@@ -83,11 +83,11 @@
 pub mod rendezvous;
 pub mod report;
 pub mod request;
+pub mod retry_budget;
 pub mod right;
 pub mod routing;
 pub mod server;
 pub mod settings;
-pub mod start;
 pub mod status;
 pub mod steward;
 pub mod verdict;
--- a/crates/fireflywheel/src/membership/mod.rs
+++ b/crates/fireflywheel/src/membership/mod.rs
@@ -31,10 +31,10 @@
 pub use options::Options;
 
 /// Changes of membership that one ping or pong should carry at most.
-pub const GOSSIP: usize = 6;
+pub const MAX_GOSSIP_UPDATES: usize = 6;
 
-/// Members after which [`Membership::differing`] adds no further bucket.
-pub const SYNC_MEMBERS: usize = 96;
+/// Members after which [`Membership::differing_members`] adds no further bucket.
+pub const MAX_SYNC_MEMBERS: usize = 96;
 
 /// What is to be done towards another instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -67,7 +67,7 @@
 
 /// An instance as the platform's lagging list names it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listed {
+pub struct ListEntry {
     /// Its name.
     pub instance: SmolStr,
     /// Where its peers reach it, as `IP:PORT`.
@@ -95,7 +95,7 @@
     links: link::Links,
     wants: BTreeSet<SmolStr>,
     seeds: Vec<SmolStr>,
-    listed: BTreeMap<u64, Listed>,
+    listed: BTreeMap<u64, ListEntry>,
     watches: BTreeMap<SmolStr, Watch>,
     /// Linked members that are doubted. They are pinged by all that have a link to them, so that they hear of
     /// it also where the way from those who watch them is broken.
@@ -171,7 +171,7 @@
         if now < self.next_round {
             return;
         }
-        self.next_round = now.after(self.options.ping);
+        self.next_round = now.after(self.options.ping_interval);
         self.rounds += 1;
         self.choose_watches(now);
         self.ping(now, actions);
@@ -182,7 +182,7 @@
     }
 
     /// Any frame came directly from this process.
-    pub fn heard(&mut self, now: clock::Instant, from: &record::Incarnation) {
+    pub fn record_contact(&mut self, now: clock::Instant, from: &record::Incarnation) {
         self.last_heard = Some(now);
         if let Some(watch) = self.watches.get_mut(&from.instance) {
             watch.heard = now;
@@ -209,15 +209,15 @@
 
     /// A pong came. One to a ping that was never sent, such as by an earlier process of this name, says
     /// nothing.
-    pub fn answered(&mut self, now: clock::Instant, number: u64, from: &record::Incarnation) {
+    pub fn handle_pong(&mut self, now: clock::Instant, number: u64, from: &record::Incarnation) {
         if number <= self.pings {
-            self.heard(now, from);
+            self.record_contact(now, from);
         }
     }
 
-    /// Changes to pass on with one ping or pong, at most `max`; see [`GOSSIP`].
+    /// Changes to pass on with one ping or pong, at most `max`; see [`MAX_GOSSIP_UPDATES`].
     pub fn gossip(&mut self, max: usize) -> Vec<member::Update> {
-        let keys = self.rumours.take(max, self.options.passes);
+        let keys = self.rumours.take(max, self.options.retransmissions);
         keys.into_iter()
             .filter_map(|key| Some(self.table.get(key)?.update.clone()))
             .collect()
@@ -233,7 +233,7 @@
     /// some thousand members in all, a few buckets at a time, and others the next time.
     ///
     /// What is known of the asker goes first, so that it can refute it. When none differs, the answer is empty and needs no frame.
-    pub fn differing(&mut self, asker: &str, hashes: &[u64]) -> Vec<member::Update> {
+    pub fn differing_members(&mut self, asker: &str, hashes: &[u64]) -> Vec<member::Update> {
         let own = self.table.hashes().iter().enumerate();
         let differs = |bucket: usize, hash: u64| hash != *hashes.get(bucket).unwrap_or(&0);
         let differing = own.filter(|(bucket, hash)| differs(*bucket, **hash));
@@ -246,7 +246,7 @@
         buckets.rotate_left(start);
         let mut updates = Vec::from_iter(self.table.find_update(asker).cloned());
         for bucket in buckets {
-            if updates.len() < SYNC_MEMBERS {
+            if updates.len() < MAX_SYNC_MEMBERS {
                 let others = self.table.bucket(bucket);
                 updates.extend(others.filter(|update| update.by.instance != asker).cloned());
             }
@@ -255,7 +255,7 @@
     }
 
     /// An address of the settings to try while nobody is known to live there.
-    pub fn seed(&mut self, address: SmolStr) {
+    pub fn add_seed(&mut self, address: SmolStr) {
         if !self.seeds.contains(&address) {
             self.seeds.push(address);
         }
@@ -263,7 +263,7 @@
 
     /// Takes the platform's lagging list in. A name in it is someone to try; one that is lacking proves
     /// nothing, since a new instance comes late into the list.
-    pub fn listed(&mut self, _now: clock::Instant, entries: &[Listed]) {
+    pub fn set_listed(&mut self, _now: clock::Instant, entries: &[ListEntry]) {
         let others = entries.iter().filter(|entry| entry.instance != self.name);
         self.listed = others
             .map(|entry| (xxh3::xxh3_64(entry.instance.as_bytes()), entry.clone()))
@@ -292,7 +292,7 @@
         if !self.rumours.contains(self.me) {
             self.rumours.push(self.me);
         }
-        self.heard(now, to);
+        self.record_contact(now, to);
     }
 
     /// No link to this process is left.
@@ -324,14 +324,14 @@
     /// Whether nobody has been heard for the time of a suspicion though others are known. What this instance
     /// then believes of the others says more about itself, and it had better take nothing over from them.
     #[must_use]
-    pub fn isolated(&self, now: clock::Instant) -> bool {
+    pub fn is_isolated(&self, now: clock::Instant) -> bool {
         let heard = self.last_heard.unwrap_or_default();
-        self.table.len() > 1 && now.since(heard) >= self.options.suspect
+        self.table.len() > 1 && now.since(heard) >= self.options.suspect_timeout
     }
 
     /// Whether a later incarnation of this very instance was heard of: this process is one too many.
     #[must_use]
-    pub fn superseded(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
--- a/crates/fireflywheel/src/membership/news.rs
+++ b/crates/fireflywheel/src/membership/news.rs
@@ -10,7 +10,7 @@
 
 impl Membership {
     /// Takes a change in, from gossip.
-    pub fn update(&mut self, now: clock::Instant, update: &member::Update) {
+    pub fn handle_update(&mut self, now: clock::Instant, update: &member::Update) {
         if update.by.instance == self.name {
             self.about_me(update);
             return;
@@ -32,7 +32,7 @@
     }
 
     /// Takes a [`crate::wire::Frame::Members`] in.
-    pub fn told(&mut self, now: clock::Instant, updates: &[member::Update]) {
+    pub fn handle_members(&mut self, now: clock::Instant, updates: &[member::Update]) {
         let unknown = |update: &&member::Update| self.table.find(&update.by.instance).is_none();
         let news = updates.iter().filter(unknown).count() <= NEWS;
         let mut learned = false;
@@ -40,13 +40,13 @@
             let known = self.table.find_update(&update.by.instance);
             learned |= known.is_none_or(|known| table::outdoes(update, known));
             match known {
-                Some(_) => self.update(now, update),
+                Some(_) => self.handle_update(now, update),
                 None => self.discover(now, update, news),
             }
         }
         // Where there was something to learn there may be more.
         if learned {
-            self.next_sync = now.after(self.options.ping);
+            self.next_sync = now.after(self.options.ping_interval);
         }
     }
 
@@ -90,7 +90,7 @@
         let mut update = dead.clone();
         update.state = member::State::Suspect;
         let key = self.table.put(update, true);
-        let wait = self.options.dead.saturating_mul(DOUBTED_DEATH);
+        let wait = self.options.dead_timeout.saturating_mul(DOUBTED_DEATH);
         self.table.set_suspected(key, now);
         self.table.set_timer(key, Some(now.after(wait)));
     }
@@ -104,8 +104,8 @@
         let key = self.table.put(update, true);
         let timer = match state {
             member::State::Alive | member::State::Leaving => None,
-            member::State::Suspect => Some(now.after(self.options.dead)),
-            member::State::Dead => Some(now.after(self.options.forget)),
+            member::State::Suspect => Some(now.after(self.options.dead_timeout)),
+            member::State::Dead => Some(now.after(self.options.dead_retention)),
         };
         if state == member::State::Suspect {
             self.table.set_suspected(key, now);
--- a/crates/fireflywheel/src/membership/round.rs
+++ b/crates/fireflywheel/src/membership/round.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3;
 
-use super::{Action, Listed, Membership, Watch};
+use super::{Action, ListEntry, Membership, Watch};
 use crate::{clock, member};
 
 /// Listed instances looked at in search of one worth trying.
@@ -25,14 +25,15 @@
             return;
         };
         let pause = now.since(last);
-        if pause < self.options.suspect / 2 {
+        if pause < self.options.suspect_timeout / 2 {
             return;
         }
         for watch in self.watches.values_mut() {
             watch.heard = now;
         }
-        self.table.postpone_suspicions(now.after(self.options.dead));
-        if pause >= self.options.suspect {
+        self.table
+            .postpone_suspicions(now.after(self.options.dead_timeout));
+        if pause >= self.options.suspect_timeout {
             self.say(self.my_update().clone());
         }
     }
@@ -61,14 +62,14 @@
     pub(super) fn ping(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
         let mut silent = Vec::new();
         for (name, watch) in &mut self.watches {
-            let patience = self.options.suspect.saturating_mul(watch.patience);
+            let patience = self.options.suspect_timeout.saturating_mul(watch.patience);
             if now.since(watch.heard) >= patience {
                 silent.push(watch.key);
             }
             if !self.links.contains(name) {
                 continue;
             }
-            let missed = now.since(watch.heard) > self.options.ping * 3 / 2;
+            let missed = now.since(watch.heard) > self.options.ping_interval * 3 / 2;
             for _ in 0..if missed { INSISTENCE } else { 1 } {
                 self.pings += 1;
                 actions.push(Action::Ping {
@@ -114,7 +115,8 @@
             member::State::Alive => member::State::Suspect,
             // It said that it stops, so there is nothing to refute.
             member::State::Leaving
-                if now.since(watch.heard) >= self.options.suspect + self.options.dead =>
+                if now.since(watch.heard)
+                    >= self.options.suspect_timeout + self.options.dead_timeout =>
             {
                 member::State::Dead
             }
@@ -148,7 +150,7 @@
             let patient = mesh && self.name > *name && !self.watches.contains_key(name);
             if self
                 .links
-                .dial(now, &update.address, self.options.ping, patient)
+                .dial(now, &update.address, self.options.ping_interval, patient)
             {
                 actions.push(Action::Connect {
                     instance: Some(name.clone()),
@@ -170,7 +172,7 @@
             chosen && living(name)
         };
         let address = |name: &str| Some(self.table.find_update(name)?.address.clone());
-        let grace = self.options.probe.saturating_mul(2);
+        let grace = self.options.probe_interval.saturating_mul(2);
         let unwanted = self.links.unwanted(now, grace, wanted, address);
         let disconnects = unwanted.into_iter();
         actions.extend(disconnects.map(|instance| Action::Disconnect { instance }));
@@ -188,10 +190,10 @@
         if !self.links.is_empty() && now < self.next_probe {
             return;
         }
-        self.next_probe = now.after(self.options.probe);
+        self.next_probe = now.after(self.options.probe_interval);
         self.try_seed(now, actions);
         let draw = self.draw();
-        let dead = self.table.draw_dead(draw).map(|update| Listed {
+        let dead = self.table.draw_dead(draw).map(|update| ListEntry {
             instance: update.by.instance.clone(),
             address: update.address.clone(),
         });
@@ -202,7 +204,7 @@
             if !linked
                 && self
                     .links
-                    .dial(now, &listed.address, self.options.ping, false)
+                    .dial(now, &listed.address, self.options.ping_interval, false)
             {
                 actions.push(Action::Connect {
                     instance: Some(listed.instance),
@@ -221,7 +223,10 @@
         let Some(address) = absent.next() else {
             return;
         };
-        if self.links.dial(now, address, self.options.ping, false) {
+        if self
+            .links
+            .dial(now, address, self.options.ping_interval, false)
+        {
             actions.push(Action::Connect {
                 instance: None,
                 address: address.clone(),
@@ -230,11 +235,11 @@
     }
 
     /// A listed instance that isn't known to live.
-    fn draw_listed(&self, draw: u64) -> Option<Listed> {
+    fn draw_listed(&self, draw: u64) -> Option<ListEntry> {
         let after = self.listed.range(draw..);
         let around = after.chain(self.listed.range(..draw));
         let mut some = around.take(PROBE_DRAWS).map(|(_, listed)| listed);
-        let absent = |listed: &&Listed| {
+        let absent = |listed: &&ListEntry| {
             let state = self.state(&listed.instance);
             state.is_none_or(|state| state == member::State::Dead)
         };
@@ -253,7 +258,7 @@
             asked.extend(self.links.draw(self.draw()).cloned());
         }
         if !asked.is_empty() {
-            self.next_sync = now.after(self.options.sync);
+            self.next_sync = now.after(self.options.sync_interval);
         }
         actions.extend(asked.into_iter().map(|to| Action::Sync { to }));
     }
--- a/crates/fireflywheel/src/node/admission.rs
+++ b/crates/fireflywheel/src/node/admission.rs
@@ -67,7 +67,7 @@
 
 impl Node {
     /// Takes in a request. Its dispatch or refusal is among the effects, now or of a later step.
-    pub fn arrive(
+    pub fn handle_arrival(
         &mut self,
         now: clock::Instant,
         arrival: request::Arrival,
@@ -238,9 +238,10 @@
         let service = if lane.queue.is_empty() && lane.running < slots {
             lane.service.mean()
         } else if cold {
-            lane.service.finish(ahead, slots)
+            lane.service.completion_time(ahead, slots)
         } else {
-            lane.service.finish(ahead, lane.running.clamp(1, slots))
+            lane.service
+                .completion_time(ahead, lane.running.clamp(1, slots))
         };
         if !cold || lane.item.is_none() {
             return service;
--- a/crates/fireflywheel/src/node/attempts.rs
+++ b/crates/fireflywheel/src/node/attempts.rs
@@ -40,10 +40,10 @@
         let class = running.class.clone();
         if !running.sent {
             running.sent = true;
-            self.budget.attempted(now);
+            self.budget.record_request(now);
         }
         lane.running += 1;
-        group.table.started(now, server);
+        group.table.request_started(now, server);
         self.left_queue(&class);
         out.push(effect::Effect::Dispatch {
             request,
@@ -106,7 +106,7 @@
         let lane = self.lanes.get_mut(request.lane?)?;
         lane.running = lane.running.saturating_sub(1);
         if let Some(group) = self.groups.get_mut(&lane.group) {
-            group.table.ended(now, server, failed);
+            group.table.request_ended(now, server, failed);
         }
         Some(since)
     }
@@ -126,14 +126,14 @@
         };
         let Some(lane) = request.lane else { return };
         if self.may_resume(now, key, failure) {
-            return self.resume(key, server, failure.handed_on, out);
+            return self.resume(key, server, failure.events_delivered, out);
         }
         let unwell = matches!(
             failure.cause,
             request::Cause::Connect
-                | request::Cause::Cut
-                | request::Cause::Backend
-                | request::Cause::Flawed
+                | request::Cause::Disconnected
+                | request::Cause::BackendFailed
+                | request::Cause::AnswerFlawed
         );
         self.end_attempt(now, key, unwell);
         self.learn(now, lane, server, failure.cause);
@@ -172,11 +172,11 @@
             request::Cause::NotLoaded => self.deny(now, &address, lane),
             request::Cause::Overloaded => self.rest(now, &address, lane),
             request::Cause::Connect
-            | request::Cause::Cut
-            | request::Cause::Flawed
-            | request::Cause::Backend
-            | request::Cause::Late
-            | request::Cause::Caller => {}
+            | request::Cause::Disconnected
+            | request::Cause::AnswerFlawed
+            | request::Cause::BackendFailed
+            | request::Cause::DeadlinePassed
+            | request::Cause::CallerGone => {}
         }
     }
 
@@ -188,8 +188,8 @@
         failure: &request::Failure,
     ) -> bool {
         let request = &self.requests[key];
-        failure.cause == request::Cause::Cut
-            && failure.handed_on > 0
+        failure.cause == request::Cause::Disconnected
+            && failure.events_delivered > 0
             && request.arrival.stream
             && request.resumes < RESUMES
             && now < request.deadline
@@ -225,8 +225,15 @@
         failure: &request::Failure,
     ) -> bool {
         let request = &self.requests[key];
-        let hopeless = matches!(failure.cause, request::Cause::Caller | request::Cause::Late);
-        if hopeless || failure.handed_on > 0 || !request.idempotent || now >= request.deadline {
+        let hopeless = matches!(
+            failure.cause,
+            request::Cause::CallerGone | request::Cause::DeadlinePassed
+        );
+        if hopeless
+            || failure.events_delivered > 0
+            || !request.idempotent
+            || now >= request.deadline
+        {
             return false;
         }
         // A refusal in the engine's own protocol cost it next to nothing, and the placement is left alone for
@@ -240,22 +247,31 @@
         }
         let failures = &mut self.requests[key].failures;
         *failures += 1;
-        *failures < ATTEMPTS && self.budget.retry(now)
+        *failures < ATTEMPTS && self.budget.try_retry(now)
     }
 
     fn refusal(&self, key: request::Key, failure: &request::Failure) -> request::Refusal {
         let request = &self.requests[key];
         let (code, message) = match failure.cause {
-            request::Cause::Connect => {
-                (request::Code::Backend, "no connection to a backend server")
+            request::Cause::Connect => (
+                request::Code::BackendFailed,
+                "no connection to a backend server",
+            ),
+            request::Cause::Disconnected => {
+                (request::Code::BackendFailed, "the backend server broke off")
+            }
+            request::Cause::NotLoaded => (request::Code::BackendFailed, "the model was not loaded"),
+            request::Cause::Draining => (request::Code::BackendFailed, "the backend server leaves"),
+            request::Cause::Overloaded => {
+                (request::Code::BackendFailed, "the backend server is full")
+            }
+            request::Cause::BackendFailed => {
+                (request::Code::BackendFailed, "the backend server failed")
+            }
+            request::Cause::AnswerFlawed => {
+                (request::Code::AnswerFlawed, "the answer was not whole")
             }
-            request::Cause::Cut => (request::Code::Backend, "the backend server broke off"),
-            request::Cause::NotLoaded => (request::Code::Backend, "the model was not loaded"),
-            request::Cause::Draining => (request::Code::Backend, "the backend server leaves"),
-            request::Cause::Overloaded => (request::Code::Backend, "the backend server is full"),
-            request::Cause::Backend => (request::Code::Backend, "the backend server failed"),
-            request::Cause::Flawed => (request::Code::Flawed, "the answer was not whole"),
-            request::Cause::Late | request::Cause::Caller => {
+            request::Cause::DeadlinePassed | request::Cause::CallerGone => {
                 (request::Code::DeadlinePassed, "no answer by the deadline")
             }
         };
--- a/crates/fireflywheel/src/node/checkpoints.rs
+++ b/crates/fireflywheel/src/node/checkpoints.rs
@@ -66,7 +66,7 @@
         let known = &self.log.checkpoints;
         let timing = &self.options.timing;
         let since = ledger.next().saturating_sub(known.end);
-        let old = since > 0 && now.since(known.at) >= timing.checkpoint_every;
+        let old = since > 0 && now.since(known.at) >= timing.checkpoint_interval;
         let due = since >= timing.checkpoint_records || old;
         let underway = known.begun.is_some_and(|begun| now.since(begun) < GIVE_UP);
         if !due || underway || !self.log.reading || self.stop.is_some() {
--- a/crates/fireflywheel/src/node/claims.rs
+++ b/crates/fireflywheel/src/node/claims.rs
@@ -112,7 +112,7 @@
         now: clock::Instant,
         key: &claim::Key,
         mine: bool,
-        judgement: &ledger::Judgement,
+        judgement: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
         if !mine {
@@ -123,15 +123,15 @@
             .get_mut(key)
             .and_then(|waiters| waiters.claimant.take());
         match judgement {
-            ledger::Judgement::Accepted => self.claim_won(now, key, claimant, out),
-            ledger::Judgement::Void(ledger::Reason::Full) => {
+            ledger::Decision::Accepted => self.claim_won(now, key, claimant, out),
+            ledger::Decision::Rejected(ledger::Reason::Full) => {
                 let Some(request) = claimant else { return };
                 self.requests[request].claim = None;
                 let message = "as many idempotency keys are remembered as allowed";
                 let refusal = request::Refusal::new(request::Code::KeysFull, message);
                 self.refuse(now, request, refusal, out);
             }
-            ledger::Judgement::Void(_) => {
+            ledger::Decision::Rejected(_) => {
                 let Some(request) = claimant else { return };
                 self.requests[request].state = State::New;
                 if let Err(refusal) = self.begin_claim(now, request, out) {
@@ -371,7 +371,7 @@
         } => claim::Outcome::Answered {
             status,
             content_type,
-            body: body.filter(|body| body.len() <= claim::BODY_LIMIT),
+            body: body.filter(|body| body.len() <= claim::MAX_BODY_BYTES),
         },
         claim::Outcome::Failed(_) => outcome,
     }
--- a/crates/fireflywheel/src/node/cold.rs
+++ b/crates/fireflywheel/src/node/cold.rs
@@ -55,7 +55,10 @@
         if !(cold || crowded) || !due {
             return;
         }
-        let first = lane.queue.earliest().unwrap_or(lane.interest_until);
+        let first = lane
+            .queue
+            .earliest_deadline()
+            .unwrap_or(lane.interest_until);
         let want = wire::Want {
             group: lane.group.clone(),
             item,
@@ -130,7 +133,7 @@
         };
         let retry = Duration::from_millis(retry_ms);
         let soonest = now.after(retry + lane.load.mean() + lane.service.mean());
-        let hopeless = lane.queue.expired(soonest);
+        let hopeless = lane.queue.take_expired(soonest);
         for request in hopeless {
             let message = SmolStr::new(format!("can't be loaded in time: {reason}"));
             let refusal =
--- a/crates/fireflywheel/src/node/lanes.rs
+++ b/crates/fireflywheel/src/node/lanes.rs
@@ -109,7 +109,7 @@
         Some(Lane {
             group,
             item,
-            queue: queue::Queue::new(self.options.queue),
+            queue: queue::Queue::new(self.options.max_queue),
             running: 0,
             finished: 0,
             service: estimate::Estimate::new(service),
@@ -142,7 +142,7 @@
                 lane.item = item;
                 continue;
             }
-            let waiting = lane.queue.expired(clock::Instant(u64::MAX));
+            let waiting = lane.queue.take_expired(clock::Instant(u64::MAX));
             for request in waiting {
                 let refusal = request::Refusal::new(
                     request::Code::UnknownTarget,
@@ -333,8 +333,8 @@
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
-        let horizon = now.after(lane.service.cautious());
-        let late = lane.queue.expired(horizon);
+        let horizon = now.after(lane.service.upper_bound());
+        let late = lane.queue.take_expired(horizon);
         let retry = self.lanes[key].service.mean();
         for request in late {
             let refusal =
--- a/crates/fireflywheel/src/node/limits.rs
+++ b/crates/fireflywheel/src/node/limits.rs
@@ -200,7 +200,7 @@
             side.own_used += 1;
             return Some(hold(true));
         }
-        side.borrower.take(now).then(|| hold(false))
+        side.borrower.try_acquire(now).then(|| hold(false))
     }
 
     /// Gives back what a request counts against.
@@ -221,7 +221,7 @@
             if hold.own {
                 side.own_used = side.own_used.saturating_sub(1);
             } else {
-                side.borrower.give();
+                side.borrower.release();
             }
         }
     }
@@ -245,7 +245,7 @@
         let used = side.borrower.in_use().saturating_add(waiting);
         let need = side
             .borrower
-            .need(now, used.saturating_add(used / HEADROOM_DIVISOR));
+            .request_credits(now, used.saturating_add(used / HEADROOM_DIVISOR));
         side.wished = need.hold;
         let frame = wire::Frame::Credit(wire::Credit::Need {
             limit: name.text(),
@@ -308,7 +308,7 @@
             .entry(name)
             .or_insert_with(|| credit::Lender::new(now, amount, credit::Options::default()));
         lender.set_limit(amount);
-        let Some(lend) = lender.needed(now, from, need) else {
+        let Some(lend) = lender.handle_need(now, from, need) else {
             return;
         };
         let frame = wire::Frame::Credit(wire::Credit::Lend {
@@ -334,7 +334,7 @@
         let Some(side) = self.limits.sides.get_mut(&name) else {
             return;
         };
-        if !side.borrower.lent(lend) {
+        if !side.borrower.handle_lend(lend) {
             return;
         }
         let reached = lend.hold < side.wished;
--- a/crates/fireflywheel/src/node/mod.rs
+++ b/crates/fireflywheel/src/node/mod.rs
@@ -41,12 +41,12 @@
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::{
-    budget, claim, clock, document, effect, event, item, ledger, membership, record, request,
+    claim, clock, document, effect, event, item, ledger, membership, record, request, retry_budget,
     right, settings, status,
 };
 
 /// How often [`event::Event::Tick`] is due.
-pub const TICK: Duration = Duration::from_millis(10);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Between two rounds over all members.
 const SLOW_TICK: Duration = Duration::from_millis(100);
@@ -63,7 +63,7 @@
     /// Peer addresses from the settings.
     pub seeds: Vec<SmolStr>,
     /// Requests that wait at one instance for one model or route.
-    pub queue: usize,
+    pub max_queue: usize,
     /// Times of membership and of the platform.
     pub timing: Timing,
     /// Decides ties; any number, another on each instance.
@@ -74,11 +74,11 @@
 #[derive(Clone, Debug)]
 pub struct Timing {
     /// Between pings to one peer.
-    pub ping: Duration,
+    pub ping_interval: Duration,
     /// Without an answer until a peer is suspected.
-    pub suspect: Duration,
+    pub suspect_timeout: Duration,
     /// From suspicion until it is taken for dead.
-    pub dead: Duration,
+    pub dead_timeout: Duration,
     /// From not ready until new work is refused at a planned stop: the balancer's delay.
     pub drain_delay: Duration,
     /// Until a planned stop ends with what it has.
@@ -88,7 +88,7 @@
     /// Records between checkpoints.
     pub checkpoint_records: u64,
     /// Time between checkpoints at most.
-    pub checkpoint_every: Duration,
+    pub checkpoint_interval: Duration,
 }
 
 impl Options {
@@ -111,16 +111,16 @@
                 .iter()
                 .map(|seed| SmolStr::new(seed.to_string()))
                 .collect(),
-            queue: settings.limits.queue,
+            max_queue: settings.limits.queue,
             timing: Timing {
-                ping: timing.ping,
-                suspect: timing.suspect,
-                dead: timing.dead,
+                ping_interval: timing.ping_interval,
+                suspect_timeout: timing.suspect_timeout,
+                dead_timeout: timing.dead_timeout,
                 drain_delay: timing.drain_delay,
                 drain_limit: timing.drain_limit,
                 gone_after: timing.gone_after,
                 checkpoint_records: timing.checkpoint_records,
-                checkpoint_every: timing.checkpoint,
+                checkpoint_interval: timing.checkpoint_interval,
             },
             seed,
         }
@@ -162,7 +162,7 @@
     denied: BTreeMap<right::Key, clock::Instant>,
     stewards: stewards::Stewards,
     usage_sent: clock::Instant,
-    budget: budget::Budget,
+    budget: retry_budget::Budget,
     stop: Option<stop::Stop>,
     /// Rises with everything that a lane's candidates are worked out from.
     placements: u64,
@@ -182,9 +182,9 @@
     pub fn new(options: Options) -> Self {
         let timing = &options.timing;
         let membership_options = membership::Options {
-            ping: timing.ping,
-            suspect: timing.suspect,
-            dead: timing.dead,
+            ping_interval: timing.ping_interval,
+            suspect_timeout: timing.suspect_timeout,
+            dead_timeout: timing.dead_timeout,
             ..membership::Options::default()
         };
         let membership = membership::Membership::new(
@@ -213,7 +213,10 @@
             denied: BTreeMap::new(),
             stewards: stewards::Stewards::default(),
             usage_sent: clock::Instant::default(),
-            budget: budget::Budget::new(clock::Instant::default(), budget::Options::default()),
+            budget: retry_budget::Budget::new(
+                clock::Instant::default(),
+                retry_budget::Options::default(),
+            ),
             stop: None,
             placements: 1,
             usage_told: BTreeMap::new(),
@@ -228,7 +231,7 @@
     /// The first effects: what to read and whom to reach.
     pub fn start(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         for seed in self.options.seeds.clone() {
-            self.membership.seed(seed);
+            self.membership.add_seed(seed);
         }
         out.push(effect::Effect::ReadFrom(0));
         self.tick_peers(now, out);
@@ -243,24 +246,28 @@
     ) {
         match event {
             event::Event::Tick => self.tick(now, out),
-            event::Event::Read {
+            event::Event::LogRead {
                 first,
                 next,
                 records,
             } => self.read(now, first, next, records, out),
-            event::Event::ReadFailed => self.read_failed(now),
+            event::Event::LogReadFailed => self.read_failed(now),
             event::Event::Appended(answer) => self.appended(now, answer, out),
-            event::Event::Listed(entries) => self.listed(now, &entries, out),
+            event::Event::InstancesListed(entries) => self.listed(now, &entries, out),
             event::Event::LinkUp(update) => self.link_up(now, &update, out),
             event::Event::LinkDown(peer) => self.link_down(now, &peer),
             event::Event::Frame { from, frame } => self.frame(now, &from, frame, out),
-            event::Event::Reported { server, report } => self.reported(now, &server, report, out),
-            event::Event::Unreported { server } => self.unreported(&server),
-            event::Event::Ordered { ticket, answer } => self.ordered(now, ticket, &answer, out),
-            event::Event::Attempted { request, attempt } => {
+            event::Event::ReportReceived { server, report } => {
+                self.reported(now, &server, report, out);
+            }
+            event::Event::ReportFailed { server } => self.unreported(&server),
+            event::Event::OrderAnswered { attempt_id, answer } => {
+                self.ordered(now, attempt_id, &answer, out);
+            }
+            event::Event::AttemptUpdated { request, attempt } => {
                 self.attempted(now, request, attempt, out);
             }
-            event::Event::Abandoned(request) => self.abandoned(now, request, out),
+            event::Event::CallerGone(request) => self.abandoned(now, request, out),
             event::Event::Stop => self.begin_stop(now),
         }
     }
@@ -290,7 +297,7 @@
     /// # Errors
     ///
     /// Why it may not, in a sentence.
-    pub fn ready(&self) -> Result<(), SmolStr> {
+    pub fn check_ready(&self) -> Result<(), SmolStr> {
         if self.stop.is_some() {
             return Err(SmolStr::new_static("a planned stop is in progress"));
         }
@@ -334,7 +341,7 @@
     /// How this instance is, for operators.
     #[must_use]
     pub fn status(&self) -> status::Status {
-        let ready = self.ready();
+        let ready = self.check_ready();
         let ledger = self.log.ledger.as_ref();
         let stewards = ledger.into_iter().flat_map(ledger::Ledger::stewards);
         let rights = ledger.into_iter().flat_map(ledger::Ledger::rights);
@@ -407,7 +414,7 @@
 
     /// Requests that have no final answer yet.
     #[must_use]
-    pub fn in_progress(&self) -> usize {
+    pub fn requests_in_progress(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/fireflywheel/src/node/peers.rs
+++ b/crates/fireflywheel/src/node/peers.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 use super::{Config, Node};
-use crate::{clock, document, effect, member, membership, record, start, wire};
+use crate::{bootstrap, clock, document, effect, member, membership, record, wire};
 
 /// Between two requests for a ledger's state, which is large.
 const STATE_PAUSE: Duration = Duration::from_secs(2);
@@ -44,7 +44,7 @@
             self.act(now, action, out);
         }
         self.tell_log(now, out);
-        if self.membership.superseded() && self.stop.is_none() {
+        if self.membership.is_superseded() && self.stop.is_none() {
             let text = String::from("a later process runs under this instance's name; stopping");
             self.notice(true, text, out);
             self.begin_stop(now);
@@ -69,7 +69,7 @@
                 let frame = wire::Frame::Ping {
                     number,
                     digest: self.digest(now),
-                    gossip: self.membership.gossip(membership::GOSSIP),
+                    gossip: self.membership.gossip(membership::MAX_GOSSIP_UPDATES),
                 };
                 out.push(effect::Effect::Send { to, frame });
             }
@@ -103,7 +103,7 @@
         wire::Digest {
             version: self.config.version,
             next: self.log.next(),
-            log: self.log.is_usable(now),
+            log_readable: self.log.is_usable(now),
         }
     }
 
@@ -121,9 +121,9 @@
         update: &member::Update,
         out: &mut Vec<effect::Effect>,
     ) {
-        self.membership.update(now, update);
+        self.membership.handle_update(now, update);
         self.membership.link_up(now, &update.by);
-        self.membership.heard(now, &update.by);
+        self.membership.record_contact(now, &update.by);
         let peer = Peer {
             by: update.by.clone(),
             digest: None,
@@ -134,7 +134,7 @@
         };
         self.peers.insert(update.by.instance.clone(), peer);
         // A ping at once, so that a new instance learns the newest version soon.
-        let gossip = self.membership.gossip(membership::GOSSIP);
+        let gossip = self.membership.gossip(membership::MAX_GOSSIP_UPDATES);
         let frame = self.extra_ping(now, gossip);
         let to = update.by.instance.clone();
         out.push(effect::Effect::Send { to, frame });
@@ -158,7 +158,7 @@
         frame: wire::Frame,
         out: &mut Vec<effect::Effect>,
     ) {
-        self.membership.heard(now, from);
+        self.membership.record_contact(now, from);
         match frame {
             wire::Frame::Ping {
                 number,
@@ -169,7 +169,7 @@
                 let frame = wire::Frame::Pong {
                     number,
                     digest: self.digest(now),
-                    gossip: self.membership.gossip(membership::GOSSIP),
+                    gossip: self.membership.gossip(membership::MAX_GOSSIP_UPDATES),
                 };
                 let to = from.instance.clone();
                 out.push(effect::Effect::Send { to, frame });
@@ -180,19 +180,19 @@
                 digest,
                 gossip,
             } => {
-                self.membership.answered(now, number, from);
+                self.membership.handle_pong(now, number, from);
                 self.gossiped(now, &gossip);
                 self.digested(now, from, digest, out);
             }
             wire::Frame::AskMembers { hashes } => {
-                let members = self.membership.differing(&from.instance, &hashes);
+                let members = self.membership.differing_members(&from.instance, &hashes);
                 if !members.is_empty() {
                     let to = from.instance.clone();
                     let frame = wire::Frame::Members(members);
                     out.push(effect::Effect::Send { to, frame });
                 }
             }
-            wire::Frame::Members(members) => self.membership.told(now, &members),
+            wire::Frame::Members(members) => self.membership.handle_members(now, &members),
             wire::Frame::Want(want) => self.wanted(now, &from.instance, &want, out),
             wire::Frame::Usage { group, items } => {
                 self.stewards.used(now, &group, &from.instance, &items);
@@ -214,7 +214,7 @@
 
     fn gossiped(&mut self, now: clock::Instant, updates: &[member::Update]) {
         for update in updates {
-            self.membership.update(now, update);
+            self.membership.handle_update(now, update);
         }
     }
 
@@ -233,7 +233,7 @@
             return;
         };
         peer.digest = Some(digest);
-        peer.blind_since = if digest.log {
+        peer.blind_since = if digest.log_readable {
             None
         } else {
             peer.blind_since.or(Some(now))
@@ -308,9 +308,9 @@
             return;
         }
         if self.log.ledger.is_some() && self.log.start.floor() < held {
-            self.log.start = start::Start::above(held);
+            self.log.start = bootstrap::Bootstrap::resume_from(held);
         }
-        self.log.start.part(part);
+        self.log.start.add_part(part);
         self.try_start(now, out);
     }
 
--- a/crates/fireflywheel/src/node/platform.rs
+++ b/crates/fireflywheel/src/node/platform.rs
@@ -3,7 +3,7 @@
 use smol_str::SmolStr;
 
 use super::{Node, checkpoints};
-use crate::{clock, effect, ledger, record, start, writer};
+use crate::{bootstrap, clock, effect, ledger, record, writer};
 
 /// Until an append that the log refused is tried again.
 const APPEND_RETRY: std::time::Duration = std::time::Duration::from_millis(200);
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(super) struct Log {
     pub ledger: Option<ledger::Ledger>,
-    pub start: start::Start,
+    pub start: bootstrap::Bootstrap,
     pub writer: writer::Writer,
     /// Whether the last read was answered.
     pub reading: bool,
@@ -39,7 +39,7 @@
     pub fn new(me: record::Incarnation) -> Self {
         Self {
             ledger: None,
-            start: start::Start::new(),
+            start: bootstrap::Bootstrap::new(),
             writer: writer::Writer::new(me),
             reading: false,
             end: 0,
@@ -105,7 +105,7 @@
             // The records between were dropped: only a checkpoint that goes further helps.
             Some(held) if self.log.start.floor() != held => {
                 return self.halt(
-                    ledger::Halt::Gap {
+                    ledger::FoldError::Gap {
                         next: held,
                         offset: first,
                     },
@@ -145,13 +145,13 @@
         records: Vec<record::Stored>,
         out: &mut Vec<effect::Effect>,
     ) {
-        self.log.start.read(first, next, records);
+        self.log.start.add_records(first, next, records);
         self.try_start(now, out);
     }
 
     /// Takes a ledger from checkpoint and tail, or from a peer, if it goes further than the one held.
     pub(super) fn try_start(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        match self.log.start.ledger() {
+        match self.log.start.build_ledger() {
             Ok(Some(newer)) => {
                 let next = newer.next();
                 match &mut self.log.ledger {
@@ -202,7 +202,7 @@
             }
         };
         let Some(folded) = folded else { return true };
-        self.log.writer.read(&folded.id);
+        self.log.writer.record_read(&folded.id);
         for (entry, judgement) in &folded.entries {
             self.judged(now, &folded, entry, judgement, out);
         }
@@ -214,7 +214,7 @@
         now: clock::Instant,
         folded: &ledger::Folded,
         entry: &record::Entry,
-        judgement: &ledger::Judgement,
+        judgement: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
         let mine = folded.id.by == self.options.me;
@@ -239,10 +239,10 @@
         }
     }
 
-    fn halt(&mut self, halt: ledger::Halt, out: &mut Vec<effect::Effect>) {
+    fn halt(&mut self, halt: ledger::FoldError, out: &mut Vec<effect::Effect>) {
         match halt {
-            ledger::Halt::Gap { next, .. } => {
-                self.log.start = start::Start::above(next);
+            ledger::FoldError::Gap { next, .. } => {
+                self.log.start = bootstrap::Bootstrap::resume_from(next);
                 self.log.caught_up = false;
                 self.notice(
                     true,
@@ -251,7 +251,7 @@
                 );
                 out.push(effect::Effect::ReadFrom(0));
             }
-            ledger::Halt::Rule(_) => {
+            ledger::FoldError::UnsupportedRules(_) => {
                 let reason = halt.to_string();
                 self.log.halted = Some(SmolStr::new(&reason));
                 self.notice(true, reason, out);
@@ -283,7 +283,7 @@
             writer::Answer::Stored(_) => now,
             writer::Answer::Refused | writer::Answer::Lost => now.after(APPEND_RETRY),
         };
-        self.log.writer.answered(answer);
+        self.log.writer.handle_answer(answer);
         self.pump_log(now, out);
     }
 
@@ -303,7 +303,7 @@
         if self.log.appending || now < self.log.append_at || self.log.halted.is_some() {
             return;
         }
-        if let Some(body) = self.log.writer.next() {
+        if let Some(body) = self.log.writer.next_append() {
             self.log.appending = true;
             out.push(effect::Effect::Append(body));
         }
--- a/crates/fireflywheel/src/node/servers.rs
+++ b/crates/fireflywheel/src/node/servers.rs
@@ -12,14 +12,14 @@
     pub(super) fn listed(
         &mut self,
         now: clock::Instant,
-        entries: &[report::Listed],
+        entries: &[report::ListEntry],
         out: &mut Vec<effect::Effect>,
     ) {
         let routers = entries
             .iter()
             .filter(|entry| entry.kind == report::Kind::Router);
         let routers: Vec<_> = routers
-            .map(|entry| membership::Listed {
+            .map(|entry| membership::ListEntry {
                 instance: entry.name.clone(),
                 address: entry.address.clone(),
             })
@@ -27,7 +27,7 @@
         self.routers_listed = u32::try_from(routers.len()).ok();
         self.budget.set_instances(now, routers.len().max(1));
         self.count_sharers();
-        self.membership.listed(now, &routers);
+        self.membership.set_listed(now, &routers);
         for entry in entries
             .iter()
             .filter(|entry| entry.kind == report::Kind::Backend)
@@ -40,13 +40,13 @@
         self.pump_all(now, out);
     }
 
-    fn server_listed(&mut self, now: clock::Instant, entry: &report::Listed) {
+    fn server_listed(&mut self, now: clock::Instant, entry: &report::ListEntry) {
         let slots = self.slots(&entry.group);
         let group = self.groups.entry(entry.group.clone()).or_default();
         let leaving = entry.state == report::State::Leaving;
         let key = match group.table.find(&entry.address) {
             Some(key) => key,
-            None => group.table.join(
+            None => group.table.add_server(
                 now,
                 entry.address.clone(),
                 entry.failure_domain.clone(),
@@ -66,7 +66,7 @@
 
     /// A backend server that the list no longer names gets nothing new at once; it stays known until it is
     /// certain that no right names it.
-    fn mark_absent(&mut self, now: clock::Instant, entries: &[report::Listed]) {
+    fn mark_absent(&mut self, now: clock::Instant, entries: &[report::ListEntry]) {
         let rights = self.log.ledger.as_ref().map(ledger::Ledger::rights);
         let seen = self.log.next();
         for (name, group) in &mut self.groups {
@@ -81,7 +81,7 @@
                 }
                 if server.absent_since.is_none() {
                     server.absent_since = Some(now);
-                    server.absent_seen = seen;
+                    server.absent_offset = seen;
                 }
                 if let Some(key) = group.table.find(address) {
                     group.table.set_leaving(key, true);
@@ -103,7 +103,7 @@
             for address in forgotten {
                 group.servers.remove(&address);
                 if let Some(key) = group.table.find(&address) {
-                    group.table.part(key);
+                    group.table.remove_server(key);
                 }
             }
         }
@@ -117,7 +117,7 @@
         let watched: Vec<SmolStr> = present.map(|(address, _)| address.clone()).collect();
         if watched != self.watched {
             self.watched.clone_from(&watched);
-            out.push(effect::Effect::Watch(watched));
+            out.push(effect::Effect::PollReports(watched));
         }
     }
 
@@ -132,17 +132,19 @@
             let Some(key) = group.table.find(server) else {
                 continue;
             };
-            group.table.reported(key, routed(now, &report));
+            group.table.record_report(key, routed(now, &report));
             let Some(known) = group.servers.get_mut(server) else {
                 continue;
             };
             let last = known.report.as_ref().map(|(_, last)| &last.boot);
             if last.is_some_and(|boot| *boot != report.boot) {
-                group.table.forget_cache(key);
+                group.table.clear_cache(key);
             }
             for event in &report.cache.events {
                 let prefix = routing::prefix(&event.prefix);
-                group.table.cached(key, event.seq, prefix, event.stored);
+                group
+                    .table
+                    .record_cache_event(key, event.seq, prefix, event.stored);
             }
             if report.leaving && !known.leaving {
                 known.leaving = true;
--- a/crates/fireflywheel/src/node/stewards.rs
+++ b/crates/fireflywheel/src/node/stewards.rs
@@ -23,14 +23,14 @@
 pub(super) struct Stewards {
     held: BTreeMap<SmolStr, steward::Steward>,
     retired: Vec<steward::Retired>,
-    tickets: BTreeMap<order::Ticket, Sent>,
-    next_ticket: u64,
+    order_attempts: BTreeMap<order::AttemptId, Sent>,
+    next_attempt_id: u64,
     claimed: BTreeMap<SmolStr, clock::Instant>,
     unknown: BTreeMap<SmolStr, clock::Instant>,
     driven: clock::Instant,
 }
 
-/// Whose order a ticket stands for.
+/// Whose order an attempt id stands for.
 #[derive(Clone, Debug)]
 struct Sent {
     group: SmolStr,
@@ -50,7 +50,7 @@
             return;
         }
         if let Some(steward) = self.held.get_mut(group) {
-            steward.judged(now, entry);
+            steward.handle_decision(now, entry);
         }
     }
 
@@ -62,7 +62,7 @@
         items: &[wire::Usage],
     ) {
         if let Some(steward) = self.held.get_mut(group) {
-            steward.used(now, from, items);
+            steward.handle_usage(now, from, items);
         }
     }
 
@@ -103,7 +103,7 @@
         let Some(ledger) = &self.log.ledger else {
             return;
         };
-        if !self.log.is_usable(now) || !self.log.caught_up || self.membership.isolated(now) {
+        if !self.log.is_usable(now) || !self.log.caught_up || self.membership.is_isolated(now) {
             return;
         }
         let document = ledger.document().clone();
@@ -159,13 +159,13 @@
         now: clock::Instant,
         group: &SmolStr,
         mine: bool,
-        judgement: &ledger::Judgement,
+        judgement: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
         if mine {
             self.stewards.claimed.remove(group);
         }
-        if *judgement != ledger::Judgement::Accepted {
+        if *judgement != ledger::Decision::Accepted {
             return;
         }
         self.drop_lost_groups(out);
@@ -213,7 +213,7 @@
 
     fn drive(&mut self, now: clock::Instant, group: &SmolStr, out: &mut Vec<effect::Effect>) {
         self.with_steward(now, group, out, |steward, view, actions| {
-            steward.drive(view, actions);
+            steward.step(view, actions);
         });
     }
 
@@ -238,7 +238,7 @@
             now,
             ledger,
             servers: &servers.servers,
-            log: self.log.is_usable(now),
+            log_readable: self.log.is_usable(now),
             gone_after: self.options.timing.gone_after,
         };
         let mut actions = Vec::new();
@@ -255,15 +255,15 @@
     ) {
         for action in actions {
             match action {
-                steward::Action::Push(entry) => {
+                steward::Action::Append(entry) => {
                     self.push(entry, out);
                 }
-                steward::Action::Send {
+                steward::Action::SendOrder {
                     sending,
                     server,
                     command,
                 } => self.send_order(group, sending, server, command, out),
-                steward::Action::Tell { to, frame } => self.tell(now, to, frame, out),
+                steward::Action::SendFrame { to, frame } => self.tell(now, to, frame, out),
             }
         }
     }
@@ -281,16 +281,16 @@
             .held
             .get(group)
             .map_or(0, steward::Steward::epoch);
-        self.stewards.next_ticket += 1;
-        let ticket = order::Ticket(self.stewards.next_ticket);
+        self.stewards.next_attempt_id += 1;
+        let attempt_id = order::AttemptId(self.stewards.next_attempt_id);
         let sent = Sent {
             group: group.clone(),
             epoch,
             sending,
         };
-        self.stewards.tickets.insert(ticket, sent);
+        self.stewards.order_attempts.insert(attempt_id, sent);
         out.push(effect::Effect::Order {
-            ticket,
+            attempt_id,
             server,
             command,
         });
@@ -316,11 +316,11 @@
     pub(super) fn ordered(
         &mut self,
         now: clock::Instant,
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         answer: &order::Answer,
         out: &mut Vec<effect::Effect>,
     ) {
-        let Some(sent) = self.stewards.tickets.remove(&ticket) else {
+        let Some(sent) = self.stewards.order_attempts.remove(&attempt_id) else {
             return;
         };
         let held = self.stewards.held.get(&sent.group);
@@ -354,7 +354,7 @@
         out: &mut Vec<effect::Effect>,
     ) {
         if let Some(steward) = self.stewards.held.get_mut(&want.group) {
-            steward.want(now, from, want);
+            steward.handle_want(now, from, want);
             self.drive(now, &want.group, out);
             self.pump_log(now, out);
         }
@@ -368,6 +368,6 @@
         self.stewards
             .held
             .values()
-            .all(|steward| steward.settled(ledger))
+            .all(|steward| steward.is_settled(ledger))
     }
 }
--- a/crates/fireflywheel/src/order.rs
+++ b/crates/fireflywheel/src/order.rs
@@ -7,7 +7,7 @@
 
 /// Names one sending of an order at the instance that sent it, so that its answer finds its way back.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ticket(pub u64);
+pub struct AttemptId(pub u64);
 
 /// What an engine is told to do.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
--- a/crates/fireflywheel/src/placement/mod.rs
+++ b/crates/fireflywheel/src/placement/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::clock;
 
-pub use rate::{Gaps, Rate};
+pub use rate::{IdleTimes, Rate};
 
 /// At weight one half, a second that a caller waits for a load costs as much as this many seconds in which
 /// the replica's memory idles.
@@ -39,7 +39,7 @@
 impl Source {
     /// About which part of the time from the weight store a load takes.
     #[must_use]
-    pub fn share(self) -> f64 {
+    pub fn load_time_ratio(self) -> f64 {
         match self {
             Self::Memory => 0.1,
             Self::Disk => 0.4,
@@ -92,7 +92,7 @@
 
 /// A backend server with its replicas, of which some may have to go.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tenancy<S, K> {
+pub struct ServerReplicas<S, K> {
     /// The caller's name for the backend server.
     pub server: S,
     /// Memory that no right holds.
@@ -103,7 +103,7 @@
 
 /// What has to be unloaded to make room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Room<S, K> {
+pub struct Eviction<S, K> {
     /// The backend server.
     pub server: S,
     /// What is unloaded there, in this order.
@@ -114,7 +114,7 @@
 
 /// A cold item that callers wait for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want<K> {
+pub struct ColdItem<K> {
     /// The caller's name for it.
     pub key: K,
     /// The first deadline of those who wait.
@@ -189,7 +189,7 @@
     /// that knew the next arrival would spend. With more known, it idles for as long as would have cost least
     /// over those.
     #[must_use]
-    pub fn idle_unload<K>(&self, now: clock::Instant, replica: &Replica<K>) -> bool {
+    pub fn should_unload_idle<K>(&self, now: clock::Instant, replica: &Replica<K>) -> bool {
         let Some(since) = replica.idle_since else {
             return false;
         };
@@ -200,13 +200,13 @@
             return false;
         };
         let break_even = break_even.as_secs_f64();
-        let patience = replica.rate.patience(break_even);
+        let patience = replica.rate.max_idle_seconds(break_even);
         now.since(since).as_secs_f64() >= patience
     }
 
     /// The seconds of callers' waiting that an hour of a GB for this replica is expected to save.
     #[must_use]
-    pub fn saved<K>(&self, now: clock::Instant, replica: &Replica<K>) -> f64 {
+    pub fn savings<K>(&self, now: clock::Instant, replica: &Replica<K>) -> f64 {
         const SECONDS_PER_HOUR: f64 = 3600.0;
         const MB_PER_GB: f64 = 1024.0;
         if self.rule != Rule::Worth {
@@ -222,7 +222,7 @@
 
     /// The idle replicas in the order in which they are given up: the one that saves least first.
     #[must_use]
-    pub fn evict<K>(&self, now: clock::Instant, replicas: &[Replica<K>]) -> Vec<K>
+    pub fn eviction_order<K>(&self, now: clock::Instant, replicas: &[Replica<K>]) -> Vec<K>
     where
         K: Copy + Ord,
     {
@@ -230,14 +230,14 @@
             .iter()
             .filter(|replica| replica.idle_since.is_some());
         let mut order: Vec<_> = idle
-            .map(|replica| (self.saved(now, replica), replica.key))
+            .map(|replica| (self.savings(now, replica), replica.key))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         order.into_iter().map(|(_, key)| key).collect()
     }
 
     /// The backend server on which an item of `memory_mb` is loaded; `None` when none has the room, see
-    /// [`Self::make_room`].
+    /// [`Self::plan_eviction`].
     ///
     /// The nearest checkpoint first, then the fewest loads and requests in the way, then the tightest fit,
     /// so that room for large models remains.
@@ -264,12 +264,12 @@
     /// What is unloaded, and where, so that `memory_mb` fit: where the least is lost. Only idle replicas
     /// are given up.
     #[must_use]
-    pub fn make_room<S, K>(
+    pub fn plan_eviction<S, K>(
         &self,
         now: clock::Instant,
         memory_mb: u64,
-        servers: &[Tenancy<S, K>],
-    ) -> Option<Room<S, K>>
+        servers: &[ServerReplicas<S, K>],
+    ) -> Option<Eviction<S, K>>
     where
         S: Copy + Ord,
         K: Copy + Ord,
@@ -295,7 +295,7 @@
     /// Deadline first, less the time of the load; among near equals what keeps most callers waiting. What
     /// would come too late for all who wait goes last, so that it doesn't make others late as well.
     #[must_use]
-    pub fn first<K>(&self, now: clock::Instant, wants: &[Want<K>]) -> Vec<K>
+    pub fn load_order<K>(&self, now: clock::Instant, wants: &[ColdItem<K>]) -> Vec<K>
     where
         K: Copy + Ord,
     {
@@ -318,8 +318,8 @@
         &self,
         now: clock::Instant,
         memory_mb: u64,
-        server: &Tenancy<S, K>,
-    ) -> Option<Room<S, K>>
+        server: &ServerReplicas<S, K>,
+    ) -> Option<Eviction<S, K>>
     where
         S: Copy,
         K: Copy + Ord,
@@ -327,7 +327,7 @@
         let missing = memory_mb.saturating_sub(server.free_mb);
         let mut freed = 0;
         let mut victims = Vec::new();
-        for key in self.evict(now, &server.replicas) {
+        for key in self.eviction_order(now, &server.replicas) {
             if freed >= missing {
                 break;
             }
@@ -346,7 +346,7 @@
                 victims.remove(place);
             }
         }
-        Some(Room {
+        Some(Eviction {
             server: server.server,
             loss: self.loss(now, &victims),
             victims: victims.into_iter().map(|replica| replica.key).collect(),
@@ -360,7 +360,7 @@
                 let uses = replica.rate.expected(now) * HORIZON_S;
                 replica.load.as_secs_f64() * uses
             }
-            Rule::LeastRecentlyUsed | Rule::OnDemand(_) => self.saved(now, replica),
+            Rule::LeastRecentlyUsed | Rule::OnDemand(_) => self.savings(now, replica),
         });
         match self.rule {
             Rule::Worth => losses.sum(),
--- a/crates/fireflywheel/src/placement/rate.rs
+++ b/crates/fireflywheel/src/placement/rate.rs
@@ -29,11 +29,11 @@
 
 /// How long something idled until it was used again: how often for how long, the newest counting most.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Gaps {
+pub struct IdleTimes {
     counts: [f64; GAP_CLASSES],
 }
 
-impl Gaps {
+impl IdleTimes {
     /// Takes an idle time in.
     pub fn observe(&mut self, gap: Duration) {
         for count in &mut self.counts {
@@ -107,14 +107,14 @@
     gap: f64,
     gaps: u32,
     last: Option<clock::Instant>,
-    idle: Gaps,
+    idle: IdleTimes,
     /// Arrivals, of which old ones wear off within [`POPULARITY`].
     recent: f64,
 }
 
 impl Rate {
     /// Takes an arrival in.
-    pub fn arrived(&mut self, now: clock::Instant) {
+    pub fn record_arrival(&mut self, now: clock::Instant) {
         if let Some(last) = self.last {
             let since = now.since(last);
             self.recent *= (-since.as_secs_f64() / POPULARITY.as_secs_f64()).exp();
@@ -143,14 +143,14 @@
 
     /// With the idle times of all items beside its own, which are few for what is seldom used.
     #[must_use]
-    pub fn with_shared(mut self, shared: &Gaps) -> Self {
+    pub fn with_shared(mut self, shared: &IdleTimes) -> Self {
         self.idle = self.idle.with_shared(shared);
         self
     }
 
     /// The mean gap in seconds, at least the time since the last arrival; `None` before the second arrival.
     #[must_use]
-    pub fn gap(&self, now: clock::Instant) -> Option<f64> {
+    pub fn mean_gap(&self, now: clock::Instant) -> Option<f64> {
         let last = self.last.filter(|_| self.gaps > 0)?;
         let idle = now.since(last).as_secs_f64();
         Some(self.gap.max(idle).max(LEAST_GAP))
@@ -163,12 +163,12 @@
             return 0.0;
         };
         let idle = now.since(last).as_secs_f64().max(LEAST_GAP);
-        1.0 / self.gap(now).unwrap_or(idle.max(1.0))
+        1.0 / self.mean_gap(now).unwrap_or(idle.max(1.0))
     }
 
     /// How long a replica may idle, in seconds, when that costs as much as a load after `break_even`.
     #[must_use]
-    pub fn patience(&self, break_even: f64) -> f64 {
+    pub fn max_idle_seconds(&self, break_even: f64) -> f64 {
         if self.idle.known() < KNOWN_GAPS {
             return break_even;
         }
--- a/crates/fireflywheel/src/queue/mod.rs
+++ b/crates/fireflywheel/src/queue/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// Takes out all whose deadline has come, the earliest first.
-    pub fn expired(&mut self, now: clock::Instant) -> Vec<request::Key> {
+    pub fn take_expired(&mut self, now: clock::Instant) -> Vec<request::Key> {
         let mut expired = Vec::new();
         while let Some(place) = self.places.first().copied() {
             if place.deadline > now {
@@ -166,7 +166,7 @@
 
     /// The earliest deadline of those that wait.
     #[must_use]
-    pub fn earliest(&self) -> Option<clock::Instant> {
+    pub fn earliest_deadline(&self) -> Option<clock::Instant> {
         self.places.first().map(|place| place.deadline)
     }
 
@@ -185,7 +185,7 @@
     /// How many that wait have an earlier deadline, of all tenants.
     #[must_use]
     pub fn ahead_of(&self, deadline: clock::Instant) -> usize {
-        self.deadlines.below(deadline.0)
+        self.deadlines.count_below(deadline.0)
     }
 
     /// How many turns come before the one that a tenant's request with this deadline would get: its tenant's
@@ -196,7 +196,7 @@
     #[must_use]
     pub fn turns_before(&self, tenant: &str, share: u32, deadline: clock::Instant) -> usize {
         let own = self.lines.get(tenant);
-        let own = own.map_or(0, |line| line.deadlines.below(deadline.0 + 1));
+        let own = own.map_or(0, |line| line.deadlines.count_below(deadline.0 + 1));
         let rounds = own as u64 + 1;
         let others = self.lines.iter().filter(|(name, _)| *name != tenant);
         let others = others.map(|(_, line)| {
@@ -212,13 +212,13 @@
         self.leave_turns(tenant);
         self.waiting.remove(place.key);
         self.places.remove(&place);
-        self.deadlines.take(place.deadline.0);
+        self.deadlines.remove(place.deadline.0);
         let virtual_time = self.virtual_time;
         let Some(line) = self.lines.get_mut(tenant) else {
             return;
         };
         if line.places.remove(&place) {
-            line.deadlines.take(place.deadline.0);
+            line.deadlines.remove(place.deadline.0);
         }
         if served {
             line.start += TURN / u64::from(line.share);
--- a/crates/fireflywheel/src/queue/rank.rs
+++ b/crates/fireflywheel/src/queue/rank.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes a number out that was added before.
-    pub fn take(&mut self, number: u64) {
+    pub fn remove(&mut self, number: u64) {
         let number = number.min(LARGEST);
         for (level, counts) in self.levels.iter_mut().enumerate() {
             let prefix = prefix(number, level);
@@ -40,7 +40,7 @@
 
     /// How many numbers are less than `bound`.
     #[must_use]
-    pub fn below(&self, bound: u64) -> usize {
+    pub fn count_below(&self, bound: u64) -> usize {
         let bound = bound.min(LARGEST);
         let mut below = 0;
         for (level, counts) in self.levels.iter().enumerate() {
--- a/crates/fireflywheel/src/record.rs
+++ b/crates/fireflywheel/src/record.rs
@@ -10,7 +10,7 @@
 
 /// The rules by which this build judges records. A ledger refuses to go on past a record whose rules are
 /// newer, so that two builds never judge one record in two ways.
-pub const RULE: u32 = 1;
+pub const RULES_VERSION: u32 = 1;
 
 /// One process from start to end.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -33,7 +33,7 @@
 /// A batch of entries.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
-    /// [`RULE`] of the build that wrote it.
+    /// [`RULES_VERSION`] of the build that wrote it.
     pub rule: u32,
     /// Who, and in which place.
     pub id: Id,
@@ -51,12 +51,12 @@
 
 /// A record follows a rule that this build doesn't know.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Newer(pub u32);
+pub struct UnsupportedRules(pub u32);
 
 impl Record {
     /// The text to append.
     #[must_use]
-    pub fn body(&self) -> String {
+    pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("a record always has a JSON form")
     }
 
@@ -66,13 +66,13 @@
     ///
     /// # Errors
     ///
-    /// [`Newer`] when its rule is above [`RULE`].
-    pub fn read(body: &str) -> Result<Option<Self>, Newer> {
+    /// [`UnsupportedRules`] when its rule is above [`RULES_VERSION`].
+    pub fn decode(body: &str) -> Result<Option<Self>, UnsupportedRules> {
         let Ok(head) = serde_json::from_str::<Head>(body) else {
             return Ok(None);
         };
-        if head.rule > RULE {
-            return Err(Newer(head.rule));
+        if head.rule > RULES_VERSION {
+            return Err(UnsupportedRules(head.rule));
         }
         Ok(serde_json::from_str(body).ok())
     }
--- a/crates/fireflywheel/src/report.rs
+++ b/crates/fireflywheel/src/report.rs
@@ -71,7 +71,7 @@
 
 /// One instance in the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listed {
+pub struct ListEntry {
     /// Its name.
     pub name: SmolStr,
     /// `IP:PORT`: for one of ours the peer address, for a backend server its HTTP address.
--- a/crates/fireflywheel/src/request.rs
+++ b/crates/fireflywheel/src/request.rs
@@ -72,7 +72,7 @@
     /// What went wrong.
     pub cause: Cause,
     /// Events of the stream that went to the caller already. None of them may be sent twice.
-    pub handed_on: u64,
+    pub events_delivered: u64,
 }
 
 /// What went wrong with an attempt.
@@ -81,7 +81,7 @@
     /// No connection.
     Connect,
     /// The connection ended before the answer did.
-    Cut,
+    Disconnected,
     /// The backend server hasn't loaded the item.
     NotLoaded,
     /// The backend server is leaving.
@@ -89,13 +89,13 @@
     /// The backend server takes no more for now.
     Overloaded,
     /// Another request's answer, a gap, a doubled part, or no end marker.
-    Flawed,
+    AnswerFlawed,
     /// The backend server's own failure (5xx).
-    Backend,
+    BackendFailed,
     /// The deadline came first.
-    Late,
+    DeadlinePassed,
     /// The caller went away or reads too slowly.
-    Caller,
+    CallerGone,
 }
 
 /// Why a request is refused.
@@ -132,9 +132,9 @@
     /// The claim can't be made while the log can't be reached.
     LogOutage,
     /// The backend server failed, and trying again isn't allowed or didn't help.
-    Backend,
+    BackendFailed,
     /// The answer was not whole.
-    Flawed,
+    AnswerFlawed,
 }
 
 /// The final answer to a request that isn't served.
@@ -170,8 +170,8 @@
             Self::KeyOpen => "key_open",
             Self::KeysFull => "keys_full",
             Self::LogOutage => "log_outage",
-            Self::Backend => "backend_failed",
-            Self::Flawed => "answer_flawed",
+            Self::BackendFailed => "backend_failed",
+            Self::AnswerFlawed => "answer_flawed",
         }
     }
 
@@ -186,7 +186,7 @@
             Self::KeyOpen => 409,
             Self::QueueFull | Self::TenantLimit | Self::ClassLimit => 429,
             Self::DeadlinePassed => 504,
-            Self::Backend | Self::Flawed => 502,
+            Self::BackendFailed | Self::AnswerFlawed => 502,
             Self::NotReady | Self::Stopping | Self::TooLate | Self::KeysFull | Self::LogOutage => {
                 503
             }
--- a/crates/fireflywheel/src/budget.rs
+++ b/crates/fireflywheel/src/retry_budget.rs
@@ -55,14 +55,14 @@
     }
 
     /// A first attempt was sent.
-    pub fn attempted(&mut self, now: clock::Instant) {
+    pub fn record_request(&mut self, now: clock::Instant) {
         self.fill(now);
         self.bucket.add(self.options.ratio);
     }
 
     /// Takes a token for a retry; `false` when the budget is used up and the failure must be handed on.
     #[must_use]
-    pub fn retry(&mut self, now: clock::Instant) -> bool {
+    pub fn try_retry(&mut self, now: clock::Instant) -> bool {
         self.fill(now);
         self.bucket.take()
     }
--- a/crates/fireflywheel/src/routing/backend.rs
+++ b/crates/fireflywheel/src/routing/backend.rs
@@ -78,7 +78,7 @@
             return 0.0;
         };
         let age = now.since(report.at);
-        if age >= options.stale {
+        if age >= options.report_ttl {
             return 0.0;
         }
         (-age.as_secs_f64() / options.half_life.as_secs_f64()).exp2()
@@ -87,7 +87,7 @@
     /// How far its ramp has come, from 0 to 1.
     pub(super) fn risen(&self, now: clock::Instant, options: &Options) -> f64 {
         let elapsed = now.since(self.joined).as_secs_f64();
-        (elapsed / options.ramp.as_secs_f64()).min(1.0)
+        (elapsed / options.slow_start.as_secs_f64()).min(1.0)
     }
 
     /// Puts the own requests in progress into the history before they change.
@@ -118,6 +118,6 @@
         self.failures += 1;
         let doublings = (self.failures - 1).min(LONGEST_DOUBLINGS);
         let wait = options.backoff.saturating_mul(1 << doublings);
-        self.joined = now.after(wait.min(options.longest_backoff));
+        self.joined = now.after(wait.min(options.max_backoff));
     }
 }
--- a/crates/fireflywheel/src/routing/mod.rs
+++ b/crates/fireflywheel/src/routing/mod.rs
@@ -25,30 +25,30 @@
     /// Age at which what a report says of others counts half.
     pub half_life: Duration,
     /// Age from which it counts nothing.
-    pub stale: Duration,
+    pub report_ttl: Duration,
     /// Time over which a server that just joined comes to be chosen like the others.
-    pub ramp: Duration,
+    pub slow_start: Duration,
     /// The server with the prefix in its cache is taken unless its load is above this many times the mean,
     /// plus one.
     pub imbalance: f64,
     /// How long a server is left alone after a failure; doubles with each further one.
     pub backoff: Duration,
     /// The longest such time.
-    pub longest_backoff: Duration,
+    pub max_backoff: Duration,
     /// Prefixes remembered for each server.
-    pub prefixes: usize,
+    pub max_prefixes: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             half_life: Duration::from_secs(1),
-            stale: Duration::from_secs(10),
-            ramp: Duration::from_secs(5),
+            report_ttl: Duration::from_secs(10),
+            slow_start: Duration::from_secs(5),
             imbalance: 1.25,
             backoff: Duration::from_millis(200),
-            longest_backoff: Duration::from_secs(10),
-            prefixes: 1024,
+            max_backoff: Duration::from_secs(10),
+            max_prefixes: 1024,
         }
     }
 }
@@ -105,7 +105,7 @@
 
     /// Adds a server that was just learned of; one known by this address stays as it is. `slots` hold until
     /// a report tells them.
-    pub fn join(
+    pub fn add_server(
         &mut self,
         now: clock::Instant,
         address: SmolStr,
@@ -123,7 +123,7 @@
     }
 
     /// Forgets a server.
-    pub fn part(&mut self, key: server::Key) {
+    pub fn remove_server(&mut self, key: server::Key) {
         if let Some(server) = self.servers.remove(key) {
             self.addresses.remove(&server.address);
             self.others -= u64::from(server.others);
@@ -148,7 +148,7 @@
     }
 
     /// Takes a lagged report in, unless a newer one was taken before.
-    pub fn reported(&mut self, key: server::Key, report: Report) {
+    pub fn record_report(&mut self, key: server::Key, report: Report) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -206,7 +206,7 @@
     }
 
     /// A request was sent to a server.
-    pub fn started(&mut self, now: clock::Instant, key: server::Key) {
+    pub fn request_started(&mut self, now: clock::Instant, key: server::Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.note(now);
             server.in_flight += 1;
@@ -214,7 +214,7 @@
     }
 
     /// A request that was sent is over; `failed` when the server failed it.
-    pub fn ended(&mut self, now: clock::Instant, key: server::Key, failed: bool) {
+    pub fn request_ended(&mut self, now: clock::Instant, key: server::Key, failed: bool) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -227,15 +227,21 @@
     }
 
     /// Takes a late cache event in as a hint. After a gap in the events nothing older is believed.
-    pub fn cached(&mut self, key: server::Key, sequence: u64, prefix: u64, stored: bool) {
-        let limit = self.options.prefixes;
+    pub fn record_cache_event(
+        &mut self,
+        key: server::Key,
+        sequence: u64,
+        prefix: u64,
+        stored: bool,
+    ) {
+        let limit = self.options.max_prefixes;
         if let Some(server) = self.servers.get_mut(key) {
             server.cache.event(sequence, prefix, stored, limit);
         }
     }
 
     /// Forgets what a server is believed to have in its cache, such as after it restarted.
-    pub fn forget_cache(&mut self, key: server::Key) {
+    pub fn clear_cache(&mut self, key: server::Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.cache = cache::Cache::default();
         }
--- a/crates/fireflywheel/src/settings/mod.rs
+++ b/crates/fireflywheel/src/settings/mod.rs
@@ -19,7 +19,7 @@
 
 use smol_str::SmolStr;
 
-pub use self::parse::LIMIT;
+pub use self::parse::MAX_BYTES;
 
 /// The settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
@@ -103,15 +103,15 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
     /// `ping_ms`: between pings to peers.
-    pub ping: Duration,
+    pub ping_interval: Duration,
     /// `suspect_ms`: without an answer a peer becomes suspect.
-    pub suspect: Duration,
+    pub suspect_timeout: Duration,
     /// `dead_ms`: without an answer a peer is taken for dead.
-    pub dead: Duration,
+    pub dead_timeout: Duration,
     /// `list_ms`: between readings of the list of instances.
-    pub list: Duration,
+    pub list_interval: Duration,
     /// `report_ms`: between readings of a backend server's load report.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// `drain_delay_ms`: from not being ready until new work is refused; the balancer's delay.
     pub drain_delay: Duration,
     /// `drain_limit_ms`: from the start of a planned stop until it ends in any case.
@@ -121,7 +121,7 @@
     /// `checkpoint_records`: a checkpoint after so many records at the latest.
     pub checkpoint_records: u64,
     /// `checkpoint_s`: and after this time.
-    pub checkpoint: Duration,
+    pub checkpoint_interval: Duration,
     /// `gone_after_s`: a backend server that the list has left out for so long has gone for good.
     pub gone_after: Duration,
 }
@@ -153,24 +153,24 @@
 
 /// A secret that is too easily guessed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Short {
+pub struct TooShort {
     /// Its length in bytes.
     pub found: usize,
 }
 
 impl Secret {
     /// The shortest secret, in bytes.
-    pub const MINIMUM: usize = 16;
+    pub const MIN_BYTES: usize = 16;
 
     /// The content of a key file. White space at its end doesn't count, since editors add a line end.
     ///
     /// # Errors
     ///
-    /// [`Short`] below [`Self::MINIMUM`] bytes.
-    pub fn new(content: &[u8]) -> Result<Self, Short> {
+    /// [`TooShort`] below [`Self::MIN_BYTES`] bytes.
+    pub fn new(content: &[u8]) -> Result<Self, TooShort> {
         let bytes = content.trim_ascii_end();
-        if bytes.len() < Self::MINIMUM {
-            return Err(Short { found: bytes.len() });
+        if bytes.len() < Self::MIN_BYTES {
+            return Err(TooShort { found: bytes.len() });
         }
         Ok(Self(bytes.to_vec()))
     }
@@ -188,9 +188,9 @@
     }
 }
 
-impl fmt::Display for Short {
+impl fmt::Display for TooShort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let minimum = Secret::MINIMUM;
+        let minimum = Secret::MIN_BYTES;
         write!(
             f,
             "the key file holds {} bytes, at least {minimum} are needed",
@@ -199,7 +199,7 @@
     }
 }
 
-impl std::error::Error for Short {}
+impl std::error::Error for TooShort {}
 
 impl Default for Listen {
     /// Callers from anywhere, peers and operators from this machine only.
@@ -229,16 +229,16 @@
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            ping: Duration::from_millis(500),
-            suspect: Duration::from_secs(2),
-            dead: Duration::from_secs(10),
-            list: Duration::from_secs(1),
-            report: Duration::from_millis(500),
+            ping_interval: Duration::from_millis(500),
+            suspect_timeout: Duration::from_secs(2),
+            dead_timeout: Duration::from_secs(10),
+            list_interval: Duration::from_secs(1),
+            report_interval: Duration::from_millis(500),
             drain_delay: Duration::from_secs(5),
             drain_limit: Duration::from_secs(600),
             log_wait: Duration::from_secs(2),
             checkpoint_records: 5000,
-            checkpoint: Duration::from_secs(60),
+            checkpoint_interval: Duration::from_secs(60),
             gone_after: Duration::from_secs(30),
         }
     }
--- a/crates/fireflywheel/src/settings/parse.rs
+++ b/crates/fireflywheel/src/settings/parse.rs
@@ -10,7 +10,7 @@
 };
 
 /// The largest settings file, in bytes.
-pub const LIMIT: usize = 64 * 1024;
+pub const MAX_BYTES: usize = 64 * 1024;
 
 const CONNECTIONS: RangeInclusive<u64> = 1..=1_000_000;
 const HEADER_BYTES: RangeInclusive<u64> = 1_024..=1_048_576;
@@ -42,14 +42,14 @@
 ];
 
 impl Settings {
-    /// Reads and checks settings of at most [`LIMIT`] bytes.
+    /// Reads and checks settings of at most [`MAX_BYTES`] bytes.
     ///
     /// # Errors
     ///
     /// Every fault, in the order of lines; see [`fault::LIMIT`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
-        let sections = ini_text::read(text, LIMIT, &mut faults)?;
+        let sections = ini_text::read(text, MAX_BYTES, &mut faults)?;
         unknown(&sections, &mut faults);
         let settings = Self {
             instance: instance(&ini_text::find(&sections, "instance"), &mut faults),
@@ -183,11 +183,11 @@
     let default = Timing::default();
     let mut millis = |key, range, usual| reader.optional_millis(key, range).unwrap_or(usual);
     let mut timing = Timing {
-        ping: millis("ping_ms", INTERVAL_MS, default.ping),
-        suspect: millis("suspect_ms", INTERVAL_MS, default.suspect),
-        dead: millis("dead_ms", INTERVAL_MS, default.dead),
-        list: millis("list_ms", INTERVAL_MS, default.list),
-        report: millis("report_ms", INTERVAL_MS, default.report),
+        ping_interval: millis("ping_ms", INTERVAL_MS, default.ping_interval),
+        suspect_timeout: millis("suspect_ms", INTERVAL_MS, default.suspect_timeout),
+        dead_timeout: millis("dead_ms", INTERVAL_MS, default.dead_timeout),
+        list_interval: millis("list_ms", INTERVAL_MS, default.list_interval),
+        report_interval: millis("report_ms", INTERVAL_MS, default.report_interval),
         drain_delay: millis("drain_delay_ms", DRAIN_DELAY_MS, default.drain_delay),
         drain_limit: millis("drain_limit_ms", DRAIN_LIMIT_MS, default.drain_limit),
         log_wait: millis("log_wait_ms", INTERVAL_MS, default.log_wait),
@@ -196,9 +196,9 @@
     timing.checkpoint_records = reader
         .optional_whole("checkpoint_records", CHECKPOINT_RECORDS)
         .unwrap_or(default.checkpoint_records);
-    timing.checkpoint = reader
+    timing.checkpoint_interval = reader
         .optional_seconds("checkpoint_s", CHECKPOINT_S)
-        .unwrap_or(default.checkpoint);
+        .unwrap_or(default.checkpoint_interval);
     timing.gone_after = reader
         .optional_seconds("gone_after_s", GONE_AFTER_S)
         .unwrap_or(default.gone_after);
@@ -208,10 +208,10 @@
 }
 
 fn check_timing(timing: &Timing, reader: &mut field::Reader<'_>) {
-    if timing.suspect <= timing.ping {
+    if timing.suspect_timeout <= timing.ping_interval {
         reader.rule("suspect_ms", "must be more than ping_ms");
     }
-    if timing.dead <= timing.suspect {
+    if timing.dead_timeout <= timing.suspect_timeout {
         reader.rule("dead_ms", "must be more than suspect_ms");
     }
     if timing.drain_limit <= timing.drain_delay {
--- a/crates/fireflywheel/src/steward/demand.rs
+++ b/crates/fireflywheel/src/steward/demand.rs
@@ -21,7 +21,7 @@
     wants: BTreeMap<item::Item, BTreeMap<SmolStr, Waiting>>,
     uses: BTreeMap<item::Item, Use>,
     /// Idle times of all models.
-    pub(super) gaps: placement::Gaps,
+    pub(super) gaps: placement::IdleTimes,
     /// Decides in place of the document's setting; only comparisons in tests give one.
     pub(super) policy: Option<placement::Policy>,
 }
@@ -57,7 +57,7 @@
 
 impl Demand {
     /// Takes a want in place of the instance's last for that item.
-    pub fn want(&mut self, now: clock::Instant, from: &SmolStr, want: &wire::Want) {
+    pub fn handle_want(&mut self, now: clock::Instant, from: &SmolStr, want: &wire::Want) {
         let waiting = Waiting {
             callers: want.waiting,
             deadline: now.after(Duration::from_millis(want.left_ms)),
@@ -72,7 +72,7 @@
     }
 
     /// Takes an instance's usage.
-    pub fn used(&mut self, now: clock::Instant, from: &SmolStr, usages: &[wire::Usage]) {
+    pub fn handle_usage(&mut self, now: clock::Instant, from: &SmolStr, usages: &[wire::Usage]) {
         for usage in usages {
             let entry = self.uses.entry(usage.item.clone()).or_default();
             entry.active.insert(from.clone(), (usage.active, now));
@@ -135,13 +135,13 @@
 impl Use {
     /// Takes in that it is in use. What is told again and again of one use is no arrival: a cold start would
     /// otherwise pass for several, and the item for one that is often asked for.
-    fn touch(&mut self, now: clock::Instant, gaps: &mut placement::Gaps) {
+    fn touch(&mut self, now: clock::Instant, gaps: &mut placement::IdleTimes) {
         let idle = self.last.map(|last| now.since(last));
         self.last = Some(now);
         if idle.is_some_and(|idle| idle < QUIET) {
             return;
         }
-        self.rate.arrived(now);
+        self.rate.record_arrival(now);
         if let Some(idle) = idle {
             gaps.observe(idle);
         }
--- a/crates/fireflywheel/src/steward/flight.rs
+++ b/crates/fireflywheel/src/steward/flight.rs
@@ -170,7 +170,7 @@
             memory_mb: flight.memory_mb,
             fencing: (self.epoch << 32) | u64::from(self.sending),
         };
-        out.push(Action::Send {
+        out.push(Action::SendOrder {
             sending: self.sending,
             server: flight.placement.server.clone(),
             command,
@@ -229,7 +229,7 @@
         let server = flight.placement.server.clone();
         let stray = flight.lost && !view.fenced(&self.group);
         flight.state = State::Closing;
-        out.push(Action::Push(record::Entry::Close {
+        out.push(Action::Append(record::Entry::Close {
             order: record::Order {
                 group: self.group.clone(),
                 epoch: key.epoch,
@@ -256,7 +256,7 @@
                 server: server.clone(),
                 item: item.clone(),
             };
-            out.push(Action::Tell { to, frame });
+            out.push(Action::SendFrame { to, frame });
         }
     }
 }
--- a/crates/fireflywheel/src/steward/mod.rs
+++ b/crates/fireflywheel/src/steward/mod.rs
@@ -32,7 +32,7 @@
     pub absent_since: Option<clock::Instant>,
     /// The first offset that wasn't folded here then. A right that changed since may tell of a new process at
     /// the address, which the list, being late, doesn't name yet.
-    pub absent_seen: u64,
+    pub absent_offset: u64,
     /// Its newest report, and when it came in.
     pub report: Option<(clock::Instant, report::Report)>,
 }
@@ -55,7 +55,7 @@
     /// The group's backend servers by address.
     pub servers: &'a BTreeMap<SmolStr, Server>,
     /// Whether the log is read at present; without it no new intent can come into force.
-    pub log: bool,
+    pub log_readable: bool,
     /// How long a backend server is absent from the list until it counts as gone.
     pub gone_after: std::time::Duration,
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Append this entry.
-    Push(record::Entry),
+    Append(record::Entry),
     /// Send this order, and say what came of it under the same sending.
-    Send {
+    SendOrder {
         /// The low half of the fencing number.
         sending: u32,
         /// The engine's address.
@@ -97,7 +97,7 @@
         command: order::Command,
     },
     /// Tell an instance, perhaps this one.
-    Tell {
+    SendFrame {
         /// Its name.
         to: SmolStr,
         /// What.
@@ -168,13 +168,13 @@
     }
 
     /// Callers of an instance wait for an item.
-    pub fn want(&mut self, now: clock::Instant, from: &SmolStr, want: &wire::Want) {
-        self.demand.want(now, from, want);
+    pub fn handle_want(&mut self, now: clock::Instant, from: &SmolStr, want: &wire::Want) {
+        self.demand.handle_want(now, from, want);
     }
 
     /// What an instance ran.
-    pub fn used(&mut self, now: clock::Instant, from: &SmolStr, usages: &[wire::Usage]) {
-        self.demand.used(now, from, usages);
+    pub fn handle_usage(&mut self, now: clock::Instant, from: &SmolStr, usages: &[wire::Usage]) {
+        self.demand.handle_usage(now, from, usages);
     }
 
     /// Begins a planned stop: nothing new is ordered, what is open is brought to its end.
@@ -184,14 +184,14 @@
 
     /// Whether a successor inherits nothing that is open.
     #[must_use]
-    pub fn settled(&self, ledger: &ledger::Ledger) -> bool {
+    pub fn is_settled(&self, ledger: &ledger::Ledger) -> bool {
         let mut rights = ledger.rights().values();
         let open = rights.any(|right| right.group == self.group && is_open(right));
         self.proposed.is_empty() && !open
     }
 
     /// One of this incarnation's entries was read back and judged.
-    pub fn judged(&mut self, now: clock::Instant, entry: &record::Entry) {
+    pub fn handle_decision(&mut self, now: clock::Instant, entry: &record::Entry) {
         if let record::Entry::Close { order, .. } = entry
             && order.group == self.group
         {
@@ -210,7 +210,7 @@
     }
 
     /// Does what is due: sends orders of open intents, appends outcomes, opens new intents.
-    pub fn drive(&mut self, view: &View<'_>, out: &mut Vec<Action>) {
+    pub fn step(&mut self, view: &View<'_>, out: &mut Vec<Action>) {
         self.follow(view, out);
         if !self.retiring {
             self.plan(view, out);
@@ -236,7 +236,7 @@
         } else {
             record::Entry::Withdraw(order)
         };
-        out.push(Action::Push(entry));
+        out.push(Action::Append(entry));
     }
 }
 
--- a/crates/fireflywheel/src/steward/plan/mod.rs
+++ b/crates/fireflywheel/src/steward/plan/mod.rs
@@ -77,7 +77,7 @@
         let document = view.ledger.document();
         let wants = wanted.iter().enumerate().map(|(place, want)| {
             let model = document.models.get(&want.item.model);
-            placement::Want {
+            placement::ColdItem {
                 key: place,
                 deadline: want.deadline,
                 waiting: want.callers,
@@ -85,7 +85,7 @@
             }
         });
         let wants: Vec<_> = wants.collect();
-        let order = self.policy(view).first(view.now, &wants);
+        let order = self.policy(view).load_order(view.now, &wants);
         order
             .into_iter()
             .map(|place| wanted[place].clone())
@@ -97,7 +97,7 @@
         let Some(size) = Size::of(document, &want.item) else {
             return Step::Busy("the configuration doesn't name it");
         };
-        if !view.log {
+        if !view.log_readable {
             return Step::Busy("the platform's log can't be reached");
         }
         if self.resting.contains_key(&want.item) {
@@ -178,7 +178,7 @@
             memory_mb: right.memory_mb,
             load: model
                 .map_or(Duration::ZERO, |model| model.load)
-                .mul_f64(self.source(view, &key.server, &key.item).share()),
+                .mul_f64(self.source(view, &key.server, &key.item).load_time_ratio()),
             rate: usage
                 .map(|usage| usage.rate)
                 .unwrap_or_default()
@@ -274,7 +274,7 @@
                 retry_ms,
                 reason: SmolStr::new_static(reason),
             };
-            out.push(Action::Tell { to, frame });
+            out.push(Action::SendFrame { to, frame });
         }
     }
 
--- a/crates/fireflywheel/src/steward/plan/place.rs
+++ b/crates/fireflywheel/src/steward/plan/place.rs
@@ -74,7 +74,9 @@
     ) -> Option<(f64, Step)> {
         let policy = self.policy(view);
         let model = view.ledger.document().models.get(&want.item.model)?;
-        let load = model.load.mul_f64(candidates.first()?.source.share());
+        let load = model
+            .load
+            .mul_f64(candidates.first()?.source.load_time_ratio());
         if let Some(server) = policy.choose_server(memory_mb, candidates) {
             let cost = policy.cost(load, want.callers, 0.0);
             return Some((cost, Step::Load(server.clone())));
@@ -83,7 +85,7 @@
             .iter()
             .map(|candidate| self.tenancy(view, &want.item, candidate.key))
             .collect();
-        let room = policy.make_room(view.now, memory_mb, &tenancies)?;
+        let room = policy.plan_eviction(view.now, memory_mb, &tenancies)?;
         let cost = policy.cost(load, want.callers, room.loss);
         if room.victims.is_empty() {
             return Some((cost, Step::Underway));
@@ -121,7 +123,7 @@
         view: &'b View<'b>,
         wanted: &item::Item,
         server: &'b SmolStr,
-    ) -> placement::Tenancy<&'b SmolStr, &'b right::Key> {
+    ) -> placement::ServerReplicas<&'b SmolStr, &'b right::Key> {
         let here = view.ledger.rights().iter();
         let here: Vec<_> = here.filter(|(key, _)| key.server == *server).collect();
         let leaving = here
@@ -134,7 +136,7 @@
                 && key.item != wanted.base()
                 && self.may_go(view, key)
         });
-        placement::Tenancy {
+        placement::ServerReplicas {
             server,
             free_mb: self.free(view, server) + coming,
             replicas: replicas
--- a/crates/fireflywheel/src/steward/surplus.rs
+++ b/crates/fireflywheel/src/steward/surplus.rs
@@ -130,7 +130,7 @@
             right.state == right::State::Loaded
                 && key.item.adapter.is_none()
                 && self.is_idle_with_adapters(view, key)
-                && policy.idle_unload(view.now, &self.replica(view, key, right))
+                && policy.should_unload_idle(view.now, &self.replica(view, key, right))
         });
         let victims: Vec<_> = idle.map(|(key, _)| key.clone()).collect();
         let victims = self.with_adapters(view, victims);
@@ -159,7 +159,7 @@
             // An own order that still waits for its answer is no matter of age.
             if due && !self.awaits_answer(&key.server) {
                 self.pinned.insert(key.clone(), (newest, view.now));
-                out.push(Action::Push(record::Entry::Release {
+                out.push(Action::Append(record::Entry::Release {
                     group: self.group.clone(),
                     epoch: self.epoch,
                     server: key.server.clone(),
@@ -183,7 +183,7 @@
                 continue;
             };
             let last = self.gone.get(address).copied();
-            let (since, seen) = last.unwrap_or((absent_since, server.absent_seen));
+            let (since, seen) = last.unwrap_or((absent_since, server.absent_offset));
             if view.now.since(since) < view.gone_after || self.awaits_answer(address) {
                 // An order still on its way might reach the next process at the address after the right is
                 // gone.
@@ -199,7 +199,7 @@
             }
             self.gone
                 .insert(address.clone(), (view.now, view.ledger.next()));
-            out.push(Action::Push(record::Entry::Gone {
+            out.push(Action::Append(record::Entry::Gone {
                 group: self.group.clone(),
                 epoch: self.epoch,
                 server: address.clone(),
--- a/crates/fireflywheel/src/wire.rs
+++ b/crates/fireflywheel/src/wire.rs
@@ -9,7 +9,7 @@
 use crate::{item, member, record};
 
 /// The largest frame taken from a peer, in bytes; a larger one ends the link.
-pub const LIMIT: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// What one instance tells another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -98,7 +98,8 @@
     /// The first offset of the log not folded here.
     pub next: u64,
     /// Whether this instance reads the log at present.
-    pub log: bool,
+    #[serde(rename = "log")]
+    pub log_readable: bool,
 }
 
 /// Callers wait for an item.
@@ -154,8 +155,8 @@
 /// A message that isn't a frame.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Malformed {
-    /// Longer than [`LIMIT`].
-    Long(usize),
+    /// Longer than [`MAX_FRAME_BYTES`].
+    TooLong(usize),
     /// Not the CBOR of a frame.
     Cbor(String),
 }
@@ -175,8 +176,8 @@
     ///
     /// [`Malformed`] when it is too long or not a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
-        if bytes.len() > LIMIT {
-            return Err(Malformed::Long(bytes.len()));
+        if bytes.len() > MAX_FRAME_BYTES {
+            return Err(Malformed::TooLong(bytes.len()));
         }
         ciborium::from_reader(bytes).map_err(|error| Malformed::Cbor(error.to_string()))
     }
@@ -185,7 +186,10 @@
 impl std::fmt::Display for Malformed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Long(length) => write!(f, "frame of {length} bytes, at most {LIMIT} are taken"),
+            Self::TooLong(length) => write!(
+                f,
+                "frame of {length} bytes, at most {MAX_FRAME_BYTES} are taken"
+            ),
             Self::Cbor(error) => write!(f, "not the CBOR of a frame: {error}"),
         }
     }
--- a/crates/fireflywheel/src/writer.rs
+++ b/crates/fireflywheel/src/writer.rs
@@ -13,13 +13,13 @@
 use crate::record;
 
 /// Bytes of entries in one batch at most, well below what the log takes. A longer entry goes alone.
-pub const BATCH_LIMIT: usize = 512 << 10;
+pub const MAX_BATCH_BYTES: usize = 512 << 10;
 
 /// Bytes of one entry as JSON at most: what the log takes, less the frame of a record.
-pub const ENTRY_LIMIT: usize = (1 << 20) - (4 << 10);
+pub const MAX_ENTRY_BYTES: usize = (1 << 20) - (4 << 10);
 
 /// Bytes of entries that wait at most.
-pub const WAITING_LIMIT: usize = 8 << 20;
+pub const MAX_WAITING_BYTES: usize = 8 << 20;
 
 /// What came of an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -35,18 +35,21 @@
 /// Why an entry was not taken; it is not in the log and won't be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// [`WAITING_LIMIT`] bytes wait already.
+    /// [`MAX_WAITING_BYTES`] bytes wait already.
     Full,
-    /// The entry has so many bytes, more than [`ENTRY_LIMIT`].
-    Long(usize),
+    /// The entry has so many bytes, more than [`MAX_ENTRY_BYTES`].
+    TooLong(usize),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Full => f.write_str("too many entries wait for the log"),
-            Self::Long(bytes) => {
-                write!(f, "an entry of {bytes} bytes, the log takes {ENTRY_LIMIT}")
+            Self::TooLong(bytes) => {
+                write!(
+                    f,
+                    "an entry of {bytes} bytes, the log takes {MAX_ENTRY_BYTES}"
+                )
             }
         }
     }
@@ -109,10 +112,10 @@
         let bytes = serde_json::to_vec(&entry)
             .expect("an entry always has a JSON form")
             .len();
-        if bytes > ENTRY_LIMIT {
-            return Err(Refusal::Long(bytes));
+        if bytes > MAX_ENTRY_BYTES {
+            return Err(Refusal::TooLong(bytes));
         }
-        if self.bytes + bytes > WAITING_LIMIT {
+        if self.bytes + bytes > MAX_WAITING_BYTES {
             return Err(Refusal::Full);
         }
         self.bytes += bytes;
@@ -121,12 +124,9 @@
     }
 
     /// The text to append now; `None` while an answer is due, or when nothing waits. Each one handed out is
-    /// to be followed by one call of [`Self::answered`].
-    #[expect(
-        clippy::should_implement_trait,
-        reason = "an iterator would invite loops, and each text needs its answer first"
-    )]
-    pub fn next(&mut self) -> Option<String> {
+    /// to be followed by one call of [`Self::handle_answer`]. The writer is no iterator: an iterator would invite
+    /// loops, and each text needs its answer before the next one goes out.
+    pub fn next_append(&mut self) -> Option<String> {
         if let Some(flight) = &mut self.flight {
             if flight.sent {
                 return None;
@@ -151,8 +151,8 @@
         Some(body)
     }
 
-    /// What came of the append that [`Self::next`] handed out last.
-    pub fn answered(&mut self, answer: Answer) {
+    /// What came of the append that [`Self::next_append`] handed out last.
+    pub fn handle_answer(&mut self, answer: Answer) {
         let Some(mut flight) = self.flight.take() else {
             return;
         };
@@ -170,7 +170,7 @@
     }
 
     /// A record was read back from the log. Ends the wait for a lost answer, if it is the one.
-    pub fn read(&mut self, id: &record::Id) {
+    pub fn record_read(&mut self, id: &record::Id) {
         let Some(flight) = &mut self.flight else {
             return;
         };
@@ -218,7 +218,7 @@
         let mut entries = Vec::new();
         let mut bytes = 0;
         while let Some(entry) = self.waiting.pop_front() {
-            if !entries.is_empty() && bytes + entry.bytes > BATCH_LIMIT {
+            if !entries.is_empty() && bytes + entry.bytes > MAX_BATCH_BYTES {
                 self.waiting.push_front(entry);
                 break;
             }
@@ -239,13 +239,13 @@
 
     fn body(&self, sequence: u64, entries: &[Entry]) -> String {
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id {
                 by: self.by.clone(),
                 sequence,
             },
             entries: entries.iter().map(|entry| entry.entry.clone()).collect(),
         };
-        record.body()
+        record.encode()
     }
 }
--- a/crates/fireflywheel/tests/admission.rs
+++ b/crates/fireflywheel/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflywheel::{budget, clock, estimate, queue, request};
+use fireflywheel::{clock, estimate, queue, request, retry_budget};
 use slotmap::SlotMap;
 use smol_str::{SmolStr, format_smolstr};
 
@@ -58,7 +58,7 @@
     for deadline in [50, 10, 30, 20, 40] {
         desk.push("guide", 1, deadline).unwrap();
     }
-    assert_eq!(desk.queue.earliest(), Some(clock::Instant(10)));
+    assert_eq!(desk.queue.earliest_deadline(), Some(clock::Instant(10)));
     let order: Vec<_> = std::iter::from_fn(|| desk.pop())
         .map(|(_, deadline)| deadline)
         .collect();
@@ -152,7 +152,7 @@
                     }
                     _ => {
                         let now = clock::Instant(deadline / 4);
-                        let gone = desk.queue.expired(now).len();
+                        let gone = desk.queue.take_expired(now).len();
                         let before = plain.len();
                         plain.retain(|(deadline, _)| *deadline > now.0);
                         assert_eq!(gone, before - plain.len());
@@ -181,12 +181,12 @@
     for _ in 0..50 {
         estimate.observe(SECOND);
     }
-    let before = estimate.finish(8, 4);
+    let before = estimate.completion_time(8, 4);
     estimate.observe(600 * SECOND);
     assert!(
-        estimate.finish(8, 4) < before * 6 / 5,
+        estimate.completion_time(8, 4) < before * 6 / 5,
         "{:?}",
-        estimate.finish(8, 4)
+        estimate.completion_time(8, 4)
     );
 }
 
@@ -221,13 +221,13 @@
         estimate.observe(Duration::from_millis(millis));
         mean += Duration::from_millis(millis) / u32::try_from(SAMPLES).unwrap();
     }
-    assert!(estimate.cautious() <= 2 * estimate.mean());
+    assert!(estimate.upper_bound() <= 2 * estimate.mean());
     assert!(estimate.mean() < mean * 13 / 10 && estimate.mean() > mean * 7 / 10);
-    let turns = estimate.wait(7, 4).abs_diff(estimate.mean() * 2);
+    let turns = estimate.queue_wait(7, 4).abs_diff(estimate.mean() * 2);
     assert!(turns < Duration::from_micros(1));
-    assert_eq!(estimate.wait(0, 0), estimate.mean());
+    assert_eq!(estimate.queue_wait(0, 0), estimate.mean());
     assert!(
-        estimate.wait(usize::MAX, 1) > Duration::from_secs(1 << 40),
+        estimate.queue_wait(usize::MAX, 1) > Duration::from_secs(1 << 40),
         "no overflow"
     );
 }
@@ -236,14 +236,14 @@
 /// then; the budget keeps retries to a small share.
 #[test]
 fn retries_are_a_share_of_requests() {
-    let options = budget::Options::default();
-    let mut budget = budget::Budget::new(clock::Instant(0), options);
+    let options = retry_budget::Options::default();
+    let mut budget = retry_budget::Budget::new(clock::Instant(0), options);
     budget.set_instances(clock::Instant(0), 16);
     let mut retries = 0;
     for request in 0..10_000 {
         let now = clock::Instant(request);
-        budget.attempted(now);
-        retries += u32::from(budget.retry(now));
+        budget.record_request(now);
+        retries += u32::from(budget.try_retry(now));
     }
     assert!((1000..=1030).contains(&retries), "{retries} retries");
 }
@@ -254,15 +254,16 @@
 fn floor_is_shared_by_the_fleet() {
     let retries = |instances: usize| -> usize {
         let one = |_| {
-            let mut budget = budget::Budget::new(clock::Instant(0), budget::Options::default());
+            let mut budget =
+                retry_budget::Budget::new(clock::Instant(0), retry_budget::Options::default());
             budget.set_instances(clock::Instant(0), instances);
             (0..60_000)
-                .filter(|now| budget.retry(clock::Instant(*now)))
+                .filter(|now| budget.try_retry(clock::Instant(*now)))
                 .count()
         };
         (0..instances).map(one).sum()
     };
-    let saved = |instances: usize| budget::Options::default().burst as usize * instances;
+    let saved = |instances: usize| retry_budget::Options::default().burst as usize * instances;
     for instances in [1, 16, 256] {
         let beyond = retries(instances) - saved(instances);
         assert!(
--- a/crates/fireflywheel/tests/answer.rs
+++ b/crates/fireflywheel/tests/answer.rs
@@ -17,7 +17,11 @@
 }
 
 /// The number of events and the verdict, with the bytes pushed in pieces of the given lengths.
-fn check<I>(mut check: answer::Check, bytes: &[u8], pieces: I) -> (usize, Result<(), answer::Flaw>)
+fn check<I>(
+    mut check: answer::StreamChecker,
+    bytes: &[u8],
+    pieces: I,
+) -> (usize, Result<(), answer::Flaw>)
 where
     I: IntoIterator<Item = usize>,
 {
@@ -42,9 +46,9 @@
             $(#[test]
             fn $name() {
                 let bytes: String = $bytes;
-                let whole = check(answer::Check::new(ID), bytes.as_bytes(), []);
+                let whole = check(answer::StreamChecker::new(ID), bytes.as_bytes(), []);
                 assert_eq!(whole, ($events, $verdict));
-                let single = check(answer::Check::new(ID), bytes.as_bytes(), vec![1; bytes.len()]);
+                let single = check(answer::StreamChecker::new(ID), bytes.as_bytes(), vec![1; bytes.len()]);
                 assert_eq!(single, whole);
             })*
         }
@@ -53,24 +57,24 @@
 
 streams! {
     whole: stream(&[0, 1, 2]) => 4, Ok(());
-    crossed: chunk(ID, 0) + &chunk("r-18", 1) => 1, Err(answer::Flaw::Crossed);
-    crossed_from_the_start: chunk("r-1", 0) => 0, Err(answer::Flaw::Crossed);
-    cut_between_chunks: chunk(ID, 0) + &chunk(ID, 1) => 2, Err(answer::Flaw::Short);
-    cut_within_a_chunk: stream(&[0, 1])[..60].to_owned() => 1, Err(answer::Flaw::Short);
-    end_marker_cut: stream(&[0])[..stream(&[0]).len() - 1].to_owned() => 1, Err(answer::Flaw::Short);
-    empty: String::new() => 0, Err(answer::Flaw::Short);
-    end_marker_alone: stream(&[]) => 0, Err(answer::Flaw::Short);
-    doubled: stream(&[0, 1, 1, 2]) => 2, Err(answer::Flaw::Doubled);
-    doubled_from_before: stream(&[0, 1, 0]) => 2, Err(answer::Flaw::Doubled);
-    gap: stream(&[0, 2]) => 1, Err(answer::Flaw::Gap);
-    gap_at_the_start: stream(&[1, 2]) => 0, Err(answer::Flaw::Gap);
-    goes_on_after_the_end: stream(&[0]) + &chunk(ID, 1) => 2, Err(answer::Flaw::Long);
-    two_ends: stream(&[0]) + "data: [DONE]\n\n" => 2, Err(answer::Flaw::Long);
+    crossed: chunk(ID, 0) + &chunk("r-18", 1) => 1, Err(answer::Flaw::WrongRequest);
+    crossed_from_the_start: chunk("r-1", 0) => 0, Err(answer::Flaw::WrongRequest);
+    cut_between_chunks: chunk(ID, 0) + &chunk(ID, 1) => 2, Err(answer::Flaw::Truncated);
+    cut_within_a_chunk: stream(&[0, 1])[..60].to_owned() => 1, Err(answer::Flaw::Truncated);
+    end_marker_cut: stream(&[0])[..stream(&[0]).len() - 1].to_owned() => 1, Err(answer::Flaw::Truncated);
+    empty: String::new() => 0, Err(answer::Flaw::Truncated);
+    end_marker_alone: stream(&[]) => 0, Err(answer::Flaw::Truncated);
+    doubled: stream(&[0, 1, 1, 2]) => 2, Err(answer::Flaw::DuplicateChunk);
+    doubled_from_before: stream(&[0, 1, 0]) => 2, Err(answer::Flaw::DuplicateChunk);
+    gap: stream(&[0, 2]) => 1, Err(answer::Flaw::MissingChunk);
+    gap_at_the_start: stream(&[1, 2]) => 0, Err(answer::Flaw::MissingChunk);
+    goes_on_after_the_end: stream(&[0]) + &chunk(ID, 1) => 2, Err(answer::Flaw::TooLong);
+    two_ends: stream(&[0]) + "data: [DONE]\n\n" => 2, Err(answer::Flaw::TooLong);
     no_json: "data: {\"id\":\n\n".to_owned() => 0, Err(answer::Flaw::Malformed);
     no_id: "data: {\"seq\":0}\n\n".to_owned() => 0, Err(answer::Flaw::Malformed);
     sequence_stops: chunk(ID, 0) + "data: {\"id\":\"r-17\"}\n\n" => 1, Err(answer::Flaw::Malformed);
-    endless_event: "data: ".to_owned() + &"x".repeat(answer::EVENT_LIMIT) => 0, Err(answer::Flaw::Long);
-    endless_lines: "data: x\n".repeat(answer::EVENT_LIMIT / 2) => 0, Err(answer::Flaw::Long);
+    endless_event: "data: ".to_owned() + &"x".repeat(answer::MAX_EVENT_BYTES) => 0, Err(answer::Flaw::TooLong);
+    endless_lines: "data: x\n".repeat(answer::MAX_EVENT_BYTES / 2) => 0, Err(answer::Flaw::TooLong);
     other_line_ends: stream(&[0, 1]).replace('\n', "\r\n") => 3, Ok(());
     carriage_returns: stream(&[0, 1]).replace('\n', "\r") => 3, Ok(());
     comments_and_fields: format!(": ping\n\nevent: chunk\nid: 4\n{}", stream(&[0])) => 2, Ok(());
@@ -81,7 +85,7 @@
 /// spoil the answer unseen.
 #[test]
 fn resumed_stream_goes_on_where_it_broke() {
-    let resumed = || answer::Check::new(ID).with_resume(2);
+    let resumed = || answer::StreamChecker::new(ID).with_resume(2);
     assert_eq!(
         check(resumed(), stream(&[2, 3]).as_bytes(), []),
         (3, Ok(()))
@@ -89,13 +93,13 @@
     assert_eq!(check(resumed(), stream(&[]).as_bytes(), []), (1, Ok(())));
     assert_eq!(
         check(resumed(), stream(&[1]).as_bytes(), []).1,
-        Err(answer::Flaw::Doubled)
+        Err(answer::Flaw::DuplicateChunk)
     );
     assert_eq!(
         check(resumed(), stream(&[3]).as_bytes(), []).1,
-        Err(answer::Flaw::Gap)
+        Err(answer::Flaw::MissingChunk)
     );
-    let mut broken = answer::Check::new(ID);
+    let mut broken = answer::StreamChecker::new(ID);
     broken.push(chunk(ID, 0).as_bytes()).unwrap();
     broken.push(&chunk(ID, 1).as_bytes()[..9]).unwrap();
     assert_eq!((broken.chunks(), broken.is_ended()), (1, false));
@@ -109,11 +113,11 @@
     for seed in 0..400 {
         let property = |u: &mut arbitrary::Unstructured<'_>| {
             let bytes = spoiled(u)?;
-            let whole = check(answer::Check::new(ID), &bytes, []);
+            let whole = check(answer::StreamChecker::new(ID), &bytes, []);
             let pieces: Vec<usize> = (0..40)
                 .map(|_| u.int_in_range(0..=60))
                 .collect::<Result<_, _>>()?;
-            assert_eq!(check(answer::Check::new(ID), &bytes, pieces), whole);
+            assert_eq!(check(answer::StreamChecker::new(ID), &bytes, pieces), whole);
             Ok(())
         };
         arbtest::arbtest(property).seed(seed << 32 | BYTES).run();
@@ -144,7 +148,7 @@
 
             $(#[test]
             fn $name() {
-                let mut body = answer::Body::new(ID, 64).with_header($header);
+                let mut body = answer::BodyChecker::new(ID, 64).with_header($header);
                 let _ = $body.as_bytes().chunks(3).try_for_each(|piece| body.push(piece));
                 assert_eq!(body.end().map(|_| ()), $verdict);
             })*
@@ -154,12 +158,12 @@
 
 bodies! {
     whole: Some(ID), r#"{"id":"r-17","body":"x"}"# => Ok(());
-    crossed_in_the_header: Some("r-1"), r#"{"id":"r-17"}"# => Err(answer::Flaw::Crossed);
-    crossed_in_the_body: Some(ID), r#"{"id":"r-1"}"# => Err(answer::Flaw::Crossed);
+    crossed_in_the_header: Some("r-1"), r#"{"id":"r-17"}"# => Err(answer::Flaw::WrongRequest);
+    crossed_in_the_body: Some(ID), r#"{"id":"r-1"}"# => Err(answer::Flaw::WrongRequest);
     no_header: None, r#"{"id":"r-17"}"# => Err(answer::Flaw::Malformed);
     no_id: Some(ID), r#"{"body":"x"}"# => Err(answer::Flaw::Malformed);
-    short: Some(ID), r#"{"id":"r-17","body":"x"# => Err(answer::Flaw::Short);
-    empty: Some(ID), "" => Err(answer::Flaw::Short);
+    short: Some(ID), r#"{"id":"r-17","body":"x"# => Err(answer::Flaw::Truncated);
+    empty: Some(ID), "" => Err(answer::Flaw::Truncated);
     goes_on: Some(ID), r#"{"id":"r-17"}{"id":"r-17"}"# => Err(answer::Flaw::Malformed);
-    long: Some(ID), "x".repeat(65) => Err(answer::Flaw::Long);
+    long: Some(ID), "x".repeat(65) => Err(answer::Flaw::TooLong);
 }
--- a/crates/fireflywheel/tests/credit.rs
+++ b/crates/fireflywheel/tests/credit.rs
@@ -114,7 +114,7 @@
         let now = self.local(place);
         let holder = &mut self.holders[place];
         if holder.paused.is_none() {
-            let need = holder.borrower.need(now, hold);
+            let need = holder.borrower.request_credits(now, hold);
             self.frames.push(Frame::Need(place, holder.number, need));
         }
     }
@@ -135,7 +135,7 @@
         match frame {
             Frame::Need(place, number, need) => {
                 let by = incarnation(place, number);
-                let answer = self.home.needed(clock::Instant(self.now), &by, need);
+                let answer = self.home.handle_need(clock::Instant(self.now), &by, need);
                 self.frames
                     .extend(answer.map(|lend| Frame::Lend(place, number, lend)));
             }
@@ -155,13 +155,13 @@
             lend.lease = late.since(clock::Instant(holder.origin));
             let mut counted = credit::Borrower::new();
             let _ = (0..lend.number)
-                .map(|_| counted.need(clock::Instant(holder.origin), LIMIT))
+                .map(|_| counted.request_credits(clock::Instant(holder.origin), LIMIT))
                 .count();
-            counted.lent(lend);
+            counted.handle_lend(lend);
             holder.borrower = counted;
             return;
         }
-        holder.borrower.lent(lend);
+        holder.borrower.handle_lend(lend);
     }
 
     fn pause(&mut self, place: usize, pause: u64) {
@@ -185,9 +185,9 @@
             return;
         }
         if holder.borrower.in_use() > 0 {
-            holder.borrower.give();
+            holder.borrower.release();
         } else {
-            let _ = holder.borrower.take(now);
+            let _ = holder.borrower.try_acquire(now);
         }
     }
 
@@ -272,13 +272,13 @@
             .take(if round == 0 { 1 } else { 2 })
         {
             let now = world.local(place);
-            let need = world.holders[place].borrower.need(now, LIMIT);
+            let need = world.holders[place].borrower.request_credits(now, LIMIT);
             let by = incarnation(place, 1);
             let lend = world
                 .home
-                .needed(clock::Instant(world.now), &by, need)
+                .handle_need(clock::Instant(world.now), &by, need)
                 .expect("a new need");
-            assert!(world.holders[place].borrower.lent(lend));
+            assert!(world.holders[place].borrower.handle_lend(lend));
             *lent = lend.hold;
         }
         world.now += 1_000;
@@ -294,28 +294,28 @@
     world.now = 10_000;
     let by = incarnation(0, 1);
     let now = world.local(0);
-    let need = world.holders[0].borrower.need(now, 4);
+    let need = world.holders[0].borrower.request_credits(now, 4);
     let lend = world
         .home
-        .needed(clock::Instant(world.now), &by, need)
+        .handle_need(clock::Instant(world.now), &by, need)
         .expect("a new need");
-    assert!(world.holders[0].borrower.lent(lend));
+    assert!(world.holders[0].borrower.handle_lend(lend));
     world.now += 1_000;
     world.replace_home();
     let now = world.local(0);
-    let need = world.holders[0].borrower.need(now, 4);
+    let need = world.holders[0].borrower.request_credits(now, 4);
     assert_eq!(
-        world.home.needed(clock::Instant(world.now), &by, need),
+        world.home.handle_need(clock::Instant(world.now), &by, need),
         None
     );
     assert_eq!(world.holders[0].borrower.held(world.local(0)), 4);
     world.now += 4_000;
     assert_eq!(world.holders[0].borrower.held(world.local(0)), 0);
     let now = world.local(0);
-    let need = world.holders[0].borrower.need(now, 4);
+    let need = world.holders[0].borrower.request_credits(now, 4);
     let lend = world
         .home
-        .needed(clock::Instant(world.now), &by, need)
+        .handle_need(clock::Instant(world.now), &by, need)
         .expect("a new need");
     assert_eq!(lend.hold, 4);
 }
--- a/crates/fireflywheel/tests/document.rs
+++ b/crates/fireflywheel/tests/document.rs
@@ -220,13 +220,13 @@
 #[test]
 fn empty_and_oversized_texts_are_refused() {
     assert!(document::Document::parse("").is_err());
-    let long = "#".repeat(document::LIMIT + 1);
+    let long = "#".repeat(document::MAX_BYTES + 1);
     let faults = document::Document::parse(&long).unwrap_err();
     assert_eq!(
         texts(&faults),
         ["line 1: the text is longer than 921600 bytes, the most that is allowed"]
     );
-    let full = format!("{BASE}{}", "#".repeat(document::LIMIT - BASE.len()));
+    let full = format!("{BASE}{}", "#".repeat(document::MAX_BYTES - BASE.len()));
     assert_eq!(parsed(&full), parsed(BASE));
 }
 
--- a/crates/fireflywheel/tests/ledger/checkpoints.rs
+++ b/crates/fireflywheel/tests/ledger/checkpoints.rs
@@ -107,11 +107,11 @@
     let mut parts = ledger.checkpoint();
     assert!(parts.len() > 1);
     for part in &parts {
-        assert!(part.text.len() <= checkpoint::PART_LIMIT);
-        let rule = record::RULE;
+        assert!(part.text.len() <= checkpoint::MAX_PART_BYTES);
+        let rule = record::RULES_VERSION;
         let entries = vec![Entry::Checkpoint(part.clone())];
         let id = id("a", 1);
-        assert!(record::Record { rule, id, entries }.body().len() < 1 << 20);
+        assert!(record::Record { rule, id, entries }.encode().len() < 1 << 20);
     }
     parts.reverse();
     assert_eq!(ledger::Ledger::restore(&parts).unwrap(), ledger);
@@ -140,11 +140,11 @@
 fn start(
     log: &Log,
     first: usize,
-    mut start: start::Start,
-) -> (start::Start, Option<ledger::Ledger>) {
+    mut start: bootstrap::Bootstrap,
+) -> (bootstrap::Bootstrap, Option<ledger::Ledger>) {
     let end = log.stored.len();
     loop {
-        if let Some(ledger) = start.ledger().unwrap() {
+        if let Some(ledger) = start.build_ledger().unwrap() {
             return (start, Some(ledger));
         }
         let Some(from) = start.read_from() else {
@@ -152,7 +152,7 @@
         };
         let from = first.max(usize::try_from(from).unwrap());
         let records = log.stored[from..end.min(from + 7)].to_vec();
-        start.read(first as u64, end as u64, records);
+        start.add_records(first as u64, end as u64, records);
     }
 }
 
@@ -172,10 +172,10 @@
     for seed in 0..40 {
         let log = arbitrary_log(seed, 60);
         for first in [0, 1, log.stored.len() / 2, log.stored.len()] {
-            let (start, ledger) = start(&log, first, start::Start::new());
+            let (start, ledger) = start(&log, first, bootstrap::Bootstrap::new());
             let Some(mut ledger) = ledger else {
                 let first = first as u64;
-                assert_eq!(start.waiting(), start::Waiting::NoCheckpoint { first });
+                assert_eq!(start.waiting(), bootstrap::Waiting::NoCheckpoint { first });
                 waiting += 1;
                 continue;
             };
@@ -206,11 +206,11 @@
             }
         }
         let (next, version) = (held.next(), held.version());
-        let mut ended = start::Start::above(next);
+        let mut ended = bootstrap::Bootstrap::resume_from(next);
         for part in older.checkpoint() {
-            ended.part(part);
+            ended.add_part(part);
         }
-        assert_eq!(ended.ledger(), Ok(None));
+        assert_eq!(ended.build_ledger(), Ok(None));
         assert!(held.replace(older).is_err());
         assert_eq!((held.next(), held.version()), (next, version));
         let first = usize::try_from(next).unwrap() + 1;
@@ -231,13 +231,13 @@
 #[test]
 fn a_start_from_a_peer_needs_no_log() {
     let ledger = large();
-    let mut start = start::Start::new();
-    assert_eq!(start.waiting(), start::Waiting::Silence);
+    let mut start = bootstrap::Bootstrap::new();
+    assert_eq!(start.waiting(), bootstrap::Waiting::NoResponse);
     for part in ledger.checkpoint() {
-        assert_eq!(start.ledger(), Ok(None));
-        start.part(part);
+        assert_eq!(start.build_ledger(), Ok(None));
+        start.add_part(part);
     }
-    assert_eq!(start.ledger(), Ok(Some(ledger)));
+    assert_eq!(start.build_ledger(), Ok(Some(ledger)));
 }
 
 /// Instances die halfway through a checkpoint, over and over. What they left must not fill the memory of
@@ -245,19 +245,19 @@
 #[test]
 fn abandoned_checkpoints_are_dropped() {
     let whole = large().checkpoint();
-    let mut start = start::Start::new();
-    start.part(whole[0].clone());
+    let mut start = bootstrap::Bootstrap::new();
+    start.add_part(whole[0].clone());
     for next in 0..1000 {
         let mut abandoned = whole[0].clone();
         abandoned.next = next % 2;
         abandoned.hash = SmolStr::new(next.to_string());
-        start.part(abandoned);
+        start.add_part(abandoned);
     }
     for part in &whole[1..] {
-        start.part(part.clone());
+        start.add_part(part.clone());
     }
     assert_eq!(
-        start.ledger().unwrap().map(|ledger| ledger.next()),
+        start.build_ledger().unwrap().map(|ledger| ledger.next()),
         Some(whole[0].next)
     );
 }
--- a/crates/fireflywheel/tests/ledger/main.rs
+++ b/crates/fireflywheel/tests/ledger/main.rs
@@ -12,7 +12,7 @@
 
 use arbitrary::Unstructured;
 use fireflywheel::{
-    claim, item, ledger, ledger::checkpoint, ledger::invariant, record, right, start, verdict,
+    bootstrap, claim, item, ledger, ledger::checkpoint, ledger::invariant, record, right, verdict,
 };
 use ledger::Reason;
 use rand::{RngCore as _, SeedableRng as _, rngs};
@@ -94,12 +94,12 @@
         log
     }
 
-    fn append(&mut self, id: record::Id, entries: Vec<Entry>) -> Vec<ledger::Judgement> {
-        let rule = record::RULE;
-        self.land(record::Record { rule, id, entries }.body())
+    fn append(&mut self, id: record::Id, entries: Vec<Entry>) -> Vec<ledger::Decision> {
+        let rule = record::RULES_VERSION;
+        self.land(record::Record { rule, id, entries }.encode())
     }
 
-    fn land(&mut self, body: String) -> Vec<ledger::Judgement> {
+    fn land(&mut self, body: String) -> Vec<ledger::Decision> {
         let before = self.ledger.clone();
         let stored = record::Stored {
             offset: self.ledger.next(),
@@ -116,8 +116,8 @@
     fn say(&mut self, instance: &str, entry: Entry) -> Result<(), Reason> {
         self.sequence += 1;
         match self.append(id(instance, self.sequence), vec![entry])[..] {
-            [ledger::Judgement::Accepted] => Ok(()),
-            [ledger::Judgement::Void(reason)] => Err(reason),
+            [ledger::Decision::Accepted] => Ok(()),
+            [ledger::Decision::Rejected(reason)] => Err(reason),
             ref other => panic!("{other:?}"),
         }
     }
--- a/crates/fireflywheel/tests/ledger/rules.rs
+++ b/crates/fireflywheel/tests/ledger/rules.rs
@@ -23,12 +23,12 @@
     let late = vec![Entry::Claim { key, fingerprint }];
     assert_eq!(
         log.append(id("c", 1), late.clone()),
-        [ledger::Judgement::Accepted]
+        [ledger::Decision::Accepted]
     );
     log.sequence = 1;
     log.settle("c", "k", NOT_RUN).unwrap();
     assert_eq!(log.append(id("c", 1), late.clone()), []);
-    assert_eq!(log.ledger.claims_len(), 0);
+    assert_eq!(log.ledger.claim_count(), 0);
     log.claim("b", "k").unwrap();
     assert_eq!(log.append(id("c", 1), late), []);
     assert_eq!(log.ledger.claim(&claim_key("k")).unwrap().by, by("b"));
@@ -57,7 +57,7 @@
     );
     assert_eq!(log.ledger.sequence(&by("c")), 0, "forgotten");
     assert_eq!(log.claim("c", "k"), Err(Reason::Expired));
-    assert_eq!(log.ledger.claims_len(), 0);
+    assert_eq!(log.ledger.claim_count(), 0);
 }
 
 /// Operators publish thousands of times a day, each time from a process of its own. If each left a line in
@@ -242,7 +242,7 @@
         body: String::new(),
     };
     let offset = next + 1;
-    let gap = ledger::Halt::Gap { next, offset };
+    let gap = ledger::FoldError::Gap { next, offset };
     assert_eq!(log.ledger.fold(&stored), Err(gap));
     assert_eq!(log.ledger.next(), next);
 }
@@ -258,8 +258,14 @@
         time_ms: 0,
         body: newer.to_owned(),
     };
-    assert_eq!(log.ledger.fold(&stored), Err(ledger::Halt::Rule(2)));
-    let mut start = start::Start::new();
-    start.read(stored.offset, stored.offset + 1, vec![stored]);
-    assert_eq!(start.ledger(), Err(ledger::Halt::Rule(2)));
+    assert_eq!(
+        log.ledger.fold(&stored),
+        Err(ledger::FoldError::UnsupportedRules(2))
+    );
+    let mut start = bootstrap::Bootstrap::new();
+    start.add_records(stored.offset, stored.offset + 1, vec![stored]);
+    assert_eq!(
+        start.build_ledger(),
+        Err(ledger::FoldError::UnsupportedRules(2))
+    );
 }
--- a/crates/fireflywheel/tests/membership.rs
+++ b/crates/fireflywheel/tests/membership.rs
@@ -77,7 +77,7 @@
             let mut membership =
                 membership::Membership::new(incarnation.clone(), address(node), domain, options);
             for seed in (0..SEEDS).filter(|seed| *seed != node) {
-                membership.seed(address(seed));
+                membership.add_seed(address(seed));
             }
             fleet.names.insert(incarnation.instance.clone(), node);
             fleet.nodes.push(Node {
@@ -179,7 +179,9 @@
             }
             membership::Action::Disconnect { instance } => self.unlink(node, self.names[&instance]),
             membership::Action::Ping { to, number } => {
-                let gossip = self.nodes[node].membership.gossip(membership::GOSSIP);
+                let gossip = self.nodes[node]
+                    .membership
+                    .gossip(membership::MAX_GOSSIP_UPDATES);
                 let digest = wire::Digest::default();
                 let ping = wire::Frame::Ping {
                     number,
@@ -246,11 +248,11 @@
                 digest,
                 gossip,
             } => {
-                membership.heard(now, &peer);
+                membership.record_contact(now, &peer);
                 gossip
                     .iter()
-                    .for_each(|update| membership.update(now, update));
-                let gossip = membership.gossip(membership::GOSSIP);
+                    .for_each(|update| membership.handle_update(now, update));
+                let gossip = membership.gossip(membership::MAX_GOSSIP_UPDATES);
                 Some(wire::Frame::Pong {
                     number,
                     digest,
@@ -258,18 +260,18 @@
                 })
             }
             wire::Frame::Pong { number, gossip, .. } => {
-                membership.answered(now, number, &peer);
+                membership.handle_pong(now, number, &peer);
                 gossip
                     .iter()
-                    .for_each(|update| membership.update(now, update));
+                    .for_each(|update| membership.handle_update(now, update));
                 None
             }
             wire::Frame::AskMembers { hashes } => {
-                let members = membership.differing(&peer.instance, &hashes);
+                let members = membership.differing_members(&peer.instance, &hashes);
                 (!members.is_empty()).then_some(wire::Frame::Members(members))
             }
             wire::Frame::Members(members) => {
-                membership.told(now, &members);
+                membership.handle_members(now, &members);
                 None
             }
             other => panic!("not a frame of membership: {other:?}"),
@@ -324,7 +326,7 @@
             .collect();
         for node in 0..size {
             let now = fleet.instant(node);
-            fleet.nodes[node].membership.told(now, &all);
+            fleet.nodes[node].membership.handle_members(now, &all);
         }
         fleet.run(60_000);
         assert!(fleet.agree());
@@ -498,16 +500,16 @@
         state: member::State::Dead,
         refutation: 40,
     };
-    membership.update(now, &update);
+    membership.handle_update(now, &update);
     update.by.number += 1;
     update.address = SmolStr::new("10.0.9.9:7000");
     (update.state, update.refutation) = (member::State::Alive, 0);
-    membership.update(now, &update);
+    membership.handle_update(now, &update);
     assert_eq!(membership.state("a9"), Some(member::State::Alive));
     assert_eq!(membership.address("a9"), Some(&update.address));
     update.by = old;
     (update.state, update.refutation) = (member::State::Dead, u32::MAX);
-    membership.update(now, &update);
+    membership.handle_update(now, &update);
     assert_eq!(membership.state("a9"), Some(member::State::Alive));
 }
 
@@ -517,13 +519,13 @@
 fn lagging_list_is_a_hint() {
     let mut fleet = Fleet::started(16);
     let now = fleet.instant(0);
-    let entry = membership::Listed {
+    let entry = membership::ListEntry {
         instance: SmolStr::new("gone"),
         address: SmolStr::new("10.0.0.15:7000"),
     };
     fleet.nodes[0]
         .membership
-        .listed(now, std::slice::from_ref(&entry));
+        .set_listed(now, std::slice::from_ref(&entry));
     assert_eq!(fleet.nodes[0].membership.alive().count(), 16);
     let mut actions = Vec::new();
     for step in 0..100 {
--- a/crates/fireflywheel/tests/placement.rs
+++ b/crates/fireflywheel/tests/placement.rs
@@ -18,7 +18,7 @@
     let mut rate = placement::Rate::default();
     arrivals
         .into_iter()
-        .for_each(|second| rate.arrived(at(second)));
+        .for_each(|second| rate.record_arrival(at(second)));
     rate
 }
 
@@ -37,14 +37,14 @@
     let policy = placement::Policy::new(weight);
     let last = *arrivals.last().expect("it was used");
     let replica = replica(1, rate(arrivals.iter().copied()), last);
-    (0..100_000).find(|second| policy.idle_unload(at(last + second), &replica))
+    (0..100_000).find(|second| policy.should_unload_idle(at(last + second), &replica))
 }
 
 #[test]
 fn rate_fades_while_nothing_comes() {
     let rate = rate([0, 10, 20, 30]);
-    assert_eq!(rate.gap(at(31)), Some(10.0));
-    assert_eq!(rate.gap(at(130)), Some(100.0));
+    assert_eq!(rate.mean_gap(at(31)), Some(10.0));
+    assert_eq!(rate.mean_gap(at(130)), Some(100.0));
     assert!(rate.per_second(at(130)) < rate.per_second(at(31)));
     assert_eq!(placement::Rate::default().per_second(at(9)), 0.0);
 }
@@ -79,8 +79,8 @@
     let policy = placement::Policy::new(0.0);
     let mut busy = replica(1, rate([0]), 0);
     busy.idle_since = None;
-    assert!(!policy.idle_unload(at(90_000), &busy));
-    assert!(policy.evict(at(90_000), &[busy]).is_empty());
+    assert!(!policy.should_unload_idle(at(90_000), &busy));
+    assert!(policy.eviction_order(at(90_000), &[busy]).is_empty());
 }
 
 #[test]
@@ -93,7 +93,7 @@
     let mut slow = replica(4, rate([0, 100, 200]), 200);
     slow.load *= 4;
     assert_eq!(
-        policy.evict(at(201), &[often, seldom, large, slow]),
+        policy.eviction_order(at(201), &[often, seldom, large, slow]),
         [3, 2, 4, 1]
     );
 }
@@ -101,7 +101,7 @@
 #[test]
 fn room_is_made_where_least_is_lost() {
     let policy = placement::Policy::new(0.5);
-    let tenancy = |server, free_mb, replicas| placement::Tenancy {
+    let tenancy = |server, free_mb, replicas| placement::ServerReplicas {
         server,
         free_mb,
         replicas,
@@ -126,10 +126,10 @@
         tenancy("s3", 4_000, vec![replica(5, rate([0, 50, 100]), 100)]),
     ];
     let room = policy
-        .make_room(at(101), 15_000, &servers)
+        .plan_eviction(at(101), 15_000, &servers)
         .expect("s2 has it");
     assert_eq!((room.server, room.victims), ("s2", vec![3]));
-    assert_eq!(policy.make_room(at(101), 26_000, &servers), None);
+    assert_eq!(policy.plan_eviction(at(101), 26_000, &servers), None);
 }
 
 #[test]
@@ -162,7 +162,7 @@
 #[test]
 fn cold_items_are_loaded_by_deadline_then_callers() {
     let policy = placement::Policy::new(0.5);
-    let want = |key, deadline, waiting| placement::Want {
+    let want = |key, deadline, waiting| placement::ColdItem {
         key,
         deadline: at(deadline),
         waiting,
@@ -175,5 +175,5 @@
         want(4, 5, 50),
         want(5, 90, 99),
     ];
-    assert_eq!(policy.first(at(0), &wants), [3, 2, 1, 5, 4]);
+    assert_eq!(policy.load_order(at(0), &wants), [3, 2, 1, 5, 4]);
 }
--- a/crates/fireflywheel/tests/policy/fleet.rs
+++ b/crates/fireflywheel/tests/policy/fleet.rs
@@ -270,7 +270,7 @@
             text: text.into(),
         };
         let judged = self.fold(1, by, vec![entry]);
-        assert_eq!(judged[0].1, ledger::Judgement::Accepted, "the document");
+        assert_eq!(judged[0].1, ledger::Decision::Accepted, "the document");
     }
 
     /// This process takes the group in the next epoch.
@@ -284,7 +284,7 @@
             epoch,
         };
         let judged = self.fold(1, self.me.clone(), vec![entry]);
-        assert_eq!(judged[0].1, ledger::Judgement::Accepted, "the claim");
+        assert_eq!(judged[0].1, ledger::Decision::Accepted, "the claim");
         let mut steward = steward::Steward::new(clock::Instant(self.now), group, epoch);
         if let Some(policy) = self.policy {
             steward = steward.with_policy(policy);
@@ -297,16 +297,16 @@
         sequence: u64,
         by: record::Incarnation,
         entries: Vec<record::Entry>,
-    ) -> Vec<(record::Entry, ledger::Judgement)> {
+    ) -> Vec<(record::Entry, ledger::Decision)> {
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id { by, sequence },
             entries,
         };
         let stored = record::Stored {
             offset: self.ledger.next(),
             time_ms: LOG_EPOCH_MS + self.now,
-            body: record.body(),
+            body: record.encode(),
         };
         let folded = self.ledger.fold(&stored).expect("a record of this build");
         folded.map_or_else(Vec::new, |folded| folded.entries)
@@ -395,7 +395,7 @@
             now: clock::Instant(self.now),
             ledger: &self.ledger,
             servers: &self.servers,
-            log: true,
+            log_readable: true,
             gone_after: GONE_AFTER,
         };
         let mut actions = Vec::new();
@@ -405,20 +405,20 @@
     }
 
     fn drive(&mut self) {
-        self.with_steward(steward::Steward::drive);
+        self.with_steward(steward::Steward::step);
     }
 
     fn act(&mut self, epoch: u64, actions: Vec<steward::Action>) {
         let mut entries = Vec::new();
         for action in actions {
             match action {
-                steward::Action::Push(entry) => entries.push(entry),
-                steward::Action::Send {
+                steward::Action::Append(entry) => entries.push(entry),
+                steward::Action::SendOrder {
                     sending,
                     server,
                     command,
                 } => self.at(HOP_MS, Step::Order(epoch, sending, server, command)),
-                steward::Action::Tell { frame, .. } => self.hear(frame),
+                steward::Action::SendFrame { frame, .. } => self.hear(frame),
             }
         }
         if !entries.is_empty() {
@@ -567,8 +567,8 @@
         };
         let from = format_smolstr!("r{router}");
         self.with_steward(|steward, view, actions| {
-            steward.want(view.now, &from, &want);
-            steward.drive(view, actions);
+            steward.handle_want(view.now, &from, &want);
+            steward.step(view, actions);
         });
     }
 
@@ -592,7 +592,7 @@
         let steward = self.steward.as_mut().filter(|_| mine);
         if let Some(steward) = steward {
             for (entry, _) in &judged {
-                steward.judged(now, entry);
+                steward.handle_decision(now, entry);
             }
         }
         self.drive();
@@ -698,7 +698,7 @@
         let from = format_smolstr!("r{router}");
         let now = clock::Instant(self.now);
         if let Some(steward) = &mut self.steward {
-            steward.used(now, &from, &usages);
+            steward.handle_usage(now, &from, &usages);
         }
     }
 
@@ -723,7 +723,7 @@
         }
         if let Some(server) = self.servers.get_mut(&address) {
             server.absent_since = Some(clock::Instant(self.now));
-            server.absent_seen = self.ledger.next();
+            server.absent_offset = self.ledger.next();
         }
         self.at(AWAY_MS, Step::Return(address));
     }
--- a/crates/fireflywheel/tests/routing.rs
+++ b/crates/fireflywheel/tests/routing.rs
@@ -23,7 +23,7 @@
         let start = clock::Instant(0);
         let join = |place: usize| {
             let domain = format_smolstr!("fd{}", place % 4);
-            table.join(start, format_smolstr!("10.0.0.{place}:80"), domain, SLOTS)
+            table.add_server(start, format_smolstr!("10.0.0.{place}:80"), domain, SLOTS)
         };
         let keys = (0..SERVERS).map(join).collect();
         Self {
@@ -49,7 +49,7 @@
             slots: SLOTS,
             at: clock::Instant(self.now.0 - age_ms),
         };
-        self.table.reported(self.keys[place], report);
+        self.table.record_report(self.keys[place], report);
     }
 
     fn choose(&mut self, prefix: Option<u64>) -> Option<usize> {
@@ -60,13 +60,13 @@
 
     fn send(&mut self, prefix: Option<u64>) -> Option<usize> {
         let place = self.choose(prefix)?;
-        self.table.started(self.now, self.keys[place]);
+        self.table.request_started(self.now, self.keys[place]);
         Some(place)
     }
 
     fn fail(&mut self, place: usize) {
-        self.table.started(self.now, self.keys[place]);
-        self.table.ended(self.now, self.keys[place], true);
+        self.table.request_started(self.now, self.keys[place]);
+        self.table.request_ended(self.now, self.keys[place], true);
     }
 }
 
@@ -108,13 +108,13 @@
     let mut router = Router::new(1);
     let key = router.keys[0];
     for _ in 0..4 {
-        router.table.started(router.now, key);
+        router.table.request_started(router.now, key);
     }
     router.now = router.now.after(Duration::from_secs(1));
     let told = router.now;
     router.now = router.now.after(Duration::from_millis(500));
     for _ in 0..3 {
-        router.table.started(router.now, key);
+        router.table.request_started(router.now, key);
     }
     router.report(0, 6, router.now.since(told));
     let server = router.table.get(key).expect("it is known");
@@ -132,11 +132,11 @@
     let busy = [8; SERVERS];
     let with_new = |number| {
         let mut router = Router::new(number).with_reports(busy, Duration::ZERO);
-        router.table.part(router.keys[0]);
+        router.table.remove_server(router.keys[0]);
         let address = SmolStr::new("10.0.9.9:80");
         router.keys[0] = router
             .table
-            .join(router.now, address, SmolStr::new("fd0"), SLOTS);
+            .add_server(router.now, address, SmolStr::new("fd0"), SLOTS);
         router.report(0, 0, Duration::ZERO);
         router
     };
@@ -184,10 +184,10 @@
     let mut router = Router::new(1);
     router.keys.truncate(1);
     for _ in 0..8 {
-        router.table.started(router.now, router.keys[0]);
+        router.table.request_started(router.now, router.keys[0]);
     }
     for _ in 0..8 {
-        router.table.ended(router.now, router.keys[0], true);
+        router.table.request_ended(router.now, router.keys[0], true);
     }
     let mut waits = Vec::new();
     for _ in 0..8 {
@@ -212,7 +212,7 @@
     assert!(router.choose(None).is_some());
     for key in router.keys.clone() {
         for _ in 0..SLOTS {
-            router.table.started(router.now, key);
+            router.table.request_started(router.now, key);
         }
     }
     assert_eq!(router.choose(None), None, "own requests are certain");
@@ -248,25 +248,25 @@
     let home = router.choose(Some(PREFIX)).expect("there is room");
     let other = (home + 1) % SERVERS;
     let key = router.keys[other];
-    router.table.cached(key, 10, PREFIX, true);
+    router.table.record_cache_event(key, 10, PREFIX, true);
     assert_eq!(router.choose(Some(PREFIX)), Some(other));
-    router.table.cached(key, 9, PREFIX, false);
+    router.table.record_cache_event(key, 9, PREFIX, false);
     assert_eq!(
         router.choose(Some(PREFIX)),
         Some(other),
         "a late event is ignored"
     );
-    router.table.cached(key, 12, PREFIX + 1, true);
+    router.table.record_cache_event(key, 12, PREFIX + 1, true);
     assert_eq!(router.choose(Some(PREFIX)), Some(home), "after a gap");
-    router.table.cached(key, 13, PREFIX, true);
-    router.table.cached(key, 14, PREFIX, false);
+    router.table.record_cache_event(key, 13, PREFIX, true);
+    router.table.record_cache_event(key, 14, PREFIX, false);
     assert_eq!(router.choose(Some(PREFIX)), Some(home), "dropped");
-    router.table.cached(key, 15, PREFIX, true);
-    router.table.forget_cache(key);
+    router.table.record_cache_event(key, 15, PREFIX, true);
+    router.table.clear_cache(key);
     assert_eq!(router.choose(Some(PREFIX)), Some(home), "restarted");
-    router.table.cached(key, 1, PREFIX, true);
+    router.table.record_cache_event(key, 1, PREFIX, true);
     for _ in 0..4 {
-        router.table.started(router.now, key);
+        router.table.request_started(router.now, key);
     }
     assert_ne!(router.choose(Some(PREFIX)), Some(other), "too busy");
 }
--- a/crates/fireflywheel/tests/search/actor.rs
+++ b/crates/fireflywheel/tests/search/actor.rs
@@ -107,12 +107,12 @@
         };
         self.read += 1;
         let Some(folded) = folded else { return };
-        self.writer.read(&folded.id);
+        self.writer.record_read(&folded.id);
         for (entry, judgement) in &folded.entries {
             if let (record::Entry::Gone { server, .. }, true) = (entry, folded.id.by == self.by) {
                 self.gone.remove(server);
             }
-            if *judgement == ledger::Judgement::Accepted
+            if *judgement == ledger::Decision::Accepted
                 && let record::Entry::Steward { group, epoch } = entry
             {
                 self.follow(world, group, *epoch, folded.id.by == self.by);
@@ -153,7 +153,7 @@
 
     /// Appends what waits. The append may land, with or without its answer, land later, or be refused.
     pub fn append(&mut self, world: &mut World, u: Source<'_, '_>) -> Result<(), String> {
-        let Some(body) = self.writer.next() else {
+        let Some(body) = self.writer.next_append() else {
             return Ok(());
         };
         let answer = match u.int_in_range(0..=9).unwrap_or(0) {
@@ -171,7 +171,7 @@
                 writer::Answer::Stored(world.head().next() - 1)
             }
         };
-        self.writer.answered(answer);
+        self.writer.handle_answer(answer);
         Ok(())
     }
 
--- a/crates/fireflywheel/tests/search/main.rs
+++ b/crates/fireflywheel/tests/search/main.rs
@@ -83,15 +83,15 @@
     for group in ["a", "b"] {
         actors[0].take_group(&world, group);
     }
-    let mut ticket = Vec::new();
+    let mut attempt_id = Vec::new();
     for (step, weight, factors) in STEPS {
         let factor = *u.choose(factors).unwrap_or(&1);
-        ticket.extend(std::iter::repeat_n(step, (weight * factor) as usize));
+        attempt_id.extend(std::iter::repeat_n(step, (weight * factor) as usize));
     }
     let mut number = 0;
     while !u.is_empty() {
         number += 1;
-        let step = *u.choose(&ticket).unwrap_or(&Step::ReadAll);
+        let step = *u.choose(&attempt_id).unwrap_or(&Step::ReadAll);
         let done = take(step, &mut world, &mut actors, &mut u).and_then(|()| world.check());
         done.map_err(|what| format!("step {number}: {what}"))?;
     }
--- a/crates/fireflywheel/tests/search/world.rs
+++ b/crates/fireflywheel/tests/search/world.rs
@@ -199,7 +199,7 @@
         }
         self.published += 1;
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id {
                 by: record::Incarnation {
                     instance: SmolStr::new("operator/desk"),
@@ -212,7 +212,7 @@
                 text,
             }],
         };
-        self.land(record.body())
+        self.land(record.encode())
     }
 
     /// A record lands in the log.
@@ -231,7 +231,7 @@
         }
         let entries = folded.iter().flat_map(|folded| &folded.entries);
         for (entry, judgement) in entries {
-            if *judgement == ledger::Judgement::Accepted {
+            if *judgement == ledger::Decision::Accepted {
                 after = self.without_rule(&before, after, entry);
             }
         }
--- a/crates/fireflywheel/tests/settings.rs
+++ b/crates/fireflywheel/tests/settings.rs
@@ -114,8 +114,8 @@
     assert_eq!(settings.listen.advertise.unwrap().port(), 9);
     assert_eq!(settings.limits.queue, 7);
     assert_eq!(settings.limits.idle.as_millis(), 20);
-    assert_eq!(settings.timing.dead.as_millis(), 52);
-    assert_eq!(settings.timing.checkpoint.as_secs(), 3);
+    assert_eq!(settings.timing.dead_timeout.as_millis(), 52);
+    assert_eq!(settings.timing.checkpoint_interval.as_secs(), 3);
     assert_eq!(settings.log.format, settings::Format::Json);
     assert_eq!(settings.log.file.unwrap().to_str(), Some("/tmp/x"));
 }
--- a/crates/fireflywheel/tests/slopes.rs
+++ b/crates/fireflywheel/tests/slopes.rs
@@ -76,14 +76,14 @@
         let size = Size::times(factor);
         let ledger = Writer::new(size, incarnation(0)).ledger;
         let bytes = checkpoint_bytes(&ledger);
-        let held = ledger.rights().len() + ledger.claims_len() + size.instances;
+        let held = ledger.rights().len() + ledger.claim_count() + size.instances;
         let own = bytes - ledger.text().len();
         println!(
             "at {factor} times: {bytes} bytes of checkpoint, {} of them the document; {} rights, {} keys, \
              {} incarnations; {} bytes for each of these",
             ledger.text().len(),
             ledger.rights().len(),
-            ledger.claims_len(),
+            ledger.claim_count(),
             size.instances,
             own / held
         );
@@ -180,9 +180,9 @@
         println!(
             "document at {name}: {} bytes of {} allowed",
             text.len(),
-            document::LIMIT
+            document::MAX_BYTES
         );
-        assert!(text.len() < document::LIMIT, "{name}");
+        assert!(text.len() < document::MAX_BYTES, "{name}");
         assert!(document::Document::parse(&text).is_ok(), "{name}");
     }
 }
@@ -198,7 +198,7 @@
     .document()
     .len();
     let each = (size.document().len() - base) as f64 / size.adapters as f64;
-    let most = (document::LIMIT - base) as f64 / each;
+    let most = (document::MAX_BYTES - base) as f64 / each;
     println!("an adapter takes {each:.0} bytes; {most:.0} of them fill a document");
     assert!(most > 9_300.0);
 }
@@ -280,7 +280,7 @@
         let join = |place| {
             let address = Size::times(1).server(place);
             let domain = SmolStr::new_static("fd0");
-            table.join(clock::Instant(0), address, domain, 64)
+            table.add_server(clock::Instant(0), address, domain, 64)
         };
         let keys = (0..SERVERS).map(join).collect();
         (table, keys)
@@ -308,7 +308,7 @@
             ends.pop_first();
             running[place] -= 1;
             let (table, keys) = &mut routers[router];
-            table.ended(now, keys[place], false);
+            table.request_ended(now, keys[place], false);
         }
         if (step * STEP_MS).is_multiple_of(field.report_ms) {
             let at = clock::Instant(now.0 - field.report_ms);
@@ -323,7 +323,7 @@
                 true => chosen(table.choose(now, keys, None, rng.random()), keys),
                 false => (turns[router] + router) % SERVERS,
             };
-            table.started(now, keys[place]);
+            table.request_started(now, keys[place]);
             running[place] += 1;
             let long = if rng.random_bool(0.1) { 8 } else { 1 };
             let slow = if place == 0 { field.slowness } else { 1 };
@@ -348,7 +348,7 @@
             slots: 64,
             at,
         };
-        table.reported(*key, report);
+        table.record_report(*key, report);
     }
 }
 
@@ -509,7 +509,7 @@
         println!(
             "target: {} rights, {} keys, checkpoint {bytes} bytes in {} parts, log {log} bytes",
             writer.ledger.rights().len(),
-            writer.ledger.claims_len(),
+            writer.ledger.claim_count(),
             writer.ledger.checkpoint().len()
         );
         assert!(bytes < CHECKPOINT_LIMIT);
--- a/crates/fireflywheel/tests/stewards.rs
+++ b/crates/fireflywheel/tests/stewards.rs
@@ -356,7 +356,7 @@
         for seat in &world.seats {
             let Some(node) = &seat.node else { continue };
             halfway |= node.version() > 0 && node.version() < version;
-            let ready = node.ready().is_ok();
+            let ready = node.check_ready().is_ok();
             assert!(
                 !ready || node.version() == version,
                 "ready with {}",
--- a/crates/fireflywheel/tests/wire.rs
+++ b/crates/fireflywheel/tests/wire.rs
@@ -62,10 +62,10 @@
             assert_eq!(wire::Frame::decode(&frame.encode()), Ok(frame));
         }
     }
-    let long = vec![0; wire::LIMIT + 1];
+    let long = vec![0; wire::MAX_FRAME_BYTES + 1];
     assert_eq!(
         wire::Frame::decode(&long),
-        Err(wire::Malformed::Long(wire::LIMIT + 1))
+        Err(wire::Malformed::TooLong(wire::MAX_FRAME_BYTES + 1))
     );
 }
 
--- a/crates/fireflywheel/tests/world/engine.rs
+++ b/crates/fireflywheel/tests/world/engine.rs
@@ -16,7 +16,7 @@
     pub boot: u64,
     pub frozen: bool,
     pub leaving: bool,
-    pub kept: Vec<(usize, u64, order::Ticket, order::Command)>,
+    pub kept: Vec<(usize, u64, order::AttemptId, order::Command)>,
     works: BTreeMap<u64, (order::Command, u64)>,
     works_count: u64,
     pub load_ms: u64,
