--- a/crates/fireflywheel/tests/world/mod.rs
+++ b/crates/fireflywheel/tests/world/mod.rs
@@ -37,14 +37,14 @@
     Order {
         node: usize,
         life: u64,
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         server: SmolStr,
         command: order::Command,
     },
     OrderDone {
         node: usize,
         life: u64,
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         server: SmolStr,
         work: u64,
     },
@@ -107,7 +107,7 @@
     pub calls: Vec<Call>,
     pub rng: StdRng,
     /// The list's entries for backend servers.
-    pub listed: BTreeMap<SmolStr, report::Listed>,
+    pub listed: BTreeMap<SmolStr, report::ListEntry>,
     /// Share of order answers that are lost after the effect.
     pub lose_order_answers: f64,
     /// Share of orders that are held up, and for how long at most.
@@ -129,14 +129,14 @@
 pub fn timing() -> node::Timing {
     use std::time::Duration;
     node::Timing {
-        ping: Duration::from_millis(100),
-        suspect: Duration::from_millis(300),
-        dead: Duration::from_millis(300),
+        ping_interval: Duration::from_millis(100),
+        suspect_timeout: Duration::from_millis(300),
+        dead_timeout: Duration::from_millis(300),
         drain_delay: Duration::from_millis(100),
         drain_limit: Duration::from_secs(20),
         gone_after: Duration::from_secs(2),
         checkpoint_records: 200,
-        checkpoint_every: Duration::from_secs(20),
+        checkpoint_interval: Duration::from_secs(20),
     }
 }
 
@@ -197,7 +197,7 @@
         let address = SmolStr::new(address);
         self.engines
             .insert(address.clone(), engine::Engine::new(fenced));
-        let listed = report::Listed {
+        let listed = report::ListEntry {
             name: address.clone(),
             address: address.clone(),
             kind: report::Kind::Backend,
@@ -242,7 +242,7 @@
             address: address(&seat.name),
             failure_domain: SmolStr::new_static("fd1"),
             seeds,
-            queue: 1000,
+            max_queue: 1000,
             timing: self.timing.clone(),
             seed: self.rng.random(),
         };
@@ -321,7 +321,7 @@
             return call;
         };
         let mut out = Vec::new();
-        let admitted = node.arrive(now, arrival, &mut out);
+        let admitted = node.handle_arrival(now, arrival, &mut out);
         seat.open.insert(admitted.key, (call, id));
         self.carry_out(place, out);
         call
@@ -344,7 +344,7 @@
     /// Appends a document as an operator does.
     pub fn publish(&mut self, base: u64, text: &str) -> u64 {
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id {
                 by: record::Incarnation {
                     instance: format_smolstr!("operator/{}", self.count),
@@ -357,7 +357,7 @@
                 text: text.into(),
             }],
         };
-        let offset = self.log.append(self.now, record.body());
+        let offset = self.log.append(self.now, record.encode());
         self.wake_readers();
         offset + 1
     }
@@ -429,7 +429,7 @@
 
     pub fn ready(&self) -> bool {
         let nodes = self.seats.iter().filter_map(|seat| seat.node.as_ref());
-        nodes.into_iter().all(|node| node.ready().is_ok())
+        nodes.into_iter().all(|node| node.check_ready().is_ok())
     }
 
     fn at(&mut self, wait: u64, step: Step) {
@@ -454,17 +454,17 @@
             Step::Order {
                 node,
                 life,
-                ticket,
+                attempt_id,
                 server,
                 command,
-            } => self.order(node, life, ticket, &server, &command),
+            } => self.order(node, life, attempt_id, &server, &command),
             Step::OrderDone {
                 node,
                 life,
-                ticket,
+                attempt_id,
                 server,
                 work,
-            } => self.order_done(node, life, ticket, &server, work),
+            } => self.order_done(node, life, attempt_id, &server, work),
             Step::Served {
                 node,
                 life,
@@ -532,9 +532,9 @@
                 }
             }
             effect::Effect::Send { to, frame } => self.send(place, &to, frame),
-            effect::Effect::Watch(servers) => self.seats[place].watched = servers,
+            effect::Effect::PollReports(servers) => self.seats[place].watched = servers,
             effect::Effect::Order {
-                ticket,
+                attempt_id,
                 server,
                 command,
             } => {
@@ -547,8 +547,8 @@
                 };
                 if late {
                     // Its sender gives up on the answer; the copy arrives all the same.
-                    let event = event::Event::Ordered {
-                        ticket,
+                    let event = event::Event::OrderAnswered {
+                        attempt_id,
                         answer: order::Answer::Lost,
                     };
                     self.at(5 * HOP_MS, Step::Event(place, life, Box::new(event)));
@@ -558,7 +558,7 @@
                     Step::Order {
                         node: place,
                         life,
-                        ticket,
+                        attempt_id,
                         server,
                         command,
                     },
@@ -630,7 +630,7 @@
         if self.log.out || seat.cut_log {
             seat.polling = true;
             self.at(POLL_RETRY_MS, Step::Poll(place, life));
-            return self.deliver(place, life, event::Event::ReadFailed);
+            return self.deliver(place, life, event::Event::LogReadFailed);
         }
         if seat.paused {
             seat.polling = true;
@@ -646,7 +646,7 @@
             seat.polling = true;
             self.at(2 * HOP_MS, Step::Poll(place, life));
         }
-        let event = event::Event::Read {
+        let event = event::Event::LogRead {
             first,
             next,
             records,
@@ -745,17 +745,17 @@
         &mut self,
         node: usize,
         life: u64,
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         server: &SmolStr,
         command: &order::Command,
     ) {
         let slowness = self.store_slowness;
         let Some(engine) = self.engines.get_mut(server) else {
-            return self.answer_order(node, life, ticket, order::Answer::Unsent);
+            return self.answer_order(node, life, attempt_id, order::Answer::Unsent);
         };
         if engine.frozen {
-            engine.kept.push((node, life, ticket, command.clone()));
-            return self.answer_order(node, life, ticket, order::Answer::Lost);
+            engine.kept.push((node, life, attempt_id, command.clone()));
+            return self.answer_order(node, life, attempt_id, order::Answer::Lost);
         }
         if let Some(store) = &mut self.store
             && engine.begins_load(command)
@@ -763,7 +763,7 @@
             engine.load_ms = store.start(self.now, server, &command.item);
         }
         match engine.take(command, slowness) {
-            engine::Taken::Now(answer) => self.answer_order(node, life, ticket, answer),
+            engine::Taken::Now(answer) => self.answer_order(node, life, attempt_id, answer),
             engine::Taken::Work { work, wait_ms } => {
                 self.loads += u64::from(command.kind == order::Kind::Load);
                 let server = server.clone();
@@ -772,7 +772,7 @@
                     Step::OrderDone {
                         node,
                         life,
-                        ticket,
+                        attempt_id,
                         server,
                         work,
                     },
@@ -787,8 +787,8 @@
             return;
         };
         engine.frozen = false;
-        for (node, life, ticket, command) in std::mem::take(&mut engine.kept) {
-            self.order(node, life, ticket, &SmolStr::new(server), &command);
+        for (node, life, attempt_id, command) in std::mem::take(&mut engine.kept) {
+            self.order(node, life, attempt_id, &SmolStr::new(server), &command);
         }
     }
 
@@ -796,16 +796,16 @@
         &mut self,
         node: usize,
         life: u64,
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         server: &SmolStr,
         work: u64,
     ) {
         let Some(engine) = self.engines.get_mut(server) else {
             // Its connection ends with it.
-            return self.answer_order(node, life, ticket, order::Answer::Lost);
+            return self.answer_order(node, life, attempt_id, order::Answer::Lost);
         };
         match engine.finish(work) {
-            engine::Finish::Answer(answer) => self.answer_order(node, life, ticket, answer),
+            engine::Finish::Answer(answer) => self.answer_order(node, life, attempt_id, answer),
             engine::Finish::Later => {
                 let server = server.clone();
                 self.at(
@@ -813,7 +813,7 @@
                     Step::OrderDone {
                         node,
                         life,
-                        ticket,
+                        attempt_id,
                         server,
                         work,
                     },
@@ -826,12 +826,12 @@
         &mut self,
         node: usize,
         life: u64,
-        ticket: order::Ticket,
+        attempt_id: order::AttemptId,
         answer: order::Answer,
     ) {
         let lost = self.rng.random_bool(self.lose_order_answers);
         let answer = if lost { order::Answer::Lost } else { answer };
-        let event = Box::new(event::Event::Ordered { ticket, answer });
+        let event = Box::new(event::Event::OrderAnswered { attempt_id, answer });
         self.at(HOP_MS, Step::Event(node, life, event));
     }
 
@@ -895,7 +895,7 @@
             return;
         }
         if !up {
-            let failure = failure(verdict::Verdict::MayHaveRun, request::Cause::Cut);
+            let failure = failure(verdict::Verdict::MayHaveRun, request::Cause::Disconnected);
             return self.attempted(place, life, request, request::Attempt::Failed(failure));
         }
         let outcome = claim::Outcome::Answered {
@@ -914,7 +914,7 @@
         request: request::Key,
         attempt: request::Attempt,
     ) {
-        let event = Box::new(event::Event::Attempted { request, attempt });
+        let event = Box::new(event::Event::AttemptUpdated { request, attempt });
         self.at(HOP_MS, Step::Event(place, life, event));
     }
 
@@ -924,11 +924,11 @@
             let life = self.seats[place].life;
             for server in self.seats[place].watched.clone() {
                 let event = match self.engines.get(&server) {
-                    Some(engine) if !engine.frozen => event::Event::Reported {
+                    Some(engine) if !engine.frozen => event::Event::ReportReceived {
                         report: engine.report(at_ms),
                         server,
                     },
-                    Some(_) | None => event::Event::Unreported { server },
+                    Some(_) | None => event::Event::ReportFailed { server },
                 };
                 self.at(HOP_MS, Step::Event(place, life, Box::new(event)));
             }
@@ -936,7 +936,7 @@
     }
 
     fn list(&mut self) {
-        let routers = self.seats.iter().map(|seat| report::Listed {
+        let routers = self.seats.iter().map(|seat| report::ListEntry {
             name: seat.name.clone(),
             address: address(&seat.name),
             kind: report::Kind::Router,
@@ -947,7 +947,7 @@
         let entries: Vec<_> = routers.chain(self.listed.values().cloned()).collect();
         for place in 0..self.seats.len() {
             let life = self.seats[place].life;
-            let event = Box::new(event::Event::Listed(entries.clone()));
+            let event = Box::new(event::Event::InstancesListed(entries.clone()));
             self.at(HOP_MS, Step::Event(place, life, event));
         }
     }
@@ -957,7 +957,7 @@
     request::Failure {
         verdict,
         cause,
-        handed_on: 0,
+        events_delivered: 0,
     }
 }
 
--- a/crates/fireflywheel/tests/writer.rs
+++ b/crates/fireflywheel/tests/writer.rs
@@ -38,7 +38,7 @@
 }
 
 fn read(body: &str) -> record::Record {
-    record::Record::read(body).unwrap().unwrap()
+    record::Record::decode(body).unwrap().unwrap()
 }
 
 /// The entries of a text, by their keys, after its sequence.
@@ -58,14 +58,14 @@
 #[test]
 fn what_waits_goes_out_together() {
     let mut writer = with(&["a", "b"]);
-    assert_eq!(told(writer.next()), some(1, &["a", "b"]));
+    assert_eq!(told(writer.next_append()), some(1, &["a", "b"]));
     writer.push(entry("c")).unwrap();
     writer.push(entry("d")).unwrap();
-    assert_eq!(writer.next(), None, "one append at a time");
-    writer.answered(writer::Answer::Stored(0));
-    assert_eq!(told(writer.next()), some(2, &["c", "d"]));
-    writer.answered(writer::Answer::Stored(1));
-    assert_eq!(writer.next(), None);
+    assert_eq!(writer.next_append(), None, "one append at a time");
+    writer.handle_answer(writer::Answer::Stored(0));
+    assert_eq!(told(writer.next_append()), some(2, &["c", "d"]));
+    writer.handle_answer(writer::Answer::Stored(1));
+    assert_eq!(writer.next_append(), None);
 }
 
 /// The log stores a record, and the connection breaks before it can say so. Sent anew under another id, a
@@ -74,29 +74,29 @@
 #[test]
 fn a_lost_append_is_sent_again_under_its_id() {
     let mut writer = with(&["a"]);
-    let first = writer.next();
+    let first = writer.next_append();
     writer.push(entry("b")).unwrap();
-    writer.answered(writer::Answer::Lost);
+    writer.handle_answer(writer::Answer::Lost);
     assert_eq!(writer.in_flight().count(), 1);
-    assert_eq!(writer.next(), first);
-    writer.answered(writer::Answer::Refused);
-    assert_eq!(writer.next(), first, "the first copy may still land");
-    writer.answered(writer::Answer::Stored(4));
-    assert_eq!(told(writer.next()), some(2, &["b"]));
+    assert_eq!(writer.next_append(), first);
+    writer.handle_answer(writer::Answer::Refused);
+    assert_eq!(writer.next_append(), first, "the first copy may still land");
+    writer.handle_answer(writer::Answer::Stored(4));
+    assert_eq!(told(writer.next_append()), some(2, &["b"]));
 }
 
 /// The lost append turns up in the log. Nothing needs to be sent again, and what waited goes out next.
 #[test]
 fn reading_back_ends_a_lost_append() {
     let mut writer = with(&["a"]);
-    writer.next();
+    writer.next_append();
     writer.push(entry("b")).unwrap();
-    writer.answered(writer::Answer::Lost);
-    writer.read(&id(2));
+    writer.handle_answer(writer::Answer::Lost);
+    writer.record_read(&id(2));
     assert_eq!(writer.in_flight().count(), 1, "another record says nothing");
-    writer.read(&id(1));
+    writer.record_read(&id(1));
     assert_eq!(writer.in_flight().count(), 0);
-    assert_eq!(told(writer.next()), some(2, &["b"]));
+    assert_eq!(told(writer.next_append()), some(2, &["b"]));
 }
 
 /// The log's answer is slower than its reader. The record was read back already when the answer is lost, so
@@ -105,13 +105,13 @@
 fn a_record_read_back_before_its_answer_is_not_sent_again() {
     for answer in [writer::Answer::Lost, writer::Answer::Refused] {
         let mut writer = with(&["a"]);
-        writer.next();
-        writer.read(&id(1));
-        assert_eq!(writer.next(), None, "its answer is still due");
-        writer.answered(answer);
-        assert_eq!(writer.next(), None);
+        writer.next_append();
+        writer.record_read(&id(1));
+        assert_eq!(writer.next_append(), None, "its answer is still due");
+        writer.handle_answer(answer);
+        assert_eq!(writer.next_append(), None);
         writer.push(entry("b")).unwrap();
-        assert_eq!(told(writer.next()), some(2, &["b"]));
+        assert_eq!(told(writer.next_append()), some(2, &["b"]));
     }
 }
 
@@ -121,13 +121,13 @@
 #[test]
 fn a_refused_append_is_batched_anew() {
     let mut writer = with(&["a", "late"]);
-    writer.next();
+    writer.next_append();
     writer.push(entry("b")).unwrap();
     assert_eq!(writer.retain(|_| true).len(), 0);
-    writer.answered(writer::Answer::Refused);
+    writer.handle_answer(writer::Answer::Refused);
     let dropped = writer.retain(|waiting| *waiting != entry("late"));
     assert_eq!(dropped, [entry("late")]);
-    assert_eq!(told(writer.next()), some(1, &["a", "b"]));
+    assert_eq!(told(writer.next_append()), some(1, &["a", "b"]));
 }
 
 /// An append was lost, and its entry has become void meanwhile. It may be in the log all the same, so it
@@ -135,10 +135,10 @@
 #[test]
 fn what_may_be_in_the_log_is_not_taken_back() {
     let mut writer = with(&["a"]);
-    writer.next();
-    writer.answered(writer::Answer::Lost);
+    writer.next_append();
+    writer.handle_answer(writer::Answer::Lost);
     assert_eq!(writer.retain(|_| false), []);
-    assert_eq!(told(writer.next()), some(1, &["a"]));
+    assert_eq!(told(writer.next_append()), some(1, &["a"]));
 }
 
 /// The log is down for an hour and callers go on. Entries that wait must not fill the memory, so whoever
@@ -155,12 +155,12 @@
         }
     };
     assert_eq!(refusal, writer::Refusal::Full);
-    assert_eq!(taken, writer::WAITING_LIMIT / (100_000 + 80));
+    assert_eq!(taken, writer::MAX_WAITING_BYTES / (100_000 + 80));
     let mut sent = 0;
-    while let Some(body) = writer.next() {
-        assert!(body.len() < writer::BATCH_LIMIT + 1000);
+    while let Some(body) = writer.next_append() {
+        assert!(body.len() < writer::MAX_BATCH_BYTES + 1000);
         sent += read(&body).entries.len();
-        writer.answered(writer::Answer::Stored(0));
+        writer.handle_answer(writer::Answer::Stored(0));
     }
     assert_eq!(sent, taken);
     writer.push(entry(&text)).unwrap();
@@ -170,11 +170,11 @@
 fn an_entry_that_no_append_can_hold_is_refused() {
     let mut writer = writer::Writer::new(me());
     let refusal = writer.push(entry(&"x".repeat(2 << 20))).unwrap_err();
-    assert!(matches!(refusal, writer::Refusal::Long(bytes) if bytes > 2 << 20));
+    assert!(matches!(refusal, writer::Refusal::TooLong(bytes) if bytes > 2 << 20));
     writer.push(entry(&"x".repeat(600 << 10))).unwrap();
     writer.push(entry("small")).unwrap();
     assert_eq!(
-        read(&writer.next().unwrap()).entries.len(),
+        read(&writer.next_append().unwrap()).entries.len(),
         1,
         "it goes alone"
     );
--- a/crates/fireflywheel_cli/src/file.rs
+++ b/crates/fireflywheel_cli/src/file.rs
@@ -41,13 +41,13 @@
     pub fn read(path: &Path) -> anyhow::Result<Self> {
         let name = path.display();
         // One byte more than a document may have is enough for the parser to refuse it.
-        let limit = u64::try_from(document::LIMIT).unwrap_or(u64::MAX) + 1;
+        let limit = u64::try_from(document::MAX_BYTES).unwrap_or(u64::MAX) + 1;
         let mut bytes = Vec::new();
         let file = fs::File::open(path).with_context(|| format!("open {name}"))?;
         file.take(limit)
             .read_to_end(&mut bytes)
             .with_context(|| format!("read {name}"))?;
-        if bytes.len() > document::LIMIT {
+        if bytes.len() > document::MAX_BYTES {
             // The cut may have split a character.
             bytes.fill(b'#');
         }
--- a/crates/fireflywheel_cli/src/publish/attempt.rs
+++ b/crates/fireflywheel_cli/src/publish/attempt.rs
@@ -6,7 +6,7 @@
 use fireflywheel_daemon::platform;
 use tokio::time;
 
-use super::{Obstacle, Outcome, Publication, RECORD_LIMIT, reader};
+use super::{MAX_RECORD_BYTES, Obstacle, Outcome, Publication, reader};
 
 /// How long an append may take until the log is read instead.
 const APPEND_WAIT: Duration = Duration::from_secs(5);
@@ -50,7 +50,7 @@
         return refused;
     }
     let body = record(publication, base);
-    if body.len() > RECORD_LIMIT {
+    if body.len() > MAX_RECORD_BYTES {
         return Outcome::Unsent(Obstacle::Length(body.len()));
     }
     let attempt = Attempt {
@@ -66,7 +66,7 @@
 
 fn record(publication: &Publication, base: u64) -> String {
     let record = record::Record {
-        rule: record::RULE,
+        rule: record::RULES_VERSION,
         id: publication.id.clone(),
         entries: vec![record::Entry::Publish {
             base,
@@ -169,12 +169,12 @@
             .find(|folded| folded.id == self.publication.id)?;
         let (_, judgement) = own.entries.first()?;
         Some(match judgement {
-            ledger::Judgement::Accepted => Outcome::Accepted {
+            ledger::Decision::Accepted => Outcome::Accepted {
                 version: own.offset + 1,
             },
-            ledger::Judgement::Void(ledger::Reason::Document) => Outcome::Faulty,
-            ledger::Judgement::Void(_) if self.may_have_missed() => return None,
-            ledger::Judgement::Void(_) => self.refused(),
+            ledger::Decision::Rejected(ledger::Reason::Document) => Outcome::Faulty,
+            ledger::Decision::Rejected(_) if self.may_have_missed() => return None,
+            ledger::Decision::Rejected(_) => self.refused(),
         })
     }
 
--- a/crates/fireflywheel_cli/src/publish/mod.rs
+++ b/crates/fireflywheel_cli/src/publish/mod.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use fireflywheel::{fault, record, start};
+use fireflywheel::{bootstrap, fault, record};
 use fireflywheel_daemon::{client, platform};
 use serde::Serialize;
 use smol_str::SmolStr;
@@ -24,7 +24,7 @@
 pub use self::attempt::publish;
 
 /// The largest record that the log takes, in bytes.
-pub const RECORD_LIMIT: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// What to publish, and where.
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
     /// The log gave no answer in time, or refused every append.
     Silence,
     /// The log's records don't add up to a state yet.
-    Start(start::Waiting),
+    Start(bootstrap::Waiting),
     /// The log holds records of a newer rule than this build knows.
     Rule(u32),
     /// The document becomes too long for a record, in bytes.
@@ -279,7 +279,7 @@
             ),
             Self::Length(length) => write!(
                 f,
-                "its record would have {length} bytes, the log takes {RECORD_LIMIT}"
+                "its record would have {length} bytes, the log takes {MAX_RECORD_BYTES}"
             ),
         }
     }
--- a/crates/fireflywheel_cli/src/publish/reader.rs
+++ b/crates/fireflywheel_cli/src/publish/reader.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflywheel::{ledger, start};
+use fireflywheel::{bootstrap, ledger};
 use fireflywheel_daemon::platform;
 use tokio::time;
 
@@ -24,7 +24,7 @@
 /// Reads and folds a log.
 pub struct Reader<'a, L> {
     log: &'a L,
-    start: start::Start,
+    start: bootstrap::Bootstrap,
     ledger: Option<ledger::Ledger>,
     /// The next offset to read while there is no ledger.
     from: u64,
@@ -51,7 +51,7 @@
     pub fn new(log: &'a L) -> Self {
         Self {
             log,
-            start: start::Start::new(),
+            start: bootstrap::Bootstrap::new(),
             ledger: None,
             from: 0,
             max: PAGE,
@@ -121,7 +121,7 @@
 
     fn obstacle(&self) -> Obstacle {
         match (&self.ledger, self.start.waiting()) {
-            (Some(_), _) | (None, start::Waiting::Silence) => Obstacle::Silence,
+            (Some(_), _) | (None, bootstrap::Waiting::NoResponse) => Obstacle::Silence,
             (None, waiting) => Obstacle::Start(waiting),
         }
     }
@@ -130,8 +130,8 @@
     fn begin(&mut self, page: platform::log::Page) -> Result<(), Obstacle> {
         let last = page.records.last().map(|stored| stored.offset + 1);
         self.from = self.from.max(page.first).max(last.unwrap_or(0));
-        self.start.read(page.first, page.next, page.records);
-        self.ledger = self.start.ledger().map_err(halted)?;
+        self.start.add_records(page.first, page.next, page.records);
+        self.ledger = self.start.build_ledger().map_err(halted)?;
         Ok(())
     }
 
@@ -144,7 +144,7 @@
         let mut step = Step::default();
         if page.first > ledger.next() {
             self.dropped = true;
-            self.start = start::Start::above(ledger.next());
+            self.start = bootstrap::Bootstrap::resume_from(ledger.next());
             self.from = page.first;
             return Ok(step);
         }
@@ -157,9 +157,9 @@
     }
 }
 
-fn halted(halt: ledger::Halt) -> Obstacle {
+fn halted(halt: ledger::FoldError) -> Obstacle {
     match halt {
-        ledger::Halt::Rule(rule) => Obstacle::Rule(rule),
-        ledger::Halt::Gap { .. } => Obstacle::Silence,
+        ledger::FoldError::UnsupportedRules(rule) => Obstacle::Rule(rule),
+        ledger::FoldError::Gap { .. } => Obstacle::Silence,
     }
 }
--- a/crates/fireflywheel_cli/tests/commands.rs
+++ b/crates/fireflywheel_cli/tests/commands.rs
@@ -29,15 +29,15 @@
 
 /// A daemon's door for operators that knows one answer to each call.
 struct Daemon {
-    desk: fault::Desk,
+    injector: fault::Injector,
     status: &'static str,
 }
 
 impl http::Handler for Daemon {
     type Counts = ();
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) {}
@@ -58,8 +58,8 @@
         .await
         .expect("a port is free");
     let base = format!("http://{}", listener.local_addr().expect("it is bound"));
-    let desk = fault::Desk::new(fault::Switches::default());
-    tokio::spawn(http::serve(listener, Daemon { desk, status }));
+    let injector = fault::Injector::new(fault::Switches::default());
+    tokio::spawn(http::serve(listener, Daemon { injector, status }));
     base
 }
 
--- a/crates/fireflywheel_cli/tests/outcome.rs
+++ b/crates/fireflywheel_cli/tests/outcome.rs
@@ -84,7 +84,7 @@
         self.records.clear();
         let entries = ledger.checkpoint().into_iter();
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: id("a1"),
             entries: entries.map(record::Entry::Checkpoint).collect(),
         };
@@ -183,7 +183,7 @@
 
 fn publication(instance: &str, base: u64, text: &str) -> String {
     let record = record::Record {
-        rule: record::RULE,
+        rule: record::RULES_VERSION,
         id: id(instance),
         entries: vec![record::Entry::Publish {
             base,
@@ -372,8 +372,8 @@
 async fn nothing_is_sent_past_a_newer_rule() {
     let log = Script::new(&[]);
     let body = publication("operator/rival", 0, OTHER);
-    let rule = record::RULE + 1;
-    let old = format!("\"rule\":{}", record::RULE);
+    let rule = record::RULES_VERSION + 1;
+    let old = format!("\"rule\":{}", record::RULES_VERSION);
     log.state()
         .store(body.replacen(&old, &format!("\"rule\":{rule}"), 1));
     let outcome = run(&log, None, PATIENCE).await;
@@ -402,6 +402,6 @@
     let Outcome::Unsent(Obstacle::Length(length)) = outcome else {
         panic!("{outcome:?}");
     };
-    assert!(length > publish::RECORD_LIMIT);
+    assert!(length > publish::MAX_RECORD_BYTES);
     assert_eq!(log.state().appends.len(), 0);
 }
--- a/crates/fireflywheel_daemon/src/backend/mod.rs
+++ b/crates/fireflywheel_daemon/src/backend/mod.rs
@@ -22,7 +22,7 @@
 use crate::{client, errors};
 
 /// The largest whole answer taken, in bytes.
-pub const ANSWER_LIMIT: usize = 4 << 20;
+pub const MAX_ANSWER_BYTES: usize = 4 << 20;
 /// How long a cancellation may take.
 const CANCEL_WAIT: Duration = Duration::from_secs(2);
 /// The largest answer to a cancellation, in bytes.
@@ -51,7 +51,7 @@
 
 /// A request as it goes to a backend server.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The request id.
     pub id: SmolStr,
     /// The method.
@@ -77,7 +77,7 @@
 
 /// An attempt without a whole answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Fault {
+pub struct Failure {
     /// Whether the request may have run.
     pub verdict: verdict::Verdict,
     /// What went wrong.
@@ -86,16 +86,16 @@
 
 /// An answer that began.
 #[derive(Debug)]
-pub enum Answering {
+pub enum Answer {
     /// It is whole, and was checked.
-    Whole(Whole),
+    Full(FullAnswer),
     /// A stream, to be checked as it comes.
     Stream(Stream),
 }
 
 /// A whole, checked answer.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct FullAnswer {
     /// The status.
     pub status: StatusCode,
     /// Headers that may be handed on.
@@ -104,7 +104,7 @@
     pub body: Bytes,
 }
 
-impl Fault {
+impl Failure {
     /// A fault after which the request may have run.
     #[must_use]
     pub fn may_have_run(cause: request::Cause) -> Self {
@@ -125,38 +125,38 @@
 
     /// The same for the node, which also wants to know how much of a stream went to the caller.
     #[must_use]
-    pub fn with_handed_on(self, handed_on: u64) -> request::Failure {
+    pub fn with_events_delivered(self, events_delivered: u64) -> request::Failure {
         request::Failure {
             verdict: self.verdict,
             cause: self.cause,
-            handed_on,
+            events_delivered,
         }
     }
 }
 
-impl From<client::Fault> for Fault {
+impl From<client::Fault> for Failure {
     fn from(fault: client::Fault) -> Self {
         match fault {
             client::Fault::Unsent => Self::not_run(request::Cause::Connect),
-            client::Fault::Lost => Self::may_have_run(request::Cause::Cut),
+            client::Fault::Lost => Self::may_have_run(request::Cause::Disconnected),
         }
     }
 }
 
-impl From<answer::Flaw> for Fault {
+impl From<answer::Flaw> for Failure {
     fn from(flaw: answer::Flaw) -> Self {
         match flaw {
-            answer::Flaw::Short => Self::may_have_run(request::Cause::Cut),
-            _ => Self::may_have_run(request::Cause::Flawed),
+            answer::Flaw::Truncated => Self::may_have_run(request::Cause::Disconnected),
+            _ => Self::may_have_run(request::Cause::AnswerFlawed),
         }
     }
 }
 
-impl Whole {
+impl FullAnswer {
     /// What a repeat of the request is to get.
     #[must_use]
     pub fn outcome(&self) -> claim::Outcome {
-        let kept = (self.body.len() <= claim::BODY_LIMIT)
+        let kept = (self.body.len() <= claim::MAX_BODY_BYTES)
             .then(|| String::from_utf8(self.body.to_vec()).ok())
             .flatten();
         claim::Outcome::Answered {
@@ -167,34 +167,34 @@
     }
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Sends it once to `server`; with `resume` asks to go on after so many events of the stream.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when there is no whole answer.
+    /// [`Failure`] when there is no whole answer.
     pub async fn send(
         &self,
         client: &client::Client,
         server: &str,
         resume: Option<u64>,
-    ) -> Result<Answering, Fault> {
+    ) -> Result<Answer, Failure> {
         let request = self
             .request(server, resume)
-            .ok_or(Fault::not_run(request::Cause::Connect))?;
+            .ok_or(Failure::not_run(request::Cause::Connect))?;
         let answer = client.send(request).await?;
         self.own_header(answer.headers())?;
         if answer.status().is_client_error() || answer.status().is_server_error() {
-            return self.refused(answer).await.map(Answering::Whole);
+            return self.refused(answer).await.map(Answer::Full);
         }
         if self.kind == Kind::Engine && content_type(answer.headers()).starts_with(EVENT_STREAM) {
-            return Ok(Answering::Stream(Stream::new(answer, &self.id, resume)));
+            return Ok(Answer::Stream(Stream::new(answer, &self.id, resume)));
         }
         let whole = match self.kind {
             Kind::Engine => self.engine_answer(answer).await,
             Kind::Service => self.service_answer(answer).await,
         };
-        whole.map(Answering::Whole)
+        whole.map(Answer::Full)
     }
 
     /// Tells an engine to end the request's stream. Whether it heard is not known.
@@ -229,44 +229,46 @@
     }
 
     // A refusal that belongs to another request says nothing about this one.
-    fn own_header(&self, headers: &HeaderMap) -> Result<(), Fault> {
+    fn own_header(&self, headers: &HeaderMap) -> Result<(), Failure> {
         match headers.get(errors::REQUEST_ID) {
-            Some(id) if id.as_bytes() != self.id.as_bytes() => Err(answer::Flaw::Crossed.into()),
+            Some(id) if id.as_bytes() != self.id.as_bytes() => {
+                Err(answer::Flaw::WrongRequest.into())
+            }
             _ => Ok(()),
         }
     }
 
-    async fn refused(&self, answer: Response<Incoming>) -> Result<Whole, Fault> {
+    async fn refused(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let status = answer.status();
-        let read = client::collect(answer, ANSWER_LIMIT).await;
+        let read = client::collect(answer, MAX_ANSWER_BYTES).await;
         let code = read
             .as_ref()
             .ok()
             .and_then(|answer| client::error_code(&answer.body));
         if let Some(cause) = not_run_cause(status, code.as_deref()) {
-            return Err(Fault::not_run(cause));
+            return Err(Failure::not_run(cause));
         }
         if status.is_server_error() {
-            return Err(Fault::may_have_run(request::Cause::Backend));
+            return Err(Failure::may_have_run(request::Cause::BackendFailed));
         }
         let answer = read?;
-        Ok(Whole {
+        Ok(FullAnswer {
             status,
             headers: passed_on(&answer.headers),
             body: answer.body,
         })
     }
 
-    async fn engine_answer(&self, answer: Response<Incoming>) -> Result<Whole, Fault> {
+    async fn engine_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let (head, mut body) = answer.into_parts();
-        let mut check = answer::Body::new(self.id.clone(), ANSWER_LIMIT);
+        let mut check = answer::BodyChecker::new(self.id.clone(), MAX_ANSWER_BYTES);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| Fault::from(client::Fault::Lost))?;
+            let frame = frame.map_err(|_| Failure::from(client::Fault::Lost))?;
             if let Ok(bytes) = frame.into_data() {
                 check.push(&bytes)?;
             }
         }
-        Ok(Whole {
+        Ok(FullAnswer {
             status: head.status,
             headers: passed_on(&head.headers),
             body: check.end()?.into(),
@@ -275,7 +277,7 @@
 
     // The bodies of plain services are their own, so the header must name the request, and the length must be
     // announced: a body that lasts until the connection ends would look whole where it was cut.
-    async fn service_answer(&self, answer: Response<Incoming>) -> Result<Whole, Fault> {
+    async fn service_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let headers = answer.headers();
         let is_named = headers.contains_key(errors::REQUEST_ID);
         let is_bounded = headers.contains_key(CONTENT_LENGTH)
@@ -288,8 +290,8 @@
         if !is_named || !is_bounded {
             return Err(answer::Flaw::Malformed.into());
         }
-        let answer = client::collect(answer, ANSWER_LIMIT).await?;
-        Ok(Whole {
+        let answer = client::collect(answer, MAX_ANSWER_BYTES).await?;
+        Ok(FullAnswer {
             status: answer.status,
             headers: passed_on(&answer.headers),
             body: answer.body,
--- a/crates/fireflywheel_daemon/src/backend/stream.rs
+++ b/crates/fireflywheel_daemon/src/backend/stream.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Response};
 use tokio::time;
 
-use super::{Fault, passed_on};
+use super::{Failure, passed_on};
 use crate::client;
 
 /// How long a stream may take to end after its end marker.
@@ -21,7 +21,7 @@
 pub struct Stream {
     headers: HeaderMap,
     body: Incoming,
-    check: answer::Check,
+    check: answer::StreamChecker,
     ready: VecDeque<answer::Event>,
 }
 
@@ -32,7 +32,7 @@
         Self {
             headers: passed_on(&head.headers),
             body,
-            check: answer::Check::new(id).with_resume(resume.unwrap_or_default()),
+            check: answer::StreamChecker::new(id).with_resume(resume.unwrap_or_default()),
             ready: VecDeque::new(),
         }
     }
@@ -47,8 +47,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the stream broke off or isn't the request's own.
-    pub async fn next(&mut self) -> Result<answer::Event, Fault> {
+    /// [`Failure`] when the stream broke off or isn't the request's own.
+    pub async fn next(&mut self) -> Result<answer::Event, Failure> {
         loop {
             if let Some(event) = self.ready.pop_front() {
                 return Ok(event);
@@ -66,14 +66,14 @@
         }));
     }
 
-    async fn read(&mut self) -> Result<Bytes, Fault> {
+    async fn read(&mut self) -> Result<Bytes, Failure> {
         match self.body.frame().await {
             Some(Ok(frame)) => Ok(frame.into_data().unwrap_or_default()),
             Some(Err(_)) => Err(client::Fault::Lost.into()),
             None => {
                 // Ended without its marker, or the marker would have been returned before.
                 self.check.end()?;
-                Err(answer::Flaw::Short.into())
+                Err(answer::Flaw::Truncated.into())
             }
         }
     }
@@ -84,7 +84,7 @@
 pub fn encode(event: &answer::Event) -> Bytes {
     let data = match event {
         answer::Event::Chunk(data) => data.as_str(),
-        answer::Event::End => answer::END,
+        answer::Event::End => answer::END_MARKER,
     };
     // Data with line ends takes one field a line.
     format!("data: {}\n\n", data.replace('\n', "\ndata: ")).into()
--- a/crates/fireflywheel_daemon/src/callers/delivery.rs
+++ b/crates/fireflywheel_daemon/src/callers/delivery.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) enum Handed {
     /// A whole answer, not handed on yet.
-    Whole(backend::Whole),
+    Whole(backend::FullAnswer),
     /// A stream, handed on to its end marker.
     Streamed,
 }
@@ -39,14 +39,14 @@
 pub(super) struct Delivery {
     pub(super) core: Arc<core::Core>,
     pub(super) client: client::Client,
-    pub(super) outgoing: backend::Outgoing,
+    pub(super) outgoing: backend::OutgoingRequest,
     pub(super) limits: settings::Limits,
     pub(super) labels: metrics::Labels,
     pub(super) arrived: clock::Instant,
     pub(super) key: request::Key,
     pub(super) reply: Reply,
     /// Events that went to the caller, over all attempts.
-    pub(super) handed_on: u64,
+    pub(super) events_delivered: u64,
     pub(super) stream: Option<metrics::StreamGuard>,
 }
 
@@ -57,16 +57,16 @@
         &mut self,
         server: &SmolStr,
         resume: Option<u64>,
-    ) -> Result<Handed, backend::Fault> {
+    ) -> Result<Handed, backend::Failure> {
         self.check_open(resume)?;
         let answering = self.outgoing.send(&self.client, server, resume).await?;
         match answering {
             // Only a stream can go on where a stream began; an engine that has lost it says so in one piece.
-            backend::Answering::Whole(_) if matches!(self.reply, Reply::Streaming(_)) => {
-                Err(backend::Fault::may_have_run(request::Cause::Cut))
+            backend::Answer::Full(_) if matches!(self.reply, Reply::Streaming(_)) => {
+                Err(backend::Failure::may_have_run(request::Cause::Disconnected))
             }
-            backend::Answering::Whole(whole) => Ok(Handed::Whole(whole)),
-            backend::Answering::Stream(stream) => {
+            backend::Answer::Full(whole) => Ok(Handed::Whole(whole)),
+            backend::Answer::Stream(stream) => {
                 self.hand_on(stream).await?;
                 Ok(Handed::Streamed)
             }
@@ -74,13 +74,13 @@
     }
 
     // A second beginning after the first events went out would give the caller a doubled answer.
-    fn check_open(&self, resume: Option<u64>) -> Result<(), backend::Fault> {
+    fn check_open(&self, resume: Option<u64>) -> Result<(), backend::Failure> {
         match (&self.reply, resume) {
             (Reply::Pending(_), _) | (Reply::Streaming(_), Some(_)) => Ok(()),
             (Reply::Streaming(_), None) => {
-                Err(backend::Fault::may_have_run(request::Cause::Flawed))
+                Err(backend::Failure::may_have_run(request::Cause::AnswerFlawed))
             }
-            (Reply::Closed, _) => Err(backend::Fault::may_have_run(request::Cause::Caller)),
+            (Reply::Closed, _) => Err(backend::Failure::may_have_run(request::Cause::CallerGone)),
         }
     }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    async fn hand_on(&mut self, mut stream: backend::Stream) -> Result<(), backend::Fault> {
+    async fn hand_on(&mut self, mut stream: backend::Stream) -> Result<(), backend::Failure> {
         loop {
             let event = stream.next().await?;
             if matches!(self.reply, Reply::Pending(_)) {
@@ -122,13 +122,13 @@
                 stream.release();
                 return Ok(());
             }
-            self.handed_on += 1;
+            self.events_delivered += 1;
         }
     }
 
     /// Sends the head of the answer, now that its first event was checked.
     fn begin(&mut self, headers: &HeaderMap) {
-        self.core.step(event::Event::Attempted {
+        self.core.step(event::Event::AttemptUpdated {
             request: self.key,
             attempt: request::Attempt::Began,
         });
@@ -147,9 +147,9 @@
         }
     }
 
-    async fn pass(&mut self, event: &answer::Event) -> Result<(), backend::Fault> {
+    async fn pass(&mut self, event: &answer::Event) -> Result<(), backend::Failure> {
         let Reply::Streaming(sender) = &self.reply else {
-            return Err(backend::Fault::may_have_run(request::Cause::Caller));
+            return Err(backend::Failure::may_have_run(request::Cause::CallerGone));
         };
         let bytes = backend::encode(event);
         // A caller that doesn't read would hold the engine's stream and its place in the batch.
@@ -160,6 +160,6 @@
         if let Reply::Streaming(sender) = std::mem::replace(&mut self.reply, Reply::Closed) {
             sender.cut();
         }
-        Err(backend::Fault::may_have_run(request::Cause::Caller))
+        Err(backend::Failure::may_have_run(request::Cause::CallerGone))
     }
 }
--- a/crates/fireflywheel_daemon/src/callers/ending.rs
+++ b/crates/fireflywheel_daemon/src/callers/ending.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) enum Ending {
     /// A whole answer.
-    Whole(backend::Whole),
+    Whole(backend::FullAnswer),
     /// A stream that the caller has got to its end marker.
     Streamed,
     /// Not served.
@@ -63,7 +63,7 @@
     }
 }
 
-fn hand_on(whole: backend::Whole) -> Response<door::Body> {
+fn hand_on(whole: backend::FullAnswer) -> Response<door::Body> {
     let mut answer = Response::new(door::Body::whole(whole.body));
     *answer.status_mut() = whole.status;
     *answer.headers_mut() = whole.headers;
@@ -89,7 +89,7 @@
         }
         claim::Outcome::Failed(verdict) => ran_before(
             StatusCode::BAD_GATEWAY,
-            request::Code::Backend.as_str(),
+            request::Code::BackendFailed.as_str(),
             verdict,
         ),
     }
--- a/crates/fireflywheel_daemon/src/callers/exchange.rs
+++ b/crates/fireflywheel_daemon/src/callers/exchange.rs
@@ -39,12 +39,12 @@
     core: Arc<core::Core>,
     client: client::Client,
     limits: settings::Limits,
-    outgoing: backend::Outgoing,
+    outgoing: backend::OutgoingRequest,
     labels: metrics::Labels,
     arrived: clock::Instant,
     is_cold: bool,
     admitted: request::Admitted,
-    turns: mpsc::UnboundedReceiver<core::Turn>,
+    instructions: mpsc::UnboundedReceiver<core::Instruction>,
     progress: Progress,
 }
 
@@ -61,13 +61,13 @@
 /// How an attempt ended.
 enum Step {
     /// With a whole answer, which the caller is to get now.
-    Whole(backend::Whole),
+    Whole(backend::FullAnswer),
     /// With the end of the stream, which the caller has got.
     Streamed,
     /// Without a whole answer.
-    Failed(backend::Fault),
+    Failed(backend::Failure),
     /// The node spoke first.
-    Turn(core::Turn),
+    Instruction(core::Instruction),
     /// The caller went first.
     Gone,
 }
@@ -78,11 +78,11 @@
         core: Arc<core::Core>,
         client: client::Client,
         arrival: request::Arrival,
-        outgoing: backend::Outgoing,
+        outgoing: backend::OutgoingRequest,
         limits: settings::Limits,
     ) -> Self {
         let arrived = core.clock().now();
-        let admission = core.arrive(arrival);
+        let admission = core.admit(arrival);
         Self {
             core,
             client,
@@ -92,7 +92,7 @@
             arrived,
             is_cold: admission.is_cold,
             admitted: admission.admitted,
-            turns: admission.turns,
+            instructions: admission.instructions,
             progress: Progress {
                 attempts: 0,
                 verdict: verdict::Verdict::NotRun,
@@ -113,11 +113,11 @@
             arrived: self.arrived,
             key: self.admitted.key,
             reply: Reply::Pending(caller.answer),
-            handed_on: 0,
+            events_delivered: 0,
             stream: None,
         };
         let ending = self.follow(&mut delivery, &mut gone).await;
-        self.core.forget(self.admitted.key);
+        self.core.remove_request(self.admitted.key);
         if !ending.is_answer() {
             self.cancel();
         }
@@ -132,39 +132,44 @@
     ) -> Ending {
         let mut next = None;
         loop {
-            let turn = match next.take() {
-                Some(turn) => turn,
+            let instruction = match next.take() {
+                Some(instruction) => instruction,
                 None => match self.wait(gone).await {
-                    Ok(turn) => turn,
+                    Ok(instruction) => instruction,
                     Err(ending) => return ending,
                 },
             };
-            let step = match turn {
-                core::Turn::Dispatch(server) => self.attempt(delivery, gone, server, None).await,
-                core::Turn::Resume(server) => {
-                    let from = delivery.handed_on;
+            let step = match instruction {
+                core::Instruction::Dispatch(server) => {
+                    self.attempt(delivery, gone, server, None).await
+                }
+                core::Instruction::Resume(server) => {
+                    let from = delivery.events_delivered;
                     self.attempt(delivery, gone, server, Some(from)).await
                 }
-                core::Turn::Refuse(refusal) => {
+                core::Instruction::Refuse(refusal) => {
                     return Ending::refused(refusal, self.progress.verdict);
                 }
-                core::Turn::Replay(outcome) => return Ending::Replayed(outcome),
+                core::Instruction::Replay(outcome) => return Ending::Replayed(outcome),
             };
             match step {
                 Step::Whole(whole) => return Ending::Whole(whole),
                 Step::Streamed => return Ending::Streamed,
                 Step::Failed(_) => {}
-                Step::Turn(turn) => next = Some(turn),
+                Step::Instruction(instruction) => next = Some(instruction),
                 Step::Gone => return self.abandon(),
             }
         }
     }
 
     /// Waits for the node's word.
-    async fn wait(&mut self, gone: &mut oneshot::Receiver<()>) -> Result<core::Turn, Ending> {
+    async fn wait(
+        &mut self,
+        gone: &mut oneshot::Receiver<()>,
+    ) -> Result<core::Instruction, Ending> {
         let left = self.core.clock().until(self.admitted.deadline);
         tokio::select! {
-            turn = self.turns.recv() => turn.ok_or_else(|| Ending::late(self.progress.verdict)),
+            instruction = self.instructions.recv() => instruction.ok_or_else(|| Ending::late(self.progress.verdict)),
             _ = gone => Err(self.abandon()),
             () = time::sleep(left + GRACE) => {
                 // The node refuses by itself at the deadline. Should it ever fail to, the caller still gets
@@ -176,7 +181,7 @@
     }
 
     fn abandon(&self) -> Ending {
-        self.core.step(event::Event::Abandoned(self.admitted.key));
+        self.core.step(event::Event::CallerGone(self.admitted.key));
         Ending::Gone
     }
 
@@ -217,7 +222,7 @@
         // The node's word may have waited here while this process was paused.
         let left = self.core.clock().until(self.admitted.deadline);
         if left.is_zero() {
-            return Step::Failed(backend::Fault::not_run(request::Cause::Late));
+            return Step::Failed(backend::Failure::not_run(request::Cause::DeadlinePassed));
         }
         let is_engine = self.outgoing.kind == backend::Kind::Engine;
         if is_engine {
@@ -226,9 +231,9 @@
         tokio::select! {
             biased;
             handed = delivery.attempt(server, resume) => self.judge(handed),
-            turn = self.turns.recv() => turn.map_or(Step::Gone, Step::Turn),
+            instruction = self.instructions.recv() => instruction.map_or(Step::Gone, Step::Instruction),
             () = time::sleep(left) => {
-                Step::Failed(backend::Fault::may_have_run(request::Cause::Late))
+                Step::Failed(backend::Failure::may_have_run(request::Cause::DeadlinePassed))
             }
             // A plain service can't be told to stop. Its answer is waited for, so that a repeat under the
             // same idempotency key gets it.
@@ -236,12 +241,12 @@
         }
     }
 
-    fn judge(&self, handed: Result<Handed, backend::Fault>) -> Step {
+    fn judge(&self, handed: Result<Handed, backend::Failure>) -> Step {
         let is_late = self.core.clock().now() >= self.admitted.deadline;
         match handed {
-            Ok(Handed::Whole(_)) if is_late => Step::Failed(backend::Fault {
+            Ok(Handed::Whole(_)) if is_late => Step::Failed(backend::Failure {
                 verdict: verdict::Verdict::Ran,
-                cause: request::Cause::Late,
+                cause: request::Cause::DeadlinePassed,
             }),
             Ok(Handed::Whole(whole)) => Step::Whole(whole),
             Ok(Handed::Streamed) => Step::Streamed,
@@ -256,17 +261,17 @@
             Step::Streamed => (request::Attempt::Done(delivery.streamed_outcome()), None),
             Step::Failed(fault) => {
                 self.note(fault.verdict);
-                let failure = fault.with_handed_on(delivery.handed_on);
+                let failure = fault.with_events_delivered(delivery.events_delivered);
                 (request::Attempt::Failed(failure), Some(fault.cause))
             }
-            Step::Turn(_) => return self.interrupted(request::Cause::Late),
-            Step::Gone => return self.interrupted(request::Cause::Caller),
+            Step::Instruction(_) => return self.interrupted(request::Cause::DeadlinePassed),
+            Step::Gone => return self.interrupted(request::Cause::CallerGone),
         };
         if cause.is_none() {
             self.progress.busy = None;
         }
         self.core.metrics().count_attempt(&self.labels, cause);
-        self.core.step(event::Event::Attempted {
+        self.core.step(event::Event::AttemptUpdated {
             request: self.admitted.key,
             attempt,
         });
@@ -296,7 +301,7 @@
         let since = self.core.clock().now().since(self.arrived);
         let metrics = self.core.metrics();
         match ending.failure() {
-            None => metrics.observe_whole(&self.labels, since),
+            None => metrics.observe_full_answer(&self.labels, since),
             Some((code, verdict)) => metrics.count_outcome(&self.labels, code, verdict),
         }
         let (code, verdict) = ending.failure().unwrap_or(("ok", verdict::Verdict::Ran));
--- a/crates/fireflywheel_daemon/src/callers/intake.rs
+++ b/crates/fireflywheel_daemon/src/callers/intake.rs
@@ -77,7 +77,12 @@
 }
 
 /// The request as it goes to a backend server.
-pub(super) fn outgoing(id: SmolStr, parts: Parts, body: Bytes, is_chat: bool) -> backend::Outgoing {
+pub(super) fn outgoing(
+    id: SmolStr,
+    parts: Parts,
+    body: Bytes,
+    is_chat: bool,
+) -> backend::OutgoingRequest {
     let mut headers = backend::passed_on(&parts.headers);
     headers.remove(RESUME_FROM);
     if is_chat {
@@ -88,7 +93,7 @@
     } else {
         backend::Kind::Service
     };
-    backend::Outgoing {
+    backend::OutgoingRequest {
         id,
         path: path_and_query(&parts.uri).to_owned(),
         method: parts.method,
--- a/crates/fireflywheel_daemon/src/callers/mod.rs
+++ b/crates/fireflywheel_daemon/src/callers/mod.rs
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 struct Taken {
     arrival: request::Arrival,
-    outgoing: backend::Outgoing,
+    outgoing: backend::OutgoingRequest,
     id: IdGuard,
 }
 
@@ -188,7 +188,7 @@
         let answer = match taken {
             Ok(taken) => self.exchange(taken).await,
             Err(problem) => {
-                let labels = metrics::Labels::unread();
+                let labels = metrics::Labels::unknown();
                 self.core
                     .metrics()
                     .count_outcome(&labels, problem.code, problem.verdict);
--- a/crates/fireflywheel_daemon/src/core.rs
+++ b/crates/fireflywheel_daemon/src/core.rs
@@ -18,7 +18,7 @@
 
 /// What a request's task is told.
 #[derive(Debug)]
-pub enum Turn {
+pub enum Instruction {
     /// Send it to this backend server.
     Dispatch(SmolStr),
     /// Go on with its stream at this backend server, after the events that the caller has.
@@ -31,9 +31,9 @@
 
 /// An order on its way to an engine.
 #[derive(Debug)]
-pub struct Sending {
+pub struct OrderAttempt {
     /// Names it.
-    pub ticket: order::Ticket,
+    pub attempt_id: order::AttemptId,
     /// The engine's address.
     pub server: SmolStr,
     /// The order.
@@ -42,7 +42,7 @@
 
 /// Where the reader of the log is to go on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Position {
+pub struct ReadPosition {
     /// The offset; `None` until the node wants to read.
     pub from: Option<u64>,
     /// Rises with each [`effect::Effect::ReadFrom`].
@@ -51,17 +51,17 @@
 
 /// The ends at which effects are handed over; the modules that carry them out hold the other ends.
 #[derive(Debug)]
-pub struct Outlets {
+pub struct EffectChannels {
     /// Texts for the log.
     pub appends: mpsc::UnboundedSender<String>,
     /// Where to read the log.
-    pub position: watch::Sender<Position>,
+    pub position: watch::Sender<ReadPosition>,
     /// Backend servers to ask for reports.
     pub watched: watch::Sender<Vec<SmolStr>>,
     /// Orders to engines.
-    pub orders: mpsc::UnboundedSender<Sending>,
+    pub orders: mpsc::UnboundedSender<OrderAttempt>,
     /// Addresses of peers to connect to.
-    pub connects: mpsc::UnboundedSender<registry::Call>,
+    pub connects: mpsc::UnboundedSender<registry::Target>,
     /// Links that are open.
     pub links: Arc<registry::Registry>,
     /// Set once by [`effect::Effect::Exit`].
@@ -74,7 +74,7 @@
     /// Its name and its deadline.
     pub admitted: request::Admitted,
     /// What its task is told.
-    pub turns: mpsc::UnboundedReceiver<Turn>,
+    pub instructions: mpsc::UnboundedReceiver<Instruction>,
     /// Whom it counts for.
     pub labels: metrics::Labels,
     /// Whether it waits while what it needs is loaded nowhere.
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Inner {
     node: node::Node,
-    turns: HashMap<request::Key, mpsc::UnboundedSender<Turn>>,
+    instructions: HashMap<request::Key, mpsc::UnboundedSender<Instruction>>,
     out: Vec<effect::Effect>,
     stopping: bool,
 }
@@ -94,31 +94,31 @@
 pub struct Core {
     clock: Clock,
     inner: Mutex<Inner>,
-    outlets: Outlets,
+    channels: EffectChannels,
     metrics: Arc<metrics::Metrics>,
     instance: SmolStr,
 }
 
 impl Core {
-    /// A core whose effects go to `outlets`.
+    /// A core whose effects go to `channels`.
     #[must_use]
     pub fn new(
         options: node::Options,
         clock: Clock,
-        outlets: Outlets,
+        channels: EffectChannels,
         metrics: Arc<metrics::Metrics>,
     ) -> Self {
         let instance = options.me.instance.clone();
         let inner = Inner {
             node: node::Node::new(options),
-            turns: HashMap::new(),
+            instructions: HashMap::new(),
             out: Vec::new(),
             stopping: false,
         };
         Self {
             clock,
             inner: Mutex::new(inner),
-            outlets,
+            channels,
             metrics,
             instance,
         }
@@ -157,38 +157,38 @@
     }
 
     /// Lets the node take what the log answered, unless it has asked to read elsewhere since `generation`.
-    pub fn step_read(&self, generation: u64, event: event::Event) {
+    pub fn step_log_read(&self, generation: u64, event: event::Event) {
         let mut inner = self.lock();
         // An answer to a poll that the node has given up would seem to be the answer to its newest ReadFrom.
         // Under the node's lock no new one can come in between.
-        if self.outlets.position.borrow().generation == generation {
+        if self.channels.position.borrow().generation == generation {
             self.step_locked(&mut inner, event);
         }
     }
 
     /// Takes in a request; its task is told of its effects, which may come at once.
-    pub fn arrive(&self, arrival: request::Arrival) -> Admission {
-        let (sender, turns) = mpsc::unbounded_channel();
+    pub fn admit(&self, arrival: request::Arrival) -> Admission {
+        let (sender, instructions) = mpsc::unbounded_channel();
         let mut inner = self.lock();
         let Inner { node, out, .. } = &mut *inner;
         let labels = metrics::Labels::new(node.document(), &arrival);
         let target = arrival.target.clone();
-        let admitted = node.arrive(self.clock.now(), arrival, out);
-        let is_cold = !out.iter().any(is_turn) && node.waits_for_load(&target);
+        let admitted = node.handle_arrival(self.clock.now(), arrival, out);
+        let is_cold = !out.iter().any(is_instruction) && node.waits_for_load(&target);
         // Registered before the effects are handed over: a refusal is often among them.
-        inner.turns.insert(admitted.key, sender);
+        inner.instructions.insert(admitted.key, sender);
         self.hand_over(&mut inner);
         Admission {
             admitted,
-            turns,
+            instructions,
             labels,
             is_cold,
         }
     }
 
     /// The request has had its final answer.
-    pub fn forget(&self, key: request::Key) {
-        self.lock().turns.remove(&key);
+    pub fn remove_request(&self, key: request::Key) {
+        self.lock().instructions.remove(&key);
     }
 
     /// Whether new work may come.
@@ -196,15 +196,15 @@
     /// # Errors
     ///
     /// Why it may not, in a sentence.
-    pub fn ready(&self) -> Result<(), SmolStr> {
-        self.lock().node.ready()
+    pub fn check_ready(&self) -> Result<(), SmolStr> {
+        self.lock().node.check_ready()
     }
 
     /// How this instance is, and how many requests have no final answer yet.
     #[must_use]
     pub fn status(&self) -> (status::Status, usize) {
         let inner = self.lock();
-        (inner.node.status(), inner.node.in_progress())
+        (inner.node.status(), inner.node.requests_in_progress())
     }
 
     /// Begins a planned stop; a second call changes nothing.
@@ -224,7 +224,7 @@
 
     /// Sends [`event::Event::Tick`] for ever.
     pub async fn tick(&self) {
-        let mut ticks = time::interval(node::TICK);
+        let mut ticks = time::interval(node::TICK_INTERVAL);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Skip);
         loop {
             ticks.tick().await;
@@ -247,7 +247,7 @@
     fn hand_over(&self, inner: &mut Inner) {
         let mut effects = std::mem::take(&mut inner.out);
         for effect in effects.drain(..) {
-            self.hand_over_one(&inner.turns, effect);
+            self.hand_over_one(&inner.instructions, effect);
         }
         inner.out = effects;
     }
@@ -255,54 +255,54 @@
     // A closed channel means that the daemon is going down; what is left then has no effect.
     fn hand_over_one(
         &self,
-        turns: &HashMap<request::Key, mpsc::UnboundedSender<Turn>>,
+        instructions: &HashMap<request::Key, mpsc::UnboundedSender<Instruction>>,
         effect: effect::Effect,
     ) {
         use effect::Effect;
-        let tell = |request: request::Key, turn: Turn| {
-            if let Some(sender) = turns.get(&request) {
-                let _ = sender.send(turn);
+        let tell = |request: request::Key, instruction: Instruction| {
+            if let Some(sender) = instructions.get(&request) {
+                let _ = sender.send(instruction);
             }
         };
         match effect {
             Effect::Append(text) => {
-                let _ = self.outlets.appends.send(text);
+                let _ = self.channels.appends.send(text);
             }
-            Effect::ReadFrom(from) => self.outlets.position.send_modify(|position| {
+            Effect::ReadFrom(from) => self.channels.position.send_modify(|position| {
                 position.from = Some(from);
                 position.generation += 1;
             }),
             Effect::Connect { instance, address } => {
-                let call = registry::Call { instance, address };
-                let _ = self.outlets.connects.send(call);
+                let call = registry::Target { instance, address };
+                let _ = self.channels.connects.send(call);
             }
-            Effect::Disconnect(name) => self.outlets.links.disconnect(&name),
-            Effect::Send { to, frame } => self.outlets.links.send(&to, frame),
-            Effect::Watch(servers) => {
-                self.outlets.watched.send_replace(servers);
+            Effect::Disconnect(name) => self.channels.links.disconnect(&name),
+            Effect::Send { to, frame } => self.channels.links.send(&to, frame),
+            Effect::PollReports(servers) => {
+                self.channels.watched.send_replace(servers);
             }
             Effect::Order {
-                ticket,
+                attempt_id,
                 server,
                 command,
             } => {
-                let sending = Sending {
-                    ticket,
+                let sending = OrderAttempt {
+                    attempt_id,
                     server,
                     command,
                 };
-                let _ = self.outlets.orders.send(sending);
+                let _ = self.channels.orders.send(sending);
             }
-            Effect::Dispatch { request, server } => tell(request, Turn::Dispatch(server)),
+            Effect::Dispatch { request, server } => tell(request, Instruction::Dispatch(server)),
             // The request's task counts itself what went to the caller.
             Effect::Resume {
                 request, server, ..
-            } => tell(request, Turn::Resume(server)),
-            Effect::Refuse { request, refusal } => tell(request, Turn::Refuse(refusal)),
-            Effect::Replay { request, outcome } => tell(request, Turn::Replay(outcome)),
+            } => tell(request, Instruction::Resume(server)),
+            Effect::Refuse { request, refusal } => tell(request, Instruction::Refuse(refusal)),
+            Effect::Replay { request, outcome } => tell(request, Instruction::Replay(outcome)),
             Effect::Notice(notice) => self.show(&notice),
             Effect::Exit => {
-                self.outlets.exit.send_replace(true);
+                self.channels.exit.send_replace(true);
             }
         }
     }
@@ -318,7 +318,7 @@
 }
 
 /// Whether a request's task is told of the effect.
-fn is_turn(effect: &effect::Effect) -> bool {
+fn is_instruction(effect: &effect::Effect) -> bool {
     use effect::Effect;
     matches!(
         effect,
--- a/crates/fireflywheel_daemon/src/daemon.rs
+++ b/crates/fireflywheel_daemon/src/daemon.rs
@@ -56,10 +56,10 @@
 /// The ends at which the workers take effects over.
 struct Inlets {
     appends: mpsc::UnboundedReceiver<String>,
-    position: watch::Receiver<core::Position>,
+    position: watch::Receiver<core::ReadPosition>,
     watched: watch::Receiver<Vec<SmolStr>>,
-    orders: mpsc::UnboundedReceiver<core::Sending>,
-    connects: mpsc::UnboundedReceiver<peers::registry::Call>,
+    orders: mpsc::UnboundedReceiver<core::OrderAttempt>,
+    connects: mpsc::UnboundedReceiver<peers::registry::Target>,
     links: Arc<peers::registry::Registry>,
     exit: watch::Receiver<bool>,
 }
@@ -84,17 +84,17 @@
             number: clock::unix_ms(),
         };
         let address = settings.listen.advertise.unwrap_or(peer).to_string();
-        let introduction = peers::introduction(
+        let own_update = peers::own_update(
             me.clone(),
             address.as_str().into(),
             settings.instance.failure_domain.clone(),
         );
         let options = node::Options::new(&settings, me, address.into(), rand::random());
-        let (outlets, inlets) = channels(&settings, &metrics);
-        let core = core::Core::new(options, clock::Clock::new(), outlets, metrics);
+        let (channels, inlets) = channels(&settings, &metrics);
+        let core = core::Core::new(options, clock::Clock::new(), channels, metrics);
         let core = Arc::new(core);
         let links = Arc::clone(&inlets.links);
-        let peers = peers::Peers::new(Arc::clone(&core), links, key, introduction);
+        let peers = peers::Peers::new(Arc::clone(&core), links, key, own_update);
         let exit = inlets.exit.clone();
         let (close, closing) = watch::channel(false);
         let client = client::Client::new();
@@ -161,16 +161,16 @@
 fn channels(
     settings: &settings::Settings,
     metrics: &Arc<metrics::Metrics>,
-) -> (core::Outlets, Inlets) {
+) -> (core::EffectChannels, Inlets) {
     let (appends, append_texts) = mpsc::unbounded_channel();
     let (orders, sendings) = mpsc::unbounded_channel();
     let (connects, calls) = mpsc::unbounded_channel();
-    let (position, positions) = watch::channel(core::Position::default());
+    let (position, positions) = watch::channel(core::ReadPosition::default());
     let (watched, watched_servers) = watch::channel(Vec::new());
     let (exit, exited) = watch::channel(false);
     let name = settings.instance.name.clone();
     let links = Arc::new(peers::registry::Registry::new(name, Arc::clone(metrics)));
-    let outlets = core::Outlets {
+    let channels = core::EffectChannels {
         appends,
         position,
         watched,
@@ -188,7 +188,7 @@
         links,
         exit: exited,
     };
-    (outlets, inlets)
+    (channels, inlets)
 }
 
 fn open_doors(
@@ -235,12 +235,12 @@
         inlets.position,
         timing.log_wait,
     ));
-    workers.spawn(list::poll(list, Arc::clone(core), timing.list));
+    workers.spawn(list::poll(list, Arc::clone(core), timing.list_interval));
     workers.spawn(reports::poll(
         client.clone(),
         Arc::clone(core),
         inlets.watched,
-        timing.report,
+        timing.report_interval,
     ));
     workers.spawn(orders::send_all(
         client.clone(),
--- a/crates/fireflywheel_daemon/src/metrics/labels.rs
+++ b/crates/fireflywheel_daemon/src/metrics/labels.rs
@@ -44,7 +44,7 @@
 
     /// Those of a request that was refused before it was read.
     #[must_use]
-    pub fn unread() -> Self {
+    pub fn unknown() -> Self {
         Self {
             tenant: SmolStr::new_static(OTHER),
             class: SmolStr::new_static(OTHER),
--- a/crates/fireflywheel_daemon/src/metrics/mod.rs
+++ b/crates/fireflywheel_daemon/src/metrics/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// A whole answer was handed on.
-    pub fn observe_whole(&self, labels: &Labels, since: Duration) {
+    pub fn observe_full_answer(&self, labels: &Labels, since: Duration) {
         self.whole_answer
             .with_label_values(&labels.pair())
             .observe(since.as_secs_f64());
@@ -238,13 +238,13 @@
 fn cause_label(cause: request::Cause) -> &'static str {
     match cause {
         request::Cause::Connect => "connect",
-        request::Cause::Cut => "cut",
+        request::Cause::Disconnected => "cut",
         request::Cause::NotLoaded => "not_loaded",
         request::Cause::Draining => "draining",
         request::Cause::Overloaded => "overloaded",
-        request::Cause::Flawed => "flawed",
-        request::Cause::Backend => "backend",
-        request::Cause::Late => "late",
-        request::Cause::Caller => "caller",
+        request::Cause::AnswerFlawed => "flawed",
+        request::Cause::BackendFailed => "backend",
+        request::Cause::DeadlinePassed => "late",
+        request::Cause::CallerGone => "caller",
     }
 }
--- a/crates/fireflywheel_daemon/src/operator.rs
+++ b/crates/fireflywheel_daemon/src/operator.rs
@@ -47,7 +47,7 @@
     }
 
     fn ready(&self) -> Response<door::Body> {
-        match self.core.ready() {
+        match self.core.check_ready() {
             Ok(()) => answer(StatusCode::OK, TEXT, "ready\n"),
             Err(reason) => answer(
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/fireflywheel_daemon/src/orders.rs
+++ b/crates/fireflywheel_daemon/src/orders.rs
@@ -23,7 +23,7 @@
 pub async fn send_all(
     client: client::Client,
     core: Arc<core::Core>,
-    mut orders: mpsc::UnboundedReceiver<core::Sending>,
+    mut orders: mpsc::UnboundedReceiver<core::OrderAttempt>,
 ) {
     let mut running = JoinSet::new();
     while let Some(sending) = orders.recv().await {
@@ -32,7 +32,7 @@
     }
 }
 
-async fn send(client: client::Client, core: Arc<core::Core>, sending: core::Sending) {
+async fn send(client: client::Client, core: Arc<core::Core>, sending: core::OrderAttempt) {
     let answer = deliver(&client, &sending).await;
     core.metrics().count_order(&answer);
     if let order::Answer::Failed(reason) = &answer {
@@ -42,13 +42,13 @@
             "an order failed: {reason}"
         );
     }
-    core.step(event::Event::Ordered {
-        ticket: sending.ticket,
+    core.step(event::Event::OrderAnswered {
+        attempt_id: sending.attempt_id,
         answer,
     });
 }
 
-async fn deliver(client: &client::Client, sending: &core::Sending) -> order::Answer {
+async fn deliver(client: &client::Client, sending: &core::OrderAttempt) -> order::Answer {
     let url = format!("http://{}/v1/orders", sending.server);
     let body = serde_json::to_vec(&sending.command).expect("a command always has a JSON form");
     let Ok(request) = client::request(Method::POST, &url, "application/json", body) else {
--- a/crates/fireflywheel_daemon/src/peers/handshake.rs
+++ b/crates/fireflywheel_daemon/src/peers/handshake.rs
@@ -209,7 +209,7 @@
 
 async fn enlarge(socket: Socket, role: protocol::Role) -> Socket {
     let stream = socket.into_inner();
-    WebSocketStream::from_raw_socket(stream, role, Some(config(wire::LIMIT))).await
+    WebSocketStream::from_raw_socket(stream, role, Some(config(wire::MAX_FRAME_BYTES))).await
 }
 
 fn fresh_nonce() -> Nonce {
--- a/crates/fireflywheel_daemon/src/peers/link.rs
+++ b/crates/fireflywheel_daemon/src/peers/link.rs
@@ -49,7 +49,7 @@
 ) {
     while let Some(frame) = frames.recv().await {
         let bytes = frame.encode();
-        if bytes.len() > wire::LIMIT {
+        if bytes.len() > wire::MAX_FRAME_BYTES {
             core.metrics()
                 .count_link_failure(metrics::LinkFailure::Long);
             continue;
@@ -87,7 +87,7 @@
                 from: from.clone(),
                 frame,
             }),
-            Err(wire::Malformed::Long(_)) => return fail(core, metrics::LinkFailure::Long),
+            Err(wire::Malformed::TooLong(_)) => return fail(core, metrics::LinkFailure::Long),
             Err(wire::Malformed::Cbor(_)) => return fail(core, metrics::LinkFailure::Malformed),
         }
     }
--- a/crates/fireflywheel_daemon/src/peers/mod.rs
+++ b/crates/fireflywheel_daemon/src/peers/mod.rs
@@ -26,7 +26,7 @@
 
 /// What an instance tells its peers of itself.
 #[must_use]
-pub fn introduction(
+pub fn own_update(
     me: record::Incarnation,
     address: SmolStr,
     failure_domain: SmolStr,
@@ -72,7 +72,7 @@
     pub async fn run(
         self: Arc<Self>,
         listener: TcpListener,
-        mut calls: mpsc::UnboundedReceiver<registry::Call>,
+        mut calls: mpsc::UnboundedReceiver<registry::Target>,
     ) {
         let mut running = JoinSet::new();
         loop {
@@ -103,7 +103,7 @@
         });
     }
 
-    fn connect(self: &Arc<Self>, call: &registry::Call, running: &mut JoinSet<()>) {
+    fn connect(self: &Arc<Self>, call: &registry::Target, running: &mut JoinSet<()>) {
         let is_own = self.identity.is_at(&call.address);
         if is_own
             || self.links.contains(call)
--- a/crates/fireflywheel_daemon/src/peers/registry.rs
+++ b/crates/fireflywheel_daemon/src/peers/registry.rs
@@ -16,7 +16,7 @@
 
 /// A peer to connect to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Call {
+pub struct Target {
     /// Its name, empty when it isn't known.
     pub instance: SmolStr,
     /// `IP:PORT`.
@@ -77,7 +77,7 @@
 
     /// Whether there is a link already to whom the call is for.
     #[must_use]
-    pub fn contains(&self, call: &Call) -> bool {
+    pub fn contains(&self, call: &Target) -> bool {
         let links = self.lock();
         let mut addresses = links.by_name.values().map(|link| &link.address);
         links.by_name.contains_key(&call.instance)
--- a/crates/fireflywheel_daemon/src/platform/list.rs
+++ b/crates/fireflywheel_daemon/src/platform/list.rs
@@ -24,7 +24,7 @@
 /// A list of live and leaving instances, which lags.
 pub trait List: Send + Sync + 'static {
     /// What it says now.
-    fn read(&self) -> impl Future<Output = Result<Vec<report::Listed>, Unavailable>> + Send;
+    fn read(&self) -> impl Future<Output = Result<Vec<report::ListEntry>, Unavailable>> + Send;
 }
 
 /// The list over HTTP.
@@ -36,7 +36,7 @@
 
 #[derive(Deserialize)]
 struct Listing {
-    instances: Vec<report::Listed>,
+    instances: Vec<report::ListEntry>,
 }
 
 impl Http {
@@ -51,7 +51,7 @@
 }
 
 impl List for Http {
-    async fn read(&self) -> Result<Vec<report::Listed>, Unavailable> {
+    async fn read(&self) -> Result<Vec<report::ListEntry>, Unavailable> {
         let request = client::bare(Method::GET, &self.url).map_err(|_| Unavailable)?;
         let answer = self.client.call(request, LIMIT, WAIT).await;
         let answer = answer.map_err(|_| Unavailable)?;
@@ -80,7 +80,7 @@
         }
         failing = fails;
         if let Ok(listed) = listed {
-            core.step(event::Event::Listed(listed));
+            core.step(event::Event::InstancesListed(listed));
         }
     }
 }
--- a/crates/fireflywheel_daemon/src/platform/log.rs
+++ b/crates/fireflywheel_daemon/src/platform/log.rs
@@ -183,7 +183,7 @@
 pub async fn read_all<L>(
     log: Arc<L>,
     core: Arc<core::Core>,
-    mut position: watch::Receiver<core::Position>,
+    mut position: watch::Receiver<core::ReadPosition>,
     wait: Duration,
 ) where
     L: Log,
@@ -205,7 +205,7 @@
 async fn follow<L>(
     log: &L,
     core: &core::Core,
-    wanted: core::Position,
+    wanted: core::ReadPosition,
     wait: Duration,
     pause: &mut Duration,
 ) where
@@ -217,7 +217,7 @@
     let mut max = PAGE;
     loop {
         let Ok(page) = log.read(from, max, wait).await else {
-            core.step_read(wanted.generation, event::Event::ReadFailed);
+            core.step_log_read(wanted.generation, event::Event::LogReadFailed);
             // A page of large records may be more than is taken at once: it would fail for ever.
             max = (max / 2).max(1);
             time::sleep(*pause).await;
@@ -229,11 +229,11 @@
         if let Some(last) = page.records.last() {
             from = last.offset + 1;
         }
-        let read = event::Event::Read {
+        let read = event::Event::LogRead {
             first: page.first,
             next: page.next,
             records: page.records,
         };
-        core.step_read(wanted.generation, read);
+        core.step_log_read(wanted.generation, read);
     }
 }
--- a/crates/fireflywheel_daemon/src/reports.rs
+++ b/crates/fireflywheel_daemon/src/reports.rs
@@ -68,8 +68,8 @@
         drop(place);
         self.lock_asked().remove(&server);
         let event = match report {
-            Some(report) => event::Event::Reported { server, report },
-            None => event::Event::Unreported { server },
+            Some(report) => event::Event::ReportReceived { server, report },
+            None => event::Event::ReportFailed { server },
         };
         self.core.step(event);
     }
--- a/crates/fireflywheel_daemon/tests/faults_configuration.rs
+++ b/crates/fireflywheel_daemon/tests/faults_configuration.rs
@@ -20,7 +20,7 @@
     let page: serde_json::Value = site.client.get(&url).await?.json()?;
     let bodies = page["records"].as_array().into_iter().flatten();
     let records =
-        bodies.filter_map(|stored| record::Record::read(stored["body"].as_str()?).ok()?);
+        bodies.filter_map(|stored| record::Record::decode(stored["body"].as_str()?).ok()?);
     let entries = records.flat_map(|record| record.entries);
     let covered = entries.filter_map(|entry| match entry {
         record::Entry::Checkpoint(part) if part.part + 1 == part.parts => Some(part.next),
--- a/crates/fireflywheel_daemon/tests/links.rs
+++ b/crates/fireflywheel_daemon/tests/links.rs
@@ -320,7 +320,7 @@
     // Deep nesting must not use up the stack.
     frame_is_deep: Message::Binary(vec![0x81; 1 << 20].into()) => "malformed";
     frame_is_text: Message::Text("{}".into()) => "malformed";
-    frame_is_too_long: Message::Binary(vec![0; wire::LIMIT + 1].into()) => "long";
+    frame_is_too_long: Message::Binary(vec![0; wire::MAX_FRAME_BYTES + 1].into()) => "long";
 }
 
 /// Two instances that know each other's address connect to each other at the same time. One link stays, over
--- a/crates/fireflywheel_daemon/tests/rig/mod.rs
+++ b/crates/fireflywheel_daemon/tests/rig/mod.rs
@@ -133,7 +133,7 @@
         let faults = document::Document::parse(DOCUMENT).err();
         assert_eq!(faults, None);
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id {
                 by: record::Incarnation {
                     instance: "operator/test".into(),
@@ -149,7 +149,7 @@
         let url = format!("{}/v1/append", self.log.base("listening"));
         let answer = self
             .client
-            .post(&url, record.body())
+            .post(&url, record.encode())
             .await
             .expect("an answer");
         assert!(answer.status.is_success(), "{}", answer.text());
--- a/crates/fireflywheel_daemon/tests/site/mod.rs
+++ b/crates/fireflywheel_daemon/tests/site/mod.rs
@@ -240,7 +240,7 @@
     /// Appends a document as an operator does; gives its version if the log took it.
     pub async fn publish(&self, base: u64, text: &str) -> anyhow::Result<u64> {
         let record = record::Record {
-            rule: record::RULE,
+            rule: record::RULES_VERSION,
             id: record::Id {
                 by: record::Incarnation {
                     instance: "operator/test".into(),
@@ -254,7 +254,7 @@
             }],
         };
         let url = format!("{}/v1/append", self.log.base("listening"));
-        let answer = self.client.post(&url, record.body()).await?;
+        let answer = self.client.post(&url, record.encode()).await?;
         let offset = answer.json::<serde_json::Value>()?["offset"].as_u64();
         offset
             .map(|offset| offset + 1)
--- a/crates/fireflywheel_demo/src/instances.rs
+++ b/crates/fireflywheel_demo/src/instances.rs
@@ -99,8 +99,8 @@
         },
         limits: settings::Limits::default(),
         timing: settings::Timing {
-            list: Duration::from_millis(200),
-            report: Duration::from_millis(100),
+            list_interval: Duration::from_millis(200),
+            report_interval: Duration::from_millis(100),
             drain_delay: DRAIN_DELAY,
             ..settings::Timing::default()
         },
--- a/crates/fireflywheel_standin/src/engine/chat.rs
+++ b/crates/fireflywheel_standin/src/engine/chat.rs
@@ -192,7 +192,7 @@
     }
 
     fn accept(&self, prompt: &Prompt) -> Result<(Item, SmolStr), Box<http::Answer>> {
-        if self.desk.switches().leaving {
+        if self.injector.switches().leaving {
             return Err(Box::new(draining()));
         }
         let limit = (self.options.slots + self.options.queue) as u64;
@@ -234,7 +234,9 @@
     }
 
     fn completion(&self, stream: &stream::Stream, prompt: &Prompt) -> http::Answer {
-        let crossed = self.desk.take(|switches| &mut switches.cross_answers);
+        let crossed = self
+            .injector
+            .try_consume(|switches| &mut switches.cross_answers);
         let id = if crossed {
             crate::service::CROSSED_ID.into()
         } else {
@@ -259,7 +261,10 @@
         };
         let mut answer = http::json(StatusCode::OK, &completion);
         http::set_request_id(&mut answer, &completion.id);
-        if self.desk.take(|switches| &mut switches.cut_answers) {
+        if self
+            .injector
+            .try_consume(|switches| &mut switches.cut_answers)
+        {
             http::shorten(&mut answer);
         }
         answer
--- a/crates/fireflywheel_standin/src/engine/mod.rs
+++ b/crates/fireflywheel_standin/src/engine/mod.rs
@@ -82,7 +82,7 @@
 
 #[derive(Debug)]
 struct Engine {
-    desk: fault::Desk,
+    injector: fault::Injector,
     options: Options,
     client: client::Client,
     slots: Semaphore,
@@ -102,12 +102,12 @@
 
 impl Engine {
     fn new(options: Options) -> Self {
-        let desk = fault::Desk::new(fault::Switches {
+        let injector = fault::Injector::new(fault::Switches {
             report_lag_ms: options.report_lag_ms,
             ..fault::Switches::default()
         });
         Self {
-            desk,
+            injector,
             client: client::Client::new(),
             slots: Semaphore::new(options.slots),
             state: sync::Mutex::new(state::State::new(options.fence_floor)),
@@ -171,7 +171,7 @@
     }
 
     fn load_report(&self) -> http::Answer {
-        let switches = self.desk.switches();
+        let switches = self.injector.switches();
         let then = clock::unix_ms().saturating_sub(switches.report_lag_ms);
         let mut report = self.read_state(|state| {
             let lagged = state.report_at(then);
@@ -201,8 +201,8 @@
 impl http::Handler for Engine {
     type Counts = Counts;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) -> Counts {
--- a/crates/fireflywheel_standin/src/engine/order.rs
+++ b/crates/fireflywheel_standin/src/engine/order.rs
@@ -129,9 +129,12 @@
 
     /// Delays the arrival of an order, as a network that held it up.
     async fn hold_back(&self) {
-        if self.desk.take(|switches| &mut switches.delay_orders) {
-            fault::pause(self.desk.switches().delay_orders_ms).await;
-            self.desk.thaw().await;
+        if self
+            .injector
+            .try_consume(|switches| &mut switches.delay_orders)
+        {
+            fault::pause(self.injector.switches().delay_orders_ms).await;
+            self.injector.wait_until_unfrozen().await;
         }
     }
 
@@ -151,7 +154,10 @@
         if checks && !admitted {
             return Err(Refusal::Stale);
         }
-        if self.desk.take(|switches| &mut switches.refuse_orders) {
+        if self
+            .injector
+            .try_consume(|switches| &mut switches.refuse_orders)
+        {
             return Err(Refusal::StoreFailed);
         }
         match order.kind {
@@ -207,7 +213,7 @@
             loaded = self.bytes(order, item) => loaded,
             refusal = self.stopped(order, boot) => Err(refusal),
         };
-        self.desk.thaw().await;
+        self.injector.wait_until_unfrozen().await;
         let loaded = loaded.and_then(|()| self.check(order, boot));
         self.with_state(|state| match loaded {
             Ok(()) if state.complete_load(item, load) => Ok(()),
@@ -282,7 +288,7 @@
             () = self.drained(item) => Ok(()),
             refusal = self.stopped(order, boot) => Err(refusal),
         };
-        self.desk.thaw().await;
+        self.injector.wait_until_unfrozen().await;
         let drained = drained.and_then(|()| self.check(order, boot));
         self.with_state(|state| match drained {
             Ok(()) => state.free_all(item),
--- a/crates/fireflywheel_standin/src/engine/stream.rs
+++ b/crates/fireflywheel_standin/src/engine/stream.rs
@@ -149,7 +149,7 @@
                 () = time::sleep_until(due) => {}
                 _ = stream.ended() => return,
             }
-            self.desk.thaw().await;
+            self.injector.wait_until_unfrozen().await;
             due = due.max(time::Instant::now() - MAX_CATCH_UP);
             if !stream.is_going() {
                 return;
@@ -173,9 +173,15 @@
     ) -> http::Answer {
         let (sender, parts) = mpsc::channel(PARTS);
         let spoiled = Spoiled {
-            crossed: self.desk.take(|switches| &mut switches.cross_answers),
-            cut: self.desk.take(|switches| &mut switches.cut_answers),
-            duplicate: self.desk.take(|switches| &mut switches.duplicate_answers),
+            crossed: self
+                .injector
+                .try_consume(|switches| &mut switches.cross_answers),
+            cut: self
+                .injector
+                .try_consume(|switches| &mut switches.cut_answers),
+            duplicate: self
+                .injector
+                .try_consume(|switches| &mut switches.duplicate_answers),
         };
         let attached = stream.attached.fetch_add(1, atomic::Ordering::SeqCst) + 1;
         let engine = sync::Arc::clone(self);
@@ -213,7 +219,7 @@
                     Err(_) => return false,
                 },
             };
-            self.desk.thaw().await;
+            self.injector.wait_until_unfrozen().await;
             let Some(token) = token else {
                 // Also a stream of one chunk must end without its marker when it is cut.
                 return spoiled.cut || finish(sender, phase, id, &stream.model, total).await;
--- a/crates/fireflywheel_standin/src/fault.rs
+++ b/crates/fireflywheel_standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! The switches for faults that every stand-in has, and the desk where they are set and read.
+//! The switches for faults that every stand-in has, and the injector where they are set and read.
 //!
 //! `POST /v1/faults` takes a [`Change`]; only the switches it names change. Counted switches
 //! (`lose_answers` and the like) run down by one each time they take effect; `GET /v1/faults`
@@ -102,12 +102,12 @@
 
 /// Holds the switches of one stand-in.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Injector {
     switches: watch::Sender<Switches>,
 }
 
-impl Desk {
-    /// A desk with these first settings.
+impl Injector {
+    /// An injector with these first settings.
     #[must_use]
     pub fn new(switches: Switches) -> Self {
         Self {
@@ -127,7 +127,7 @@
     }
 
     /// Takes one from a counted switch; false when it is used up.
-    pub fn take<F>(&self, counter: F) -> bool
+    pub fn try_consume<F>(&self, counter: F) -> bool
     where
         F: Fn(&mut Switches) -> &mut u64,
     {
@@ -142,19 +142,19 @@
     }
 
     /// Returns once the stand-in is not frozen.
-    pub async fn thaw(&self) {
+    pub async fn wait_until_unfrozen(&self) {
         let mut changes = self.switches.subscribe();
         // The sender lives in `self`, so waiting can't fail while `self` is borrowed.
         let _ = changes.wait_for(|switches| !switches.freeze).await;
     }
 
     /// Waits as long as `slow_ms` says.
-    pub async fn slow(&self) {
+    pub async fn delay_request(&self) {
         pause(self.switches().slow_ms).await;
     }
 
     /// Waits as long as `late_ms` says.
-    pub async fn late(&self) {
+    pub async fn delay_answer(&self) {
         pause(self.switches().late_ms).await;
     }
 }
--- a/crates/fireflywheel_standin/src/http.rs
+++ b/crates/fireflywheel_standin/src/http.rs
@@ -156,8 +156,8 @@
     /// What `GET /v1/counts` answers.
     type Counts: Serialize;
 
-    /// The desk with this stand-in's switches.
-    fn desk(&self) -> &fault::Desk;
+    /// The injector with this stand-in's switches.
+    fn injector(&self) -> &fault::Injector;
 
     /// The counts at this moment.
     fn counts(&self) -> Self::Counts;
@@ -290,7 +290,7 @@
     };
     match (&request.method, request.path.as_str()) {
         (&Method::POST, "/v1/faults") => Ok(set_faults(&*handler, &request)),
-        (&Method::GET, "/v1/faults") => Ok(json(StatusCode::OK, &handler.desk().switches())),
+        (&Method::GET, "/v1/faults") => Ok(json(StatusCode::OK, &handler.injector().switches())),
         (&Method::GET, "/v1/counts") => Ok(json(StatusCode::OK, &handler.counts())),
         // A task of its own: a caller that gives up doesn't undo what it has sent, so the call
         // must go on when hyper drops the connection.
@@ -331,7 +331,7 @@
         Ok(change) => change,
         Err(answer) => return answer,
     };
-    handler.desk().apply(&change);
+    handler.injector().apply(&change);
     handler.changed(&change);
     json(StatusCode::OK, &change)
 }
@@ -340,19 +340,23 @@
 where
     H: Handler,
 {
-    handler.desk().thaw().await;
-    handler.desk().slow().await;
-    handler.desk().thaw().await;
-    if handler.desk().switches().outage {
+    handler.injector().wait_until_unfrozen().await;
+    handler.injector().delay_request().await;
+    handler.injector().wait_until_unfrozen().await;
+    if handler.injector().switches().outage {
         return Ok(outage());
     }
     let has_effect = handler.has_effect(&request);
     let answer = sync::Arc::clone(&handler).call(request).await?;
     if has_effect {
-        handler.desk().late().await;
+        handler.injector().delay_answer().await;
     }
-    handler.desk().thaw().await;
-    if has_effect && handler.desk().take(|switches| &mut switches.lose_answers) {
+    handler.injector().wait_until_unfrozen().await;
+    if has_effect
+        && handler
+            .injector()
+            .try_consume(|switches| &mut switches.lose_answers)
+    {
         return Err(Lost);
     }
     Ok(answer)
--- a/crates/fireflywheel_standin/src/list.rs
+++ b/crates/fireflywheel_standin/src/list.rs
@@ -80,7 +80,7 @@
 
 #[derive(Debug)]
 struct List {
-    desk: fault::Desk,
+    injector: fault::Injector,
     entries: sync::Mutex<Entries>,
 }
 
@@ -89,12 +89,12 @@
 /// # Errors
 /// When the listener fails for good.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
-    let desk = fault::Desk::new(fault::Switches {
+    let injector = fault::Injector::new(fault::Switches {
         lag_ms: options.lag_ms,
         ..fault::Switches::default()
     });
     let list = List {
-        desk,
+        injector,
         entries: sync::Mutex::new(Entries::new(options.instances)),
     };
     http::serve(listener, list).await
@@ -131,7 +131,7 @@
     }
 
     fn get(&self) -> http::Answer {
-        let then = clock::unix_ms().saturating_sub(self.desk.switches().lag_ms);
+        let then = clock::unix_ms().saturating_sub(self.injector.switches().lag_ms);
         let mut entries = self.lock();
         entries.counts.reads += 1;
         http::json(StatusCode::OK, entries.lagged.at(then))
@@ -165,8 +165,8 @@
 impl http::Handler for List {
     type Counts = Counts;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) -> Counts {
--- a/crates/fireflywheel_standin/src/log.rs
+++ b/crates/fireflywheel_standin/src/log.rs
@@ -12,7 +12,7 @@
 use crate::{clock, fault, http};
 
 /// Largest body of one append, in bytes.
-pub const MAX_RECORD: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 /// Most records in one answer when the caller names no number.
 const DEFAULT_MAX: u64 = 1000;
 
@@ -75,7 +75,7 @@
 
 #[derive(Debug)]
 struct Log {
-    desk: fault::Desk,
+    injector: fault::Injector,
     state: sync::Mutex<State>,
     next: watch::Sender<u64>,
 }
@@ -85,13 +85,13 @@
 /// # Errors
 /// When the listener fails for good.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
-    let desk = fault::Desk::new(fault::Switches {
+    let injector = fault::Injector::new(fault::Switches {
         retain: options.retain,
         appends_per_second: options.appends_per_second,
         ..fault::Switches::default()
     });
     let log = Log {
-        desk,
+        injector,
         state: sync::Mutex::default(),
         next: watch::Sender::new(0),
     };
@@ -154,7 +154,7 @@
     }
 
     fn append(&self, request: &http::Request) -> http::Answer {
-        if request.body.len() > MAX_RECORD {
+        if request.body.len() > MAX_RECORD_BYTES {
             return http::failure(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too_large",
@@ -164,7 +164,7 @@
         let Ok(body) = str::from_utf8(&request.body) else {
             return http::failure(StatusCode::BAD_REQUEST, "bad_request", "not UTF-8");
         };
-        let switches = self.desk.switches();
+        let switches = self.injector.switches();
         let mut state = self.lock();
         if !state.take_turn(switches.appends_per_second) {
             return http::failure(
@@ -186,8 +186,8 @@
         let mut next = self.next.subscribe();
         // Running out of the wait is a usual end: the page is then empty.
         let _ = time::timeout(wait, next.wait_for(|next| *next > from)).await;
-        self.desk.thaw().await;
-        let switches = self.desk.switches();
+        self.injector.wait_until_unfrozen().await;
+        let switches = self.injector.switches();
         if switches.outage {
             return http::outage();
         }
@@ -200,8 +200,8 @@
 impl http::Handler for Log {
     type Counts = Counts;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) -> Counts {
--- a/crates/fireflywheel_standin/src/service.rs
+++ b/crates/fireflywheel_standin/src/service.rs
@@ -47,7 +47,7 @@
 
 #[derive(Debug)]
 struct Service {
-    desk: fault::Desk,
+    injector: fault::Injector,
     options: Options,
     counts: sync::Mutex<Counts>,
 }
@@ -58,7 +58,7 @@
 /// When the listener fails for good.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
     let service = Service {
-        desk: fault::Desk::new(fault::Switches::default()),
+        injector: fault::Injector::new(fault::Switches::default()),
         options,
         counts: sync::Mutex::default(),
     };
@@ -90,8 +90,8 @@
 impl http::Handler for Service {
     type Counts = Counts;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) -> Counts {
@@ -102,7 +102,7 @@
         self: sync::Arc<Self>,
         request: http::Request,
     ) -> Result<http::Answer, http::Lost> {
-        if self.desk.switches().leaving {
+        if self.injector.switches().leaving {
             let answer = http::failure(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "draining",
@@ -112,12 +112,18 @@
         }
         let mut outcome = self.run(&request);
         fault::pause(self.options.run_ms).await;
-        if self.desk.take(|switches| &mut switches.cross_answers) {
+        if self
+            .injector
+            .try_consume(|switches| &mut switches.cross_answers)
+        {
             outcome.id = CROSSED_ID.into();
         }
         let mut answer = http::json(StatusCode::OK, &outcome);
         http::set_request_id(&mut answer, &outcome.id);
-        if self.desk.take(|switches| &mut switches.cut_answers) {
+        if self
+            .injector
+            .try_consume(|switches| &mut switches.cut_answers)
+        {
             http::shorten(&mut answer);
         }
         Ok(answer)
--- a/crates/fireflywheel_standin/src/site/store.rs
+++ b/crates/fireflywheel_standin/src/site/store.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     inner: Arc<Inner>,
-    desk: Arc<fault::Desk>,
+    injector: Arc<fault::Injector>,
 }
 
 #[derive(Debug)]
@@ -92,7 +92,7 @@
         };
         Self {
             inner: Arc::new(inner),
-            desk: no_faults(),
+            injector: no_faults(),
         }
     }
 
@@ -101,7 +101,7 @@
     pub fn with_own_faults(&self) -> Self {
         Self {
             inner: Arc::clone(&self.inner),
-            desk: no_faults(),
+            injector: no_faults(),
         }
     }
 
@@ -165,7 +165,7 @@
 
     /// Changes the switches.
     pub fn set_faults(&self, change: &fault::Change) {
-        self.desk.apply(change);
+        self.injector.apply(change);
     }
 
     /// Limits how many records one read returns.
@@ -288,8 +288,8 @@
 impl http::Handler for Store {
     type Counts = u64;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) -> u64 {
@@ -325,8 +325,8 @@
     }
 }
 
-fn no_faults() -> Arc<fault::Desk> {
-    Arc::new(fault::Desk::new(fault::Switches::default()))
+fn no_faults() -> Arc<fault::Injector> {
+    Arc::new(fault::Injector::new(fault::Switches::default()))
 }
 
 fn text<'a>(request: &'a http::Request, name: &str) -> Option<&'a str> {
--- a/crates/fireflywheel_standin/src/site/worker.rs
+++ b/crates/fireflywheel_standin/src/site/worker.rs
@@ -78,7 +78,7 @@
 struct Inner {
     id: SmolStr,
     service: SmolStr,
-    desk: fault::Desk,
+    injector: fault::Injector,
     options: Options,
     born_ms: u64,
     slots: Arc<Semaphore>,
@@ -161,7 +161,7 @@
         let inner = Inner {
             id: id.into(),
             service: service.into(),
-            desk: fault::Desk::new(fault::Switches::default()),
+            injector: fault::Injector::new(fault::Switches::default()),
             slots: Arc::new(Semaphore::new(options.slots)),
             born_ms: clock::unix_ms(),
             options,
@@ -229,7 +229,7 @@
         let client = client::Client::new();
         let url = format!("http://{store}/v1/log-append?topic={SERVERS}&part=0");
         loop {
-            let leaves = self.inner.desk.switches().leaving;
+            let leaves = self.inner.injector.switches().leaving;
             let state = if leaves { "draining" } else { "ready" };
             let entry = self.entry(reached_at, state);
             // A store that is away is asked again at the next beat.
@@ -256,7 +256,7 @@
 
     /// Changes the switches that all stand-ins have.
     pub fn set_faults(&self, change: &fault::Change) {
-        self.inner.desk.apply(change);
+        self.inner.injector.apply(change);
     }
 
     /// How often a request has run.
@@ -493,8 +493,8 @@
 impl http::Handler for Worker {
     type Counts = u64;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.inner.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.inner.injector
     }
 
     fn counts(&self) -> u64 {
--- a/crates/fireflywheel_standin/src/store.rs
+++ b/crates/fireflywheel_standin/src/store.rs
@@ -91,7 +91,7 @@
 
 #[derive(Debug)]
 struct Store {
-    desk: fault::Desk,
+    injector: fault::Injector,
     options: Options,
     state: sync::Mutex<State>,
 }
@@ -101,7 +101,7 @@
 /// # Errors
 /// When the listener fails for good.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
-    let desk = fault::Desk::new(fault::Switches {
+    let injector = fault::Injector::new(fault::Switches {
         rate: options.rate,
         at_once: options.at_once,
         ..fault::Switches::default()
@@ -113,7 +113,7 @@
         next_start: time::Instant::now(),
     };
     let store = Store {
-        desk,
+        injector,
         options,
         state: sync::Mutex::new(state),
     };
@@ -152,7 +152,7 @@
     /// How many times longer than alone a load takes now.
     fn stretch(&self, kind: Kind) -> f64 {
         let limit = match kind {
-            Kind::Model => self.desk.switches().at_once,
+            Kind::Model => self.injector.switches().at_once,
             Kind::Adapter => self.options.adapters_at_once,
         };
         let running = *self.lock().running(kind);
@@ -172,7 +172,7 @@
 
     async fn fetch(&self, fetch: &Fetch) {
         if fetch.kind == Kind::Model {
-            let start = self.lock().turn(self.desk.switches().rate);
+            let start = self.lock().turn(self.injector.switches().rate);
             time::sleep_until(start).await;
         }
         self.lock().begin(fetch.kind);
@@ -189,8 +189,8 @@
 impl http::Handler for Store {
     type Counts = Counts;
 
-    fn desk(&self) -> &fault::Desk {
-        &self.desk
+    fn injector(&self) -> &fault::Injector {
+        &self.injector
     }
 
     fn counts(&self) -> Counts {
--- a/crates/fireflywheel_standin/src/trial/deployment.rs
+++ b/crates/fireflywheel_standin/src/trial/deployment.rs
@@ -16,7 +16,7 @@
 
 use super::book::Book;
 use super::proxy::{Flow, Proxy};
-use super::script::{Action, LEAVE, Place, Trouble};
+use super::script::{Action, LEAVE, LinkFault, Place};
 use crate::process::Child;
 use crate::site::configuration;
 use crate::site::store::{CONFIG, record};
@@ -189,7 +189,7 @@
 
     /// How often an instance was started.
     #[must_use]
-    pub fn lives(&self, instance: usize) -> u64 {
+    pub fn incarnation(&self, instance: usize) -> u64 {
         self.instances[instance].lives
     }
 
@@ -352,7 +352,7 @@
     }
 
     /// Notes processes that have ended by themselves.
-    pub fn look_for_ends(&mut self) {
+    pub fn check_exits(&mut self) {
         for (place, instance) in self.instances.iter_mut().enumerate() {
             let Some(child) = instance.child.as_mut().filter(|_| !instance.ends) else {
                 continue;
@@ -440,17 +440,17 @@
 }
 
 impl Proxy {
-    fn trouble(&self, trouble: Trouble) {
+    fn trouble(&self, trouble: LinkFault) {
         match trouble {
-            Trouble::Delay(delay) => self.change(|link| link.delay = delay),
-            Trouble::Reset => self.reset(),
-            Trouble::HeldUp => self.change(|link| link.up = Flow::Held),
-            Trouble::HeldDown => self.change(|link| link.down = Flow::Held),
-            Trouble::Held => self.change(|link| {
+            LinkFault::Delay(delay) => self.change(|link| link.delay = delay),
+            LinkFault::Reset => self.reset(),
+            LinkFault::HeldUp => self.change(|link| link.up = Flow::Held),
+            LinkFault::HeldDown => self.change(|link| link.down = Flow::Held),
+            LinkFault::Held => self.change(|link| {
                 link.up = Flow::Held;
                 link.down = Flow::Held;
             }),
-            Trouble::Silenced => self.silence(),
+            LinkFault::Silenced => self.silence(),
         }
     }
 }
--- a/crates/fireflywheel_standin/src/trial/script.rs
+++ b/crates/fireflywheel_standin/src/trial/script.rs
@@ -58,7 +58,7 @@
 
 /// What goes wrong on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
+pub enum LinkFault {
     /// Each part arrives this much later.
     Delay(Duration),
     /// Open connections are reset.
@@ -106,7 +106,7 @@
     /// A worker runs the next so many requests, or takes orders, and their answers are lost.
     WorkerLoses(usize, u64),
     /// Something goes wrong on a link.
-    Break(Place, Trouble),
+    Break(Place, LinkFault),
     /// All is well again on it.
     Heal(Place),
     /// The store answers 503.
@@ -283,14 +283,14 @@
     *places.choose(draw).expect("there are some")
 }
 
-fn trouble(draw: &mut StdRng) -> Trouble {
+fn trouble(draw: &mut StdRng) -> LinkFault {
     let troubles = [
-        Trouble::Delay(millis(draw, 5..300)),
-        Trouble::Reset,
-        Trouble::HeldUp,
-        Trouble::HeldDown,
-        Trouble::Held,
-        Trouble::Silenced,
+        LinkFault::Delay(millis(draw, 5..300)),
+        LinkFault::Reset,
+        LinkFault::HeldUp,
+        LinkFault::HeldDown,
+        LinkFault::Held,
+        LinkFault::Silenced,
     ];
     *troubles.choose(draw).expect("there are some")
 }
--- a/crates/fireflywheel_standin/src/trial/soak.rs
+++ b/crates/fireflywheel_standin/src/trial/soak.rs
@@ -123,7 +123,7 @@
     let mut actions = 0;
     for step in script::steps(options.seed, options.faults, options.time, sizes) {
         time::sleep_until(begun + step.at).await;
-        deployment.look_for_ends();
+        deployment.check_exits();
         deployment.act(step.action).await?;
         lives.send_replace(self::lives(&deployment, sizes.instances));
         actions += 1;
@@ -135,7 +135,7 @@
     while let Some(ended) = tasks.join_next().await {
         ended?;
     }
-    deployment.look_for_ends();
+    deployment.check_exits();
     deployment.stop().await?;
     let book = lock(&book);
     Ok(Report {
@@ -191,7 +191,7 @@
 type Lives = (u64, Vec<u64>);
 
 fn lives(deployment: &Deployment, instances: usize) -> Lives {
-    let lives = (0..instances).map(|place| deployment.lives(place));
+    let lives = (0..instances).map(|place| deployment.incarnation(place));
     (deployment.version(), lives.collect())
 }
 
