--- a/crates/fireflywheel/src/credit.rs
+++ b/crates/fireflywheel/src/credit.rs
@@ -1,20 +1,22 @@
-//! Limits that hold across instances, such as a tenant's requests in flight: the limit's home lends credits
-//! to the instances that admit requests, so that none has to ask for each request.
+//! Limits that hold across instances, such as the number of a tenant's requests in flight. The instance that is the
+//! lender of a limit lends credits to the instances that admit requests, so that they don't have to ask for each
+//! request.
 //!
-//! The sum of what borrowers believe they hold never exceeds the limit:
-//! - The home counts a credit as lent from the moment it answers, for the lease and a margin. The borrower
-//!   counts the lease from the moment it asked, which is earlier, so it always stops first. The margin covers
-//!   a pause between the borrower's check and the use, and clocks whose rates differ a little.
-//! - Needs are numbered, on through a change of home. The home answers a number once, and a borrower takes
-//!   only the answer to its newest need, so late, doubled and reordered frames change nothing.
-//! - A borrower lowers what it holds when it asks for less, before the frame leaves, and an answer that
-//!   lowers it counts at the home only when an older, higher one has run out, since it may be lost.
-//! - A new home knows nothing of what the last one lent. It is silent for a lease and a margin, in which all
-//!   of that runs out.
+//! The sum of the credits that borrowers believe they hold never exceeds the limit:
+//! - The lender counts a credit as lent from the moment it answers, for the lease and a margin. The borrower counts
+//!   the lease from the moment it asked, which is earlier, so it always stops first. The margin covers a pause
+//!   between the borrower's check and the use of a credit, and small differences in clock rates.
+//! - Needs are numbered, and a change of lender does not restart the numbers. The lender answers each number once,
+//!   and a borrower accepts only the answer to its newest need, so late, duplicate and reordered frames have no
+//!   effect.
+//! - A borrower that asks for fewer credits lowers its own count before the frame is sent. An answer that lowers the
+//!   count may be lost, so the lender applies it only when every older, higher grant has expired.
+//! - A new lender doesn't know what its predecessor lent. It grants nothing for a lease and a margin, in which all
+//!   of that expires.
 //!
-//! What a borrower started under a credit goes on when the lease ends: the credits bound what begins.
-//! There must be one home at a time for this. Where instances choose it by membership alone, a partition
-//! makes two, which lend the limit once each.
+//! Requests that a borrower started under a credit continue when the lease ends: credits limit only what starts.
+//! All of this requires a single lender at a time. Where instances choose the lender by membership alone, a network
+//! partition leads to two, and each of them lends the whole limit.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,12 +25,12 @@
 
 use crate::{clock, record};
 
-/// Settings of [`Lender`] and [`Borrower`], the same on all instances.
+/// Settings of [`Lender`] and [`Borrower`]; they must be the same on all instances.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// How long a borrower may use credits after it asked for them.
+    /// How long a borrower may use credits, counted from when it asked for them.
     pub lease: Duration,
-    /// How much longer the home counts them as lent: more than any pause that a borrower doesn't notice.
+    /// How much longer the lender counts them as lent. It must exceed any pause that a borrower doesn't notice.
     pub margin: Duration,
 }
 
@@ -41,127 +43,134 @@
     }
 }
 
-/// A borrower's wish, sent as [`crate::wire::Credit::Need`].
+/// A borrower's request for credits, sent as [`crate::wire::Credit::Need`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Need {
-    /// How many credits it wants to hold in all.
+    /// The total number of credits that the borrower wants to hold.
     pub hold: u32,
-    /// Rises with each need of the borrower.
+    /// The sequence number of the need, which increases with each need of the borrower.
     pub number: u64,
 }
 
-/// The home's answer, sent as [`crate::wire::Credit::Lend`].
+/// The lender's answer, sent as [`crate::wire::Credit::Lend`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Lend {
-    /// How many credits the borrower may hold in all.
+    /// The total number of credits that the borrower may hold.
     pub hold: u32,
-    /// The number of the need.
+    /// The number of the need that this answers.
     pub number: u64,
-    /// How long, counted by the borrower from when it sent the need.
+    /// How long the borrower may hold them, counted from when it sent the need.
     pub lease: Duration,
 }
 
-/// What the home told one borrower, until it has certainly ended there.
+/// An answer that a borrower may still act on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Promise {
+struct Grant {
+    /// The total number of credits that the borrower may hold.
     hold: u32,
+    /// When the grant has certainly expired at the borrower.
     until: clock::Instant,
 }
 
-/// What the home knows of one borrower.
+/// What the lender knows about one borrower.
 #[derive(Clone, Debug, Default)]
 struct Loan {
-    number: u64,
-    wanted: u32,
-    /// Later ones last longer and are lower.
-    promises: Vec<Promise>,
+    /// The number of the newest need.
+    last_need: u64,
+    /// The credits requested by the newest need.
+    requested: u32,
+    /// The unexpired grants; each later one lasts longer and is lower.
+    grants: Vec<Grant>,
 }
 
 impl Loan {
     fn held(&self) -> u32 {
-        self.promises
+        self.grants
             .iter()
-            .map(|promise| promise.hold)
+            .map(|grant| grant.hold)
             .max()
             .unwrap_or(0)
     }
 
-    fn last(&self) -> Option<clock::Instant> {
-        self.promises.last().map(|promise| promise.until)
+    fn last_expiry(&self) -> Option<clock::Instant> {
+        self.grants.last().map(|grant| grant.until)
     }
 }
 
-/// The home of one limit.
+/// The lender of one limit.
 #[derive(Clone, Debug)]
 pub struct Lender {
     options: Options,
     limit: u32,
-    /// What an earlier home lent may be in use until then.
-    quiet_until: clock::Instant,
+    /// Until when credits of an earlier lender may be in use.
+    silent_until: clock::Instant,
     loans: BTreeMap<record::Incarnation, Loan>,
-    /// When the first promise of each loan ends.
-    ends: BTreeSet<(clock::Instant, record::Incarnation)>,
+    /// When the first grant of each loan expires.
+    expiries: BTreeSet<(clock::Instant, record::Incarnation)>,
+    /// The sum of the credits that borrowers may hold.
     lent: u64,
-    wanted: u64,
+    /// The sum of the credits that borrowers requested.
+    requested: u64,
 }
 
 impl Lender {
-    /// A new home, which lends nothing until all that an earlier one lent has ended.
+    /// Creates a lender that lends nothing until all credits of an earlier lender have expired.
     #[must_use]
     pub fn new(now: clock::Instant, limit: u32, options: Options) -> Self {
         Self {
             options,
             limit,
-            quiet_until: now.after(options.lease).after(options.margin),
+            silent_until: now.after(options.lease).after(options.margin),
             loans: BTreeMap::new(),
-            ends: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             lent: 0,
-            wanted: 0,
+            requested: 0,
         }
     }
 
-    /// Changes the limit. A lower one is reached as leases end.
+    /// Changes the limit. A lower limit takes effect as leases end.
     pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
-    /// The credits that borrowers may hold now.
+    /// Returns the number of credits that borrowers may hold now.
     #[must_use]
     pub fn lent(&self) -> u64 {
         self.lent
     }
 
-    /// Answers a need; `None` to a late or doubled one, and while a new home lends nothing, so that a
-    /// borrower goes on with what the last one lent.
+    /// Answers a need. Returns `None` for a late or duplicate need, and also while a new lender lends nothing, so that
+    /// a borrower keeps what the previous lender lent.
     ///
-    /// When more is wanted than there is, each gets in proportion to what it wants, so that the first to
-    /// ask doesn't keep all of it.
+    /// When borrowers request more than the limit, each gets credits in proportion to its request, so that the
+    /// first one to ask doesn't keep all of them.
     #[must_use]
     pub fn handle_need(
         &mut self,
         now: clock::Instant,
-        by: &record::Incarnation,
+        borrower: &record::Incarnation,
         need: Need,
     ) -> Option<Lend> {
-        if now < self.quiet_until {
+        if now < self.silent_until {
             return None;
         }
         self.expire(now);
-        let mut loan = match self.loans.get(by) {
-            Some(loan) if need.number <= loan.number => return None,
-            _ => self.take_out(by),
+        let mut loan = match self.loans.get(borrower) {
+            Some(loan) if need.number <= loan.last_need => return None,
+            _ => self.remove_loan(borrower),
         };
-        loan.number = need.number;
-        loan.wanted = need.hold;
-        // It holds no more than it wants since it sent this, and takes no answer to an earlier need.
-        for promise in &mut loan.promises {
-            promise.hold = promise.hold.min(need.hold);
+        loan.last_need = need.number;
+        loan.requested = need.hold;
+        // Since it sent this need, the borrower holds no more than it requests here, and it ignores the answers to
+        // earlier needs.
+        for grant in &mut loan.grants {
+            grant.hold = grant.hold.min(need.hold);
         }
-        let hold = self.share(need.hold);
+        let hold = self.allocation(need.hold);
         let until = now.after(self.options.lease).after(self.options.margin);
-        loan.promises.retain(|promise| promise.hold > hold);
-        loan.promises.push(Promise { hold, until });
-        self.put_back(by, loan);
+        loan.grants.retain(|grant| grant.hold > hold);
+        loan.grants.push(Grant { hold, until });
+        self.insert_loan(borrower, loan);
         Some(Lend {
             hold,
             number: need.number,
@@ -169,60 +178,63 @@
         })
     }
 
-    /// What a borrower that wants `hold` may have, its own loan taken out.
-    fn share(&self, hold: u32) -> u32 {
+    /// Returns how many credits a borrower that requests `hold` may have. The totals must not include its own loan.
+    fn allocation(&self, hold: u32) -> u32 {
         let limit = u64::from(self.limit);
         let free = limit.saturating_sub(self.lent);
-        let wanted = self.wanted + u64::from(hold);
+        let requested = self.requested + u64::from(hold);
         let mut share = u64::from(hold);
-        if wanted > limit {
-            share = (share * limit / wanted).max(u64::from(hold.min(1)));
+        if requested > limit {
+            share = (share * limit / requested).max(u64::from(hold.min(1)));
         }
         u32::try_from(share.min(free)).unwrap_or(u32::MAX)
     }
 
     fn expire(&mut self, now: clock::Instant) {
-        while let Some((until, by)) = self.ends.first().cloned() {
+        while let Some((until, borrower)) = self.expiries.first().cloned() {
             if until > now {
                 break;
             }
-            let mut loan = self.take_out(&by);
-            loan.promises.retain(|promise| promise.until > now);
-            if !loan.promises.is_empty() {
-                self.put_back(&by, loan);
+            let mut loan = self.remove_loan(&borrower);
+            loan.grants.retain(|grant| grant.until > now);
+            if !loan.grants.is_empty() {
+                self.insert_loan(&borrower, loan);
             }
         }
     }
 
-    fn take_out(&mut self, by: &record::Incarnation) -> Loan {
-        let loan = self.loans.remove(by).unwrap_or_default();
+    fn remove_loan(&mut self, borrower: &record::Incarnation) -> Loan {
+        let loan = self.loans.remove(borrower).unwrap_or_default();
         self.lent -= u64::from(loan.held());
-        self.wanted -= u64::from(loan.wanted);
-        if let Some(first) = loan.promises.first() {
-            self.ends.remove(&(first.until, by.clone()));
+        self.requested -= u64::from(loan.requested);
+        if let Some(first) = loan.grants.first() {
+            self.expiries.remove(&(first.until, borrower.clone()));
         }
         loan
     }
 
-    fn put_back(&mut self, by: &record::Incarnation, loan: Loan) {
+    fn insert_loan(&mut self, borrower: &record::Incarnation, loan: Loan) {
         self.lent += u64::from(loan.held());
-        self.wanted += u64::from(loan.wanted);
-        if let Some(first) = loan.promises.first() {
-            self.ends.insert((first.until, by.clone()));
+        self.requested += u64::from(loan.requested);
+        if let Some(first) = loan.grants.first() {
+            self.expiries.insert((first.until, borrower.clone()));
         }
-        debug_assert!(loan.last().is_some(), "a loan has an end");
-        self.loans.insert(by.clone(), loan);
+        debug_assert!(
+            loan.last_expiry().is_some(),
+            "a loan has at least one grant"
+        );
+        self.loans.insert(borrower.clone(), loan);
     }
 }
 
-/// An instance that uses credits of one limit.
+/// The credits of one limit at an instance that uses them.
 #[derive(Clone, Debug)]
 pub struct Borrower {
     hold: u32,
-    until: clock::Instant,
+    lease_end: clock::Instant,
     in_use: u32,
-    number: u64,
-    asked: Option<clock::Instant>,
+    last_need: u64,
+    requested_at: Option<clock::Instant>,
 }
 
 impl Default for Borrower {
@@ -232,62 +244,62 @@
 }
 
 impl Borrower {
-    /// Holds nothing.
+    /// Creates a borrower that holds no credits.
     #[must_use]
     pub fn new() -> Self {
         Self {
             hold: 0,
-            until: clock::Instant::default(),
+            lease_end: clock::Instant::default(),
             in_use: 0,
-            number: 0,
-            asked: None,
+            last_need: 0,
+            requested_at: None,
         }
     }
 
-    /// Asks to hold so many in all; to be sent at once, and again while they are needed, well within the
-    /// lease. It never asks for less than it has in use.
+    /// Creates a request to hold `hold` credits in total. It must be sent at once, and repeated well within the lease
+    /// while the credits are needed. It never requests fewer credits than are in use.
     #[must_use]
     pub fn request_credits(&mut self, now: clock::Instant, hold: u32) -> Need {
         let hold = hold.max(self.in_use);
         self.hold = self.hold.min(hold);
-        self.number += 1;
-        self.asked = Some(now);
+        self.last_need += 1;
+        self.requested_at = Some(now);
         Need {
             hold,
-            number: self.number,
+            number: self.last_need,
         }
     }
 
-    /// Takes the home's answer; `false` when it is late or doubled.
+    /// Applies the lender's answer. Returns `false` when it is late or a duplicate.
     pub fn handle_lend(&mut self, lend: Lend) -> bool {
-        if lend.number != self.number {
+        if lend.number != self.last_need {
             return false;
         }
-        let Some(asked) = self.asked.take() else {
+        let Some(requested_at) = self.requested_at.take() else {
             return false;
         };
         self.hold = lend.hold;
-        self.until = asked.after(lend.lease);
+        self.lease_end = requested_at.after(lend.lease);
         true
     }
 
-    /// How many it holds now, used or not.
+    /// Returns the number of credits held now, whether in use or not.
     #[must_use]
     pub fn held(&self, now: clock::Instant) -> u32 {
-        match now < self.until {
+        match now < self.lease_end {
             true => self.hold,
             false => 0,
         }
     }
 
-    /// How many are in use, also after their lease ended.
+    /// Returns the number of credits in use, including those whose lease has ended.
     #[must_use]
     pub fn in_use(&self) -> u32 {
         self.in_use
     }
 
-    /// Takes a credit into use; `false` when none is left. To be asked last thing before the use: the
-    /// margin of the lease covers a short pause between the two, not a long one.
+    /// Takes a credit for use. Returns `false` when none is left. It must be called immediately before the use: the
+    /// margin of the lease covers a short pause between the two, but not a long one.
     #[must_use]
     pub fn try_acquire(&mut self, now: clock::Instant) -> bool {
         if self.in_use >= self.held(now) {
@@ -297,9 +309,9 @@
         true
     }
 
-    /// Gives a credit back after its use.
+    /// Returns a credit after its use.
     pub fn release(&mut self) {
-        debug_assert!(self.in_use > 0, "a credit is given back once");
+        debug_assert!(self.in_use > 0, "a credit was released that was not in use");
         self.in_use = self.in_use.saturating_sub(1);
     }
 }
--- a/crates/fireflywheel/src/estimate.rs
+++ b/crates/fireflywheel/src/estimate.rs
@@ -1,28 +1,29 @@
-//! How long requests and loads take, from what was measured: the base of refusing at once what would be late.
+//! Estimates of how long requests and model loads take, from measured durations. Admission uses them to refuse a
+//! request at once that would miss its deadline.
 
 use std::time::Duration;
 
-/// Share of a new sample in the mean, as in the round-trip estimate of TCP.
+/// The weight of a new sample in the mean, as in the round-trip time estimate of TCP.
 const MEAN_GAIN: f64 = 0.125;
-/// Share of a new sample in the deviation.
+/// The weight of a new sample in the deviation.
 const DEVIATION_GAIN: f64 = 0.25;
-/// A sample is taken as at most this many deviations above the mean. One request that hung for a minute
-/// would otherwise raise the estimate past every deadline, and callers would be refused for nothing until it
-/// had worn off. Repeated high samples widen the deviation, so a real change is followed within a few.
-const SAMPLE_DEVIATIONS: f64 = 4.0;
-/// Deviations added to the mean by [`Estimate::upper_bound`].
-const CAUTION_DEVIATIONS: f64 = 2.0;
-/// [`Estimate::upper_bound`] is at most this many times the mean, so that a scattered service time doesn't turn
-/// into refusals of what would mostly have been in time.
-const CAUTION_LIMIT: f64 = 2.0;
-/// The first deviation, as a share of the expected time.
-const FIRST_DEVIATION: f64 = 0.25;
-/// A deviation is at least this share of the mean, so that the bound on samples can always widen.
-const LEAST_DEVIATION: f64 = 0.05;
-/// The least mean, in seconds.
-const LEAST_MEAN: f64 = 0.000_1;
+/// The number of deviations above the mean to which a sample is clamped. Otherwise one request that hung for a
+/// minute would raise the estimate past every deadline, and callers would be refused needlessly until it had
+/// decayed. Repeated high samples widen the deviation, so the estimate follows a real change within a few samples.
+const MAX_SAMPLE_DEVIATIONS: f64 = 4.0;
+/// The number of deviations that are added to the mean by [`Estimate::upper_bound`].
+const UPPER_BOUND_DEVIATIONS: f64 = 2.0;
+/// The largest ratio of [`Estimate::upper_bound`] to the mean. With widely scattered service times, a larger bound
+/// would refuse requests of which most would have been in time.
+const MAX_UPPER_BOUND_RATIO: f64 = 2.0;
+/// The initial deviation, as a fraction of the expected duration.
+const INITIAL_DEVIATION_RATIO: f64 = 0.25;
+/// The smallest deviation, as a fraction of the mean, so that the clamp on samples can always widen.
+const MIN_DEVIATION_RATIO: f64 = 0.05;
+/// The smallest mean, in seconds.
+const MIN_MEAN_SECONDS: f64 = 0.000_1;
 
-/// An exponentially weighted mean and deviation of a duration.
+/// An exponentially weighted moving average of a duration and of its deviation, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     mean: f64,
@@ -30,51 +31,51 @@
 }
 
 impl Estimate {
-    /// Starts from the time that the document expects.
+    /// Creates an estimate that starts at the duration expected by the serving document.
     #[must_use]
     pub fn new(expected: Duration) -> Self {
-        let mean = expected.as_secs_f64().max(LEAST_MEAN);
+        let mean = expected.as_secs_f64().max(MIN_MEAN_SECONDS);
         Self {
             mean,
-            deviation: mean * FIRST_DEVIATION,
+            deviation: mean * INITIAL_DEVIATION_RATIO,
         }
     }
 
-    /// Takes a measured time in.
+    /// Updates the estimate with a measured duration.
     pub fn observe(&mut self, sample: Duration) {
-        let highest = self.mean + SAMPLE_DEVIATIONS * self.deviation;
-        let sample = sample.as_secs_f64().min(highest);
+        let max_sample = self.mean + MAX_SAMPLE_DEVIATIONS * self.deviation;
+        let sample = sample.as_secs_f64().min(max_sample);
         let error = sample - self.mean;
-        self.mean = (self.mean + MEAN_GAIN * error).max(LEAST_MEAN);
+        self.mean = (self.mean + MEAN_GAIN * error).max(MIN_MEAN_SECONDS);
         self.deviation += DEVIATION_GAIN * (error.abs() - self.deviation);
-        self.deviation = self.deviation.max(self.mean * LEAST_DEVIATION);
+        self.deviation = self.deviation.max(self.mean * MIN_DEVIATION_RATIO);
     }
 
-    /// The expected time.
+    /// Returns the expected duration.
     #[must_use]
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean)
     }
 
-    /// A time that is seldom exceeded, at most twice the mean.
+    /// Returns a duration that is rarely exceeded, at most twice the mean.
     #[must_use]
     pub fn upper_bound(&self) -> Duration {
-        let cautious = self.mean + CAUTION_DEVIATIONS * self.deviation;
-        Duration::from_secs_f64(cautious.min(self.mean * CAUTION_LIMIT))
+        let bound = self.mean + UPPER_BOUND_DEVIATIONS * self.deviation;
+        Duration::from_secs_f64(bound.min(self.mean * MAX_UPPER_BOUND_RATIO))
     }
 
-    /// How long a request waits for a slot when `ahead` others go first and all `slots` are taken; zero
-    /// slots count as one. For a request that finds a free slot, don't ask.
+    /// Returns how long a request waits for a slot when `ahead` other requests are served first and all `slots` are
+    /// in use; zero slots count as one. It doesn't apply to a request that finds a free slot.
     ///
-    /// The mean is used here: over many requests deviations cancel out, and the cautious time of each would
-    /// add up to a refusal of what would have been in time.
+    /// This uses the mean: over many requests the deviations cancel out, whereas the sum of their upper bounds
+    /// would refuse requests that would have been in time.
     #[must_use]
     pub fn queue_wait(&self, ahead: usize, slots: u32) -> Duration {
-        let turns = (ahead as f64 + 1.0) / f64::from(slots.max(1));
-        seconds(self.mean * turns)
+        let rounds = (ahead as f64 + 1.0) / f64::from(slots.max(1));
+        saturating_duration(self.mean * rounds)
     }
 
-    /// How long until a request with `ahead` others before it has its whole answer.
+    /// Returns the time until a request with `ahead` others before it is fully answered.
     #[must_use]
     pub fn completion_time(&self, ahead: usize, slots: u32) -> Duration {
         self.queue_wait(ahead, slots)
@@ -82,7 +83,7 @@
     }
 }
 
-/// A duration that saturates in place of a panic.
-fn seconds(seconds: f64) -> Duration {
+/// Converts seconds to a duration; saturates instead of panicking when they don't fit.
+fn saturating_duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
--- a/crates/fireflywheel/src/placement/mod.rs
+++ b/crates/fireflywheel/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! What stays loaded, what is unloaded, and what is loaded first and where: the trade of tail cold-start
-//! time against idle accelerator hours.
+//! The placement policy: which replicas stay loaded, which are unloaded, and which items are loaded first and on
+//! which backend server. It trades tail cold-start time against idle accelerator hours.
 //!
-//! The policy decides only; rights and orders are the steward's. All of it follows from one figure, the
-//! break-even time of a replica: how long it may idle before that costs as much as loading it again.
+//! The policy only makes decisions; the steward manages rights and sends orders. The policy is based on the
+//! break-even time of a replica: how long the replica may idle before that costs as much as loading it again.
 
 mod rate;
 
@@ -14,30 +14,30 @@
 
 pub use rate::{IdleTimes, Rate};
 
-/// At weight one half, a second that a caller waits for a load costs as much as this many seconds in which
-/// the replica's memory idles.
-const WAIT_PRICE: f64 = 20.0;
-/// Deadlines within one such step count as equal when cold items are ordered.
-const DEADLINE_STEP: Duration = Duration::from_millis(250);
-/// Loads are placed with the next uses within so long in view.
-const HORIZON_S: f64 = 300.0;
-/// Keeps rates finite.
-const LEAST_GAP: f64 = 0.001;
+/// The cost of a second for which a caller waits for a load, in seconds for which the replica's memory idles, at a
+/// weight of one half.
+const WAIT_COST_RATIO: f64 = 20.0;
+/// The width of the buckets within which deadlines count as equal when cold items are ordered.
+const DEADLINE_BUCKET: Duration = Duration::from_millis(250);
+/// How far ahead the expected uses of a replica count against its eviction, in seconds.
+const LOSS_HORIZON_SECONDS: f64 = 300.0;
+/// The smallest gap between arrivals, in seconds, which keeps rates finite.
+const MIN_GAP_SECONDS: f64 = 0.001;
 
-/// Where the nearest checkpoint lies, the fastest first.
+/// Where the nearest checkpoint of an item is stored, ordered from the fastest source to the slowest.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
     /// In the host memory of the backend server.
     Memory,
-    /// On its disk.
+    /// On the disk of the backend server.
     Disk,
     /// In the weight store.
     Remote,
 }
 
 impl Source {
-    /// About which part of the time from the weight store a load takes.
+    /// Returns the approximate ratio of the load time from this source to the load time from the weight store.
     #[must_use]
     pub fn load_time_ratio(self) -> f64 {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The value of `source` in an order.
+    /// Returns the value of `source` in an order.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -61,99 +61,101 @@
 /// A loaded replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Replica<K> {
-    /// The caller's name for it.
+    /// The key by which the caller identifies the replica.
     pub key: K,
-    /// The memory it takes.
+    /// The memory that the replica uses, in MB.
     pub memory_mb: u64,
-    /// How long it would take to load it again.
+    /// The time that it would take to load the replica again.
     pub load: Duration,
-    /// How often its item is asked for.
+    /// The request rate of the replica's item.
     pub rate: Rate,
-    /// Since when it has had no request in progress or waiting; `None` while it has one.
+    /// Since when the replica has had no request in progress or waiting; `None` while it has one.
     pub idle_since: Option<clock::Instant>,
 }
 
 /// A backend server on which an item may be loaded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate<K> {
-    /// The caller's name for it.
+    /// The key by which the caller identifies the backend server.
     pub key: K,
-    /// Memory that no right holds.
+    /// The memory that no right holds, in MB.
     pub free_mb: u64,
-    /// Whether it already holds the item, or has been ordered to.
+    /// Whether the server already holds the item, or was ordered to load it.
     pub holds: bool,
-    /// Where the item's checkpoint lies for it.
+    /// The nearest checkpoint of the item for this server.
     pub source: Source,
-    /// Loads in progress on it.
+    /// The number of loads in progress on the server.
     pub loading: u32,
-    /// Requests running on it.
+    /// The number of requests running on the server.
     pub running: u32,
 }
 
-/// A backend server with its replicas, of which some may have to go.
+/// A backend server with the replicas that may be unloaded to make room.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerReplicas<S, K> {
-    /// The caller's name for the backend server.
+    /// The key by which the caller identifies the backend server.
     pub server: S,
-    /// Memory that no right holds.
+    /// The memory that no right holds, in MB.
     pub free_mb: u64,
-    /// What may be unloaded there.
+    /// The replicas that may be unloaded.
     pub replicas: Vec<Replica<K>>,
 }
 
-/// What has to be unloaded to make room.
+/// The replicas that are unloaded on one backend server to make room.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Eviction<S, K> {
-    /// The backend server.
+    /// The key of the backend server.
     pub server: S,
-    /// What is unloaded there, in this order.
+    /// The keys of the unloaded replicas, in the order in which they are unloaded.
     pub victims: Vec<K>,
-    /// The seconds of callers' waiting that this is expected to cost before long.
+    /// The time that callers are expected to wait because of this within the next few minutes, in seconds.
     pub loss: f64,
 }
 
 /// A cold item that callers wait for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdItem<K> {
-    /// The caller's name for it.
+    /// The key by which the caller identifies the item.
     pub key: K,
-    /// The first deadline of those who wait.
+    /// The earliest deadline of the waiting callers.
     pub deadline: clock::Instant,
-    /// How many wait.
+    /// The number of waiting callers.
     pub waiting: u32,
-    /// How long the load should take.
+    /// The expected load time.
     pub load: Duration,
 }
 
-/// The policy under one setting.
+/// A placement policy with its settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
+    /// The weight of cold-start time against idle accelerator hours, from 0 to 1.
     weight: f64,
     rule: Rule,
 }
 
-/// By what a policy unloads.
+/// How a policy selects the replicas that it unloads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Rule {
-    /// By the wait saved for the memory held: what runs.
-    Worth,
-    /// What was used least recently, when memory is needed. A measure for comparison.
+    /// By the waiting time that a replica saves for the memory that it uses. This rule is the one in production.
+    CostAware,
+    /// The least recently used replica goes first, when memory is needed. A baseline for comparison.
     LeastRecentlyUsed,
-    /// After a fixed idle time. A measure for comparison.
+    /// Each replica goes after a fixed idle time. A baseline for comparison.
     OnDemand(Duration),
 }
 
 impl Policy {
-    /// Takes `cold_start_weight`: 1 minds only tail cold-start time, 0 only idle accelerator hours.
+    /// Creates a policy from the setting `cold_start_weight`: 1 considers only tail cold-start time, 0 only idle
+    /// accelerator hours.
     #[must_use]
     pub fn new(weight: f64) -> Self {
         Self {
             weight: weight.clamp(0.0, 1.0),
-            rule: Rule::Worth,
+            rule: Rule::CostAware,
         }
     }
 
-    /// Plain least-recently-used, which tests compare with: loaded until memory is needed.
+    /// Creates the least-recently-used baseline of the tests, which keeps replicas loaded until memory is needed.
     #[must_use]
     pub fn least_recently_used() -> Self {
         Self {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Plain load on demand, which tests compare with: unloaded after a fixed idle time.
+    /// Creates the load-on-demand baseline of the tests, which unloads replicas after a fixed idle time.
     #[must_use]
     pub fn on_demand(idle: Duration) -> Self {
         Self {
@@ -171,23 +173,23 @@
         }
     }
 
-    /// How long a replica may idle before that costs as much as a load; `None`: for ever.
+    /// Returns how long a replica may idle before that costs as much as a load, or `None` for no limit.
     ///
-    /// A load holds the memory for its own time and makes a caller wait as long.
+    /// A load occupies the memory for the load time and makes a caller wait for the same time.
     #[must_use]
-    pub fn break_even(&self, load: Duration) -> Option<Duration> {
+    pub fn break_even_time(&self, load: Duration) -> Option<Duration> {
         if self.weight >= 1.0 {
             return None;
         }
-        let price = WAIT_PRICE * self.weight / (1.0 - self.weight);
-        Duration::try_from_secs_f64(load.as_secs_f64() * (1.0 + price)).ok()
+        let wait_cost = WAIT_COST_RATIO * self.weight / (1.0 - self.weight);
+        Duration::try_from_secs_f64(load.as_secs_f64() * (1.0 + wait_cost)).ok()
     }
 
-    /// Whether an idle replica is unloaded though nothing needs its memory yet.
+    /// Returns whether an idle replica is unloaded although nothing needs its memory yet.
     ///
-    /// With few idle times known, it idles for the break-even time, which costs at most twice what a policy
-    /// that knew the next arrival would spend. With more known, it idles for as long as would have cost least
-    /// over those.
+    /// While few idle times are known, a replica may idle for the break-even time, which costs at most twice as much
+    /// as a policy that knows the next arrival. Once more are known, it may idle for the time that would have cost
+    /// least over the known idle times.
     #[must_use]
     pub fn should_unload_idle<K>(&self, now: clock::Instant, replica: &Replica<K>) -> bool {
         let Some(since) = replica.idle_since else {
@@ -196,31 +198,33 @@
         if let Rule::OnDemand(idle) = self.rule {
             return now.since(since) >= idle;
         }
-        let Some(break_even) = self.break_even(replica.load) else {
+        let Some(break_even_time) = self.break_even_time(replica.load) else {
             return false;
         };
-        let break_even = break_even.as_secs_f64();
-        let patience = replica.rate.max_idle_seconds(break_even);
-        now.since(since).as_secs_f64() >= patience
+        let break_even_time = break_even_time.as_secs_f64();
+        let max_idle = replica.rate.max_idle_seconds(break_even_time);
+        now.since(since).as_secs_f64() >= max_idle
     }
 
-    /// The seconds of callers' waiting that an hour of a GB for this replica is expected to save.
+    /// Returns the waiting time of callers that the replica is expected to save for each GB and hour, in seconds.
+    ///
+    /// The baselines return a number that is smaller the longer the replica has been idle.
     #[must_use]
     pub fn savings<K>(&self, now: clock::Instant, replica: &Replica<K>) -> f64 {
         const SECONDS_PER_HOUR: f64 = 3600.0;
         const MB_PER_GB: f64 = 1024.0;
-        if self.rule != Rule::Worth {
+        if self.rule != Rule::CostAware {
             let idle = replica
                 .idle_since
                 .map_or(Duration::ZERO, |since| now.since(since));
-            return 1.0 / idle.as_secs_f64().max(LEAST_GAP);
+            return 1.0 / idle.as_secs_f64().max(MIN_GAP_SECONDS);
         }
         let gigabytes = replica.memory_mb.max(1) as f64 / MB_PER_GB;
-        let arrivals = replica.rate.expected(now) * SECONDS_PER_HOUR;
+        let arrivals = replica.rate.expected_per_second(now) * SECONDS_PER_HOUR;
         arrivals * replica.load.as_secs_f64() / gigabytes
     }
 
-    /// The idle replicas in the order in which they are given up: the one that saves least first.
+    /// Returns the idle replicas in the order of their eviction: the one that saves least goes first.
     #[must_use]
     pub fn eviction_order<K>(&self, now: clock::Instant, replicas: &[Replica<K>]) -> Vec<K>
     where
@@ -236,11 +240,11 @@
         order.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// The backend server on which an item of `memory_mb` is loaded; `None` when none has the room, see
-    /// [`Self::plan_eviction`].
+    /// Chooses the backend server on which an item of `memory_mb` is loaded. Returns `None` when no server has enough
+    /// free memory; see [`Self::plan_eviction`].
     ///
-    /// The nearest checkpoint first, then the fewest loads and requests in the way, then the tightest fit,
-    /// so that room for large models remains.
+    /// The nearest checkpoint comes first, then the fewest loads in progress, then the fewest running requests, then
+    /// the tightest fit, which leaves room for large models.
     #[must_use]
     pub fn choose_server<K>(&self, memory_mb: u64, candidates: &[Candidate<K>]) -> Option<K>
     where
@@ -261,8 +265,8 @@
             .map(|candidate| candidate.key)
     }
 
-    /// What is unloaded, and where, so that `memory_mb` fit: where the least is lost. Only idle replicas
-    /// are given up.
+    /// Selects the backend server and the replicas to unload there so that `memory_mb` fit, with the smallest loss.
+    /// Only idle replicas are evicted. Returns `None` when no server can free enough memory.
     #[must_use]
     pub fn plan_eviction<S, K>(
         &self,
@@ -274,47 +278,48 @@
         S: Copy + Ord,
         K: Copy + Ord,
     {
-        let rooms = servers
+        let evictions = servers
             .iter()
-            .filter_map(|server| self.victims(now, memory_mb, server));
-        rooms.min_by(|a, b| a.loss.total_cmp(&b.loss).then(a.server.cmp(&b.server)))
+            .filter_map(|server| self.select_victims(now, memory_mb, server));
+        evictions.min_by(|a, b| a.loss.total_cmp(&b.loss).then(a.server.cmp(&b.server)))
     }
 
-    /// What a load costs where it takes `load`, and `loss` is given up for it: the smallest is the best place.
-    /// A measure for comparison doesn't look at checkpoints once it has to make room.
+    /// Returns the cost of a load that takes `load` and requires an eviction with this `loss`. The server with the
+    /// smallest cost is the best one. The baselines ignore where checkpoints are stored once they must make room.
     #[must_use]
     pub fn cost(&self, load: Duration, waiting: u32, loss: f64) -> f64 {
         match self.rule {
-            Rule::Worth => load.as_secs_f64() * f64::from(waiting.max(1)) + loss,
+            Rule::CostAware => load.as_secs_f64() * f64::from(waiting.max(1)) + loss,
             Rule::LeastRecentlyUsed | Rule::OnDemand(_) => loss,
         }
     }
 
-    /// The order in which cold items are loaded.
+    /// Returns the order in which cold items are loaded.
     ///
-    /// Deadline first, less the time of the load; among near equals what keeps most callers waiting. What
-    /// would come too late for all who wait goes last, so that it doesn't make others late as well.
+    /// Items are ordered by the latest time at which the load must start to meet the deadline. Among items that are
+    /// nearly equal, the one with the most waiting callers comes first. Items that would miss their deadline come
+    /// last, so that they don't make others late as well.
     #[must_use]
-    pub fn load_order<K>(&self, now: clock::Instant, wants: &[ColdItem<K>]) -> Vec<K>
+    pub fn load_order<K>(&self, now: clock::Instant, items: &[ColdItem<K>]) -> Vec<K>
     where
         K: Copy + Ord,
     {
-        let mut order: Vec<_> = wants
+        let mut order: Vec<_> = items
             .iter()
-            .map(|want| {
-                let late = now.after(want.load) > want.deadline;
-                let start = want
+            .map(|item| {
+                let is_late = now.after(item.load) > item.deadline;
+                let latest_start = item
                     .deadline
-                    .since(clock::Instant::default().after(want.load));
-                let step = start.as_millis() / DEADLINE_STEP.as_millis();
-                (late, step, Reverse(want.waiting), want.key)
+                    .since(clock::Instant::default().after(item.load));
+                let bucket = latest_start.as_millis() / DEADLINE_BUCKET.as_millis();
+                (is_late, bucket, Reverse(item.waiting), item.key)
             })
             .collect();
         order.sort_unstable();
         order.into_iter().map(|(.., key)| key).collect()
     }
 
-    fn victims<S, K>(
+    fn select_victims<S, K>(
         &self,
         now: clock::Instant,
         memory_mb: u64,
@@ -338,12 +343,12 @@
         if freed < missing {
             return None;
         }
-        // What went first may turn out not to be needed beside a larger one that went later.
-        for place in (0..victims.len()).rev() {
-            let memory_mb = victims[place].memory_mb;
+        // A victim chosen early may be unnecessary once a larger one was chosen after it.
+        for index in (0..victims.len()).rev() {
+            let memory_mb = victims[index].memory_mb;
             if freed - memory_mb >= missing {
                 freed -= memory_mb;
-                victims.remove(place);
+                victims.remove(index);
             }
         }
         Some(Eviction {
@@ -353,17 +358,18 @@
         })
     }
 
-    /// The wait that is expected within the horizon for want of these replicas, in seconds.
+    /// Returns the time that callers are expected to wait within the horizon because these replicas are unloaded, in
+    /// seconds. The baselines return the highest value of [`Self::savings`] instead.
     fn loss<K>(&self, now: clock::Instant, victims: &[&Replica<K>]) -> f64 {
         let losses = victims.iter().map(|replica| match self.rule {
-            Rule::Worth => {
-                let uses = replica.rate.expected(now) * HORIZON_S;
+            Rule::CostAware => {
+                let uses = replica.rate.expected_per_second(now) * LOSS_HORIZON_SECONDS;
                 replica.load.as_secs_f64() * uses
             }
             Rule::LeastRecentlyUsed | Rule::OnDemand(_) => self.savings(now, replica),
         });
         match self.rule {
-            Rule::Worth => losses.sum(),
+            Rule::CostAware => losses.sum(),
             Rule::LeastRecentlyUsed | Rule::OnDemand(_) => losses.fold(0.0, f64::max),
         }
     }
--- a/crates/fireflywheel/src/placement/rate.rs
+++ b/crates/fireflywheel/src/placement/rate.rs
@@ -1,128 +1,137 @@
-//! How often items are used, and how long they idle in between.
+//! Request rates of items, and their idle times between requests.
 
 use std::time::Duration;
 
-use super::LEAST_GAP;
+use super::MIN_GAP_SECONDS;
 use crate::clock;
 
-/// Share of a new gap between arrivals in their mean.
-const GAP_GAIN: f64 = 0.3;
-/// Gaps that must be known before an idle replica is unloaded ahead of its break-even time.
-const KNOWN_GAPS: f64 = 3.0;
-/// Idle times fall into classes, each longer than the one before by [`GAP_STEP`]; the first ends at one second.
-const GAP_CLASSES: usize = 32;
-const GAP_STEP: f64 = std::f64::consts::SQRT_2;
-/// Share of what is known of idle times that each new one leaves, so that old habits wear off.
-const GAP_MEMORY: f64 = 0.95;
-/// All items together count as this many idle times of one item.
-const SHARED_GAPS: f64 = 10.0;
-/// So many idle times of all items speak for themselves.
-const MANY_GAPS: f64 = 15.0;
-/// A replica with well spaced arrivals idles at least this share of its break-even time.
-const LEAST_PATIENCE: f64 = 0.1;
-/// A replica in steady use idles at most this many times its break-even time.
-const MOST_PATIENCE: f64 = 1.5;
-/// Arrivals of about so long tell how popular something is.
-const POPULARITY: Duration = Duration::from_secs(1800);
-/// What the time since the last arrival counts for beside that.
-const RECENCY: f64 = 0.3;
-
-/// How long something idled until it was used again: how often for how long, the newest counting most.
+/// The weight of a new gap between arrivals in the mean gap.
+const MEAN_GAP_GAIN: f64 = 0.3;
+/// The number of idle times that must be known before they replace the break-even time as the idle limit.
+const MIN_KNOWN_GAPS: f64 = 3.0;
+/// The number of histogram buckets for idle times. The first bucket ends at one second, and each further one ends
+/// [`GAP_BUCKET_RATIO`] times as late as the one before.
+const GAP_BUCKETS: usize = 32;
+/// The ratio between the ends of two adjacent buckets.
+const GAP_BUCKET_RATIO: f64 = std::f64::consts::SQRT_2;
+/// The factor by which each new idle time reduces the weight of the older ones, so that old usage patterns fade.
+const GAP_DECAY: f64 = 0.95;
+/// The weight of the idle times of all items, as a number of idle times of one item.
+const SHARED_GAPS_WEIGHT: f64 = 10.0;
+/// The number of shared idle times from which they are not padded with long ones.
+const MIN_SHARED_GAPS: f64 = 15.0;
+/// The smallest idle limit, as a fraction of the break-even time; applies to replicas with widely spaced arrivals.
+const MIN_IDLE_RATIO: f64 = 0.1;
+/// The largest idle limit, as a multiple of the break-even time; applies to replicas in steady use.
+const MAX_IDLE_RATIO: f64 = 1.5;
+/// The time constant with which arrivals decay in the long-term request rate.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1800);
+/// The weight of the short-term rate, which follows the time since the last arrival, relative to the long-term rate.
+const SHORT_TERM_WEIGHT: f64 = 0.3;
+
+/// A histogram of how long items idled until they were used again, in which the newest idle times have the most
+/// weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct IdleTimes {
-    counts: [f64; GAP_CLASSES],
+    counts: [f64; GAP_BUCKETS],
 }
 
 impl IdleTimes {
-    /// Takes an idle time in.
+    /// Records an idle time.
     pub fn observe(&mut self, gap: Duration) {
         for count in &mut self.counts {
-            *count *= GAP_MEMORY;
+            *count *= GAP_DECAY;
         }
-        let class = (0..GAP_CLASSES - 1).find(|class| gap.as_secs_f64() <= class_end(*class));
-        self.counts[class.unwrap_or(GAP_CLASSES - 1)] += 1.0;
+        let bucket = (0..GAP_BUCKETS - 1).find(|bucket| gap.as_secs_f64() <= bucket_end(*bucket));
+        self.counts[bucket.unwrap_or(GAP_BUCKETS - 1)] += 1.0;
     }
 
-    /// How many are known, less what wore off.
-    fn known(&self) -> f64 {
+    /// Returns the number of known idle times, less those that have decayed.
+    fn count(&self) -> f64 {
         self.counts.iter().sum()
     }
 
-    /// With those of all items as a few more.
+    /// Adds the idle times of all items, with the weight of a few idle times of this item.
     ///
-    /// A new steward sees the short ones end first. Taken alone, they would speak for much patience, and each
-    /// change of steward would cost idle hours. So until it has seen many, the rest counts as long.
+    /// A new steward sees short idle times end first. Used alone, they would lead to a high idle limit, and each
+    /// change of steward would cost idle hours. Until [`MIN_SHARED_GAPS`] are known, the missing ones therefore count
+    /// as long idle times.
     #[must_use]
     pub fn with_shared(mut self, shared: &Self) -> Self {
-        let known = shared.known();
-        let long = (MANY_GAPS - known).max(0.0);
-        let share = SHARED_GAPS / (known + long);
+        let known_count = shared.count();
+        let long = (MIN_SHARED_GAPS - known_count).max(0.0);
+        let share = SHARED_GAPS_WEIGHT / (known_count + long);
         for (count, other) in self.counts.iter_mut().zip(shared.counts) {
             *count += other * share;
         }
-        self.counts[GAP_CLASSES - 1] += long * share;
+        self.counts[GAP_BUCKETS - 1] += long * share;
         self
     }
 
-    /// The patience in seconds, from `least` to `most`, that would have cost least over these idle times: of
-    /// each the time idled, and the break-even time where patience ended before it did.
-    fn best_patience(&self, break_even: f64, least: f64, most: f64) -> f64 {
-        let ends = (0..GAP_CLASSES - 1).map(class_end);
-        let between = ends.filter(|end| (least..most).contains(end));
-        let mut best = (f64::INFINITY, most);
-        for patience in between.chain([least, most]) {
-            let cost = self.cost(patience, break_even);
-            if cost < best.0 || cost == best.0 && patience > best.1 {
-                best = (cost, patience);
+    /// Returns the idle limit from `min` to `max`, in seconds, that would have cost least over these idle times; the
+    /// longest one among equals. Each idle time costs the time spent idle, and in addition the break-even time if the
+    /// limit was reached first.
+    fn best_idle_limit(&self, break_even: f64, min: f64, max: f64) -> f64 {
+        let ends = (0..GAP_BUCKETS - 1).map(bucket_end);
+        let between = ends.filter(|end| (min..max).contains(end));
+        let mut best = (f64::INFINITY, max);
+        for idle_limit in between.chain([min, max]) {
+            let cost = self.cost(idle_limit, break_even);
+            if cost < best.0 || cost == best.0 && idle_limit > best.1 {
+                best = (cost, idle_limit);
             }
         }
         best.1
     }
 
-    fn cost(&self, patience: f64, break_even: f64) -> f64 {
-        /// Idle times lie in the middle of their class.
-        const MIDDLE: f64 = 0.85;
-        let classes = self.counts.iter().enumerate();
-        let costs = classes.map(|(class, count)| {
-            let gap = class_end(class) * MIDDLE;
+    /// Returns the cost of an idle limit over these idle times, in seconds.
+    fn cost(&self, idle_limit: f64, break_even: f64) -> f64 {
+        /// The assumed idle time in a bucket, as a fraction of the bucket's end: about its middle.
+        const BUCKET_MIDDLE_RATIO: f64 = 0.85;
+        let buckets = self.counts.iter().enumerate();
+        let costs = buckets.map(|(bucket, count)| {
+            let gap = bucket_end(bucket) * BUCKET_MIDDLE_RATIO;
             count
-                * if gap <= patience {
+                * if gap <= idle_limit {
                     gap
                 } else {
-                    patience + break_even
+                    idle_limit + break_even
                 }
         });
         costs.sum()
     }
 }
 
-/// The longest idle time of a class, in seconds.
-fn class_end(class: usize) -> f64 {
-    GAP_STEP.powf(class as f64)
+/// Returns the longest idle time of a bucket, in seconds.
+fn bucket_end(bucket: usize) -> f64 {
+    GAP_BUCKET_RATIO.powf(bucket as f64)
 }
 
-/// How often something is asked for: the mean gap between arrivals, which grows while none comes.
+/// The request rate of an item, from the mean gap between arrivals, which grows while no request arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
+    /// The mean gap, in seconds.
     gap: f64,
+    /// The number of gaps observed.
     gaps: u32,
+    /// The time of the last arrival.
     last: Option<clock::Instant>,
     idle: IdleTimes,
-    /// Arrivals, of which old ones wear off within [`POPULARITY`].
+    /// The number of arrivals, decayed exponentially with [`RATE_TIME_CONSTANT`].
     recent: f64,
 }
 
 impl Rate {
-    /// Takes an arrival in.
+    /// Records an arrival.
     pub fn record_arrival(&mut self, now: clock::Instant) {
         if let Some(last) = self.last {
             let since = now.since(last);
-            self.recent *= (-since.as_secs_f64() / POPULARITY.as_secs_f64()).exp();
+            self.recent *= (-since.as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64()).exp();
             self.idle.observe(since);
             let gap = since.as_secs_f64();
             self.gap = match self.gaps {
                 0 => gap,
-                _ => self.gap + GAP_GAIN * (gap - self.gap),
+                _ => self.gap + MEAN_GAP_GAIN * (gap - self.gap),
             };
             self.gaps = self.gaps.saturating_add(1);
         }
@@ -130,49 +139,50 @@
         self.last = Some(now);
     }
 
-    /// Arrivals a second to be expected: those of the last while, and as many as its idle time speaks for.
+    /// Returns the expected arrivals per second: the long-term rate, plus a share of the short-term rate.
     #[must_use]
-    pub fn expected(&self, now: clock::Instant) -> f64 {
+    pub fn expected_per_second(&self, now: clock::Instant) -> f64 {
         let Some(last) = self.last else {
             return 0.0;
         };
-        let while_s = POPULARITY.as_secs_f64();
-        let recent = self.recent * (-now.since(last).as_secs_f64() / while_s).exp();
-        recent / while_s + RECENCY * self.per_second(now)
+        let time_constant = RATE_TIME_CONSTANT.as_secs_f64();
+        let recent = self.recent * (-now.since(last).as_secs_f64() / time_constant).exp();
+        recent / time_constant + SHORT_TERM_WEIGHT * self.per_second(now)
     }
 
-    /// With the idle times of all items beside its own, which are few for what is seldom used.
+    /// Adds the idle times of all items to those of this item, of which a rarely used item has only a few.
     #[must_use]
     pub fn with_shared(mut self, shared: &IdleTimes) -> Self {
         self.idle = self.idle.with_shared(shared);
         self
     }
 
-    /// The mean gap in seconds, at least the time since the last arrival; `None` before the second arrival.
+    /// Returns the mean gap in seconds, at least the time since the last arrival, or `None` before the second arrival.
     #[must_use]
     pub fn mean_gap(&self, now: clock::Instant) -> Option<f64> {
         let last = self.last.filter(|_| self.gaps > 0)?;
         let idle = now.since(last).as_secs_f64();
-        Some(self.gap.max(idle).max(LEAST_GAP))
+        Some(self.gap.max(idle).max(MIN_GAP_SECONDS))
     }
 
-    /// Arrivals a second. With a single arrival known, one in the time since.
+    /// Returns the arrivals per second from the mean gap. After a single arrival, the gap is the time since that
+    /// arrival, at least one second.
     #[must_use]
     pub fn per_second(&self, now: clock::Instant) -> f64 {
         let Some(last) = self.last else {
             return 0.0;
         };
-        let idle = now.since(last).as_secs_f64().max(LEAST_GAP);
+        let idle = now.since(last).as_secs_f64().max(MIN_GAP_SECONDS);
         1.0 / self.mean_gap(now).unwrap_or(idle.max(1.0))
     }
 
-    /// How long a replica may idle, in seconds, when that costs as much as a load after `break_even`.
+    /// Returns how long a replica may idle, in seconds. `break_even` is the idle time that costs as much as a load.
     #[must_use]
     pub fn max_idle_seconds(&self, break_even: f64) -> f64 {
-        if self.idle.known() < KNOWN_GAPS {
+        if self.idle.count() < MIN_KNOWN_GAPS {
             return break_even;
         }
-        let (least, most) = (break_even * LEAST_PATIENCE, break_even * MOST_PATIENCE);
-        self.idle.best_patience(break_even, least, most)
+        let (min, max) = (break_even * MIN_IDLE_RATIO, break_even * MAX_IDLE_RATIO);
+        self.idle.best_idle_limit(break_even, min, max)
     }
 }
--- a/crates/fireflywheel/src/queue/mod.rs
+++ b/crates/fireflywheel/src/queue/mod.rs
@@ -1,9 +1,10 @@
-//! Requests that wait for one model at one router.
+//! The queue of requests that wait for one model at one router.
 //!
-//! Within a tenant the earliest deadline goes first. Between tenants that wait, turns follow their shares by
-//! start-time fair queueing: each turn moves the tenant's start tag on by the inverse of its share, and the
-//! least tag has the next turn. One tenant's burst so waits behind itself, not in front of the others. Each
-//! step takes time logarithmic in the number that wait.
+//! Within a tenant, requests are served earliest deadline first. Between tenants, start-time fair queueing
+//! divides the service by share: each served request advances the start tag of its tenant by the inverse of
+//! the tenant's share, and the tenant with the smallest start tag is served next. A burst of one tenant
+//! therefore delays that tenant's own requests and not those of the others. Unless its documentation says
+//! otherwise, each operation takes time logarithmic in the number of waiting requests.
 
 pub mod rank;
 
@@ -14,67 +15,67 @@
 
 use crate::{clock, request};
 
-/// What a turn costs a tenant with share 1, in units of virtual time.
-const TURN: u64 = 1 << 20;
+/// By how much serving one request of a tenant with share 1 advances its start tag, in units of virtual time.
+const TURN_COST: u64 = 1 << 20;
 
-/// A request that is to wait.
+/// A request to be queued.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// The request.
+    /// The key of the request.
     pub key: request::Key,
-    /// Whose it is.
+    /// The tenant that the request belongs to.
     pub tenant: SmolStr,
-    /// The tenant's weight against others, at least 1.
+    /// The tenant's weight relative to other tenants; 0 counts as 1.
     pub share: u32,
-    /// When it must be answered.
+    /// The time by which the request must be answered.
     pub deadline: clock::Instant,
 }
 
-/// The queue holds as many as it may.
+/// The error of a queue that is at its limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Full;
 
-/// A place in the order of deadlines; the arrival number breaks ties.
+/// A request's position in deadline order; the arrival number breaks ties.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Place {
+struct Position {
     deadline: clock::Instant,
     arrival: u64,
     key: request::Key,
 }
 
-/// A tenant's place in the order of turns.
+/// The next request of a tenant, ordered by the tenant's start tag.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Turn {
     start: u64,
-    head: Place,
+    head: Position,
     tenant: SmolStr,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct TenantQueue {
     share: u32,
-    /// The start tag of its next turn.
+    /// The start tag of the tenant's next request.
     start: u64,
-    places: BTreeSet<Place>,
+    positions: BTreeSet<Position>,
     deadlines: rank::Rank,
 }
 
-/// A bounded queue, by deadline and fair between tenants.
+/// A bounded queue that serves by deadline within a tenant and fairly between tenants.
 #[derive(Clone, Debug)]
 pub struct Queue {
     limit: usize,
     arrivals: u64,
-    /// The start tag of the turn taken last.
+    /// The start tag of the request that was served last.
     virtual_time: u64,
-    waiting: SecondaryMap<request::Key, (SmolStr, Place)>,
-    places: BTreeSet<Place>,
+    waiting: SecondaryMap<request::Key, (SmolStr, Position)>,
+    positions: BTreeSet<Position>,
     deadlines: rank::Rank,
-    lines: BTreeMap<SmolStr, Line>,
+    tenants: BTreeMap<SmolStr, TenantQueue>,
     turns: BTreeSet<Turn>,
 }
 
 impl Queue {
-    /// An empty queue that holds at most `limit` requests.
+    /// Creates an empty queue that holds at most `limit` requests.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -82,23 +83,23 @@
             arrivals: 0,
             virtual_time: 0,
             waiting: SecondaryMap::new(),
-            places: BTreeSet::new(),
+            positions: BTreeSet::new(),
             deadlines: rank::Rank::default(),
-            lines: BTreeMap::new(),
+            tenants: BTreeMap::new(),
             turns: BTreeSet::new(),
         }
     }
 
-    /// Changes the bound; what already waits stays.
+    /// Changes the limit. Requests that wait already stay, even beyond a lower limit.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Lets a request wait. One that waits already keeps its place.
+    /// Queues a request. A request that is queued already keeps its position.
     ///
     /// # Errors
     ///
-    /// [`Full`] at the bound.
+    /// Returns [`Full`] when the queue is at its limit.
     pub fn push(&mut self, entry: Entry) -> Result<(), Full> {
         if self.waiting.contains_key(entry.key) {
             return Ok(());
@@ -107,146 +108,149 @@
             return Err(Full);
         }
         self.arrivals += 1;
-        let place = Place {
+        let position = Position {
             deadline: entry.deadline,
             arrival: self.arrivals,
             key: entry.key,
         };
-        self.leave_turns(&entry.tenant);
-        let line = self.lines.entry(entry.tenant.clone()).or_default();
-        line.share = entry.share.max(1);
-        if line.places.is_empty() {
-            line.start = line.start.max(self.virtual_time);
+        self.remove_turn(&entry.tenant);
+        let queue = self.tenants.entry(entry.tenant.clone()).or_default();
+        queue.share = entry.share.max(1);
+        if queue.positions.is_empty() {
+            queue.start = queue.start.max(self.virtual_time);
         }
-        line.places.insert(place);
-        line.deadlines.add(place.deadline.0);
-        self.enter_turns(&entry.tenant);
-        self.places.insert(place);
-        self.deadlines.add(place.deadline.0);
-        self.waiting.insert(entry.key, (entry.tenant, place));
+        queue.positions.insert(position);
+        queue.deadlines.add(position.deadline.0);
+        self.insert_turn(&entry.tenant);
+        self.positions.insert(position);
+        self.deadlines.add(position.deadline.0);
+        self.waiting.insert(entry.key, (entry.tenant, position));
         Ok(())
     }
 
-    /// Takes out the request whose turn it is.
+    /// Removes and returns the request that is served next.
     pub fn pop(&mut self) -> Option<request::Key> {
         let turn = self.turns.first()?.clone();
         self.virtual_time = turn.start;
-        self.take(&turn.tenant, turn.head, true);
+        self.remove_position(&turn.tenant, turn.head, true);
         Some(turn.head.key)
     }
 
-    /// The request that [`Self::pop`] would give.
+    /// Returns the request that [`Self::pop`] would return.
     #[must_use]
     pub fn peek(&self) -> Option<request::Key> {
         self.turns.first().map(|turn| turn.head.key)
     }
 
-    /// Takes out a request that waits no longer, such as one that its caller gave up; `false` when it
-    /// didn't wait here.
+    /// Removes a request that no longer waits, such as one that its caller cancelled. Returns `false` if the
+    /// request is not in this queue.
     pub fn remove(&mut self, key: request::Key) -> bool {
-        let Some((tenant, place)) = self.waiting.get(key).cloned() else {
+        let Some((tenant, position)) = self.waiting.get(key).cloned() else {
             return false;
         };
-        self.take(&tenant, place, false);
+        self.remove_position(&tenant, position, false);
         true
     }
 
-    /// Takes out all whose deadline has come, the earliest first.
+    /// Removes and returns all requests whose deadline has been reached, the earliest first.
     pub fn take_expired(&mut self, now: clock::Instant) -> Vec<request::Key> {
         let mut expired = Vec::new();
-        while let Some(place) = self.places.first().copied() {
-            if place.deadline > now {
+        while let Some(position) = self.positions.first().copied() {
+            if position.deadline > now {
                 break;
             }
-            self.remove(place.key);
-            expired.push(place.key);
+            self.remove(position.key);
+            expired.push(position.key);
         }
         expired
     }
 
-    /// The earliest deadline of those that wait.
+    /// Returns the earliest deadline among the waiting requests.
     #[must_use]
     pub fn earliest_deadline(&self) -> Option<clock::Instant> {
-        self.places.first().map(|place| place.deadline)
+        self.positions.first().map(|position| position.deadline)
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many that wait have an earlier deadline, of all tenants.
+    /// Returns how many waiting requests, of all tenants, have an earlier deadline.
     #[must_use]
     pub fn ahead_of(&self, deadline: clock::Instant) -> usize {
         self.deadlines.count_below(deadline.0)
     }
 
-    /// How many turns come before the one that a tenant's request with this deadline would get: its tenant's
-    /// own with an earlier or the same deadline, and with each of them those that the other tenants' shares give them.
+    /// Returns how many waiting requests would be served before a request of this tenant with this deadline:
+    /// the tenant's own with an earlier or the same deadline, and for each of them and for the new request as
+    /// many requests of every other tenant as the ratio of their shares allows.
     ///
-    /// Counting all that wait instead would refuse a tenant for another's burst, though it gets its turns
-    /// beside the burst. Takes time in the number of tenants that wait.
+    /// Counting all waiting requests instead would refuse one tenant because of another tenant's burst, although
+    /// fair queueing serves the tenant alongside the burst. Takes time linear in the number of waiting tenants.
     #[must_use]
     pub fn turns_before(&self, tenant: &str, share: u32, deadline: clock::Instant) -> usize {
-        let own = self.lines.get(tenant);
-        let own = own.map_or(0, |line| line.deadlines.count_below(deadline.0 + 1));
+        let own = self.tenants.get(tenant);
+        let own = own.map_or(0, |queue| queue.deadlines.count_below(deadline.0 + 1));
         let rounds = own as u64 + 1;
-        let others = self.lines.iter().filter(|(name, _)| *name != tenant);
-        let others = others.map(|(_, line)| {
-            let turns = rounds * u64::from(line.share) / u64::from(share.max(1));
-            line.places
+        let others = self.tenants.iter().filter(|(name, _)| *name != tenant);
+        let others = others.map(|(_, queue)| {
+            let turns = rounds * u64::from(queue.share) / u64::from(share.max(1));
+            queue
+                .positions
                 .len()
                 .min(usize::try_from(turns).unwrap_or(usize::MAX))
         });
         own + others.sum::<usize>()
     }
 
-    fn take(&mut self, tenant: &SmolStr, place: Place, served: bool) {
-        self.leave_turns(tenant);
-        self.waiting.remove(place.key);
-        self.places.remove(&place);
-        self.deadlines.remove(place.deadline.0);
+    fn remove_position(&mut self, tenant: &SmolStr, position: Position, served: bool) {
+        self.remove_turn(tenant);
+        self.waiting.remove(position.key);
+        self.positions.remove(&position);
+        self.deadlines.remove(position.deadline.0);
         let virtual_time = self.virtual_time;
-        let Some(line) = self.lines.get_mut(tenant) else {
+        let Some(queue) = self.tenants.get_mut(tenant) else {
             return;
         };
-        if line.places.remove(&place) {
-            line.deadlines.remove(place.deadline.0);
+        if queue.positions.remove(&position) {
+            queue.deadlines.remove(position.deadline.0);
         }
         if served {
-            line.start += TURN / u64::from(line.share);
+            queue.start += TURN_COST / u64::from(queue.share);
         }
-        // A tenant that is owed nothing and owes nothing is forgotten.
-        if line.places.is_empty() && line.start <= virtual_time {
-            self.lines.remove(tenant);
+        // Once the virtual time has reached its start tag, an idle tenant has no state worth keeping: its next
+        // request starts at the virtual time anyway.
+        if queue.positions.is_empty() && queue.start <= virtual_time {
+            self.tenants.remove(tenant);
         }
-        self.enter_turns(tenant);
+        self.insert_turn(tenant);
     }
 
-    fn leave_turns(&mut self, tenant: &SmolStr) {
-        if let Some(turn) = self.turn(tenant) {
+    fn remove_turn(&mut self, tenant: &SmolStr) {
+        if let Some(turn) = self.next_turn(tenant) {
             self.turns.remove(&turn);
         }
     }
 
-    fn enter_turns(&mut self, tenant: &SmolStr) {
-        if let Some(turn) = self.turn(tenant) {
+    fn insert_turn(&mut self, tenant: &SmolStr) {
+        if let Some(turn) = self.next_turn(tenant) {
             self.turns.insert(turn);
         }
     }
 
-    fn turn(&self, tenant: &SmolStr) -> Option<Turn> {
-        let line = self.lines.get(tenant)?;
-        let head = line.places.first()?;
+    fn next_turn(&self, tenant: &SmolStr) -> Option<Turn> {
+        let queue = self.tenants.get(tenant)?;
+        let head = queue.positions.first()?;
         Some(Turn {
-            start: line.start,
+            start: queue.start,
             head: *head,
             tenant: tenant.clone(),
         })
--- a/crates/fireflywheel/src/queue/rank.rs
+++ b/crates/fireflywheel/src/queue/rank.rs
@@ -1,16 +1,17 @@
-//! Counts numbers below a bound without walking over them.
+//! A multiset of numbers that counts the numbers below a bound without iterating over them.
 
 use std::collections::BTreeMap;
 
-/// Bits of one digit.
+/// The number of bits in one digit.
 const DIGIT_BITS: u32 = 4;
-/// Digits of a number; larger numbers count as the largest.
+/// The number of digits that are kept; a larger number counts as [`MAX_NUMBER`].
 const DIGITS: u32 = 10;
-const LARGEST: u64 = (1 << (DIGIT_BITS * DIGITS)) - 1;
+/// The largest number that is kept exactly.
+const MAX_NUMBER: u64 = (1 << (DIGIT_BITS * DIGITS)) - 1;
 
-/// A multiset of numbers: for each digit, how many numbers share the digits down to it.
+/// A multiset of numbers, stored as a digit trie: for each prefix of digits, the number of members that share it.
 ///
-/// Adding, taking out and counting take a number of steps that depends on the digits only.
+/// Adding, removing and counting take a number of map operations that depends only on the number of digits.
 #[derive(Clone, Debug, Default)]
 pub struct Rank {
     levels: [BTreeMap<u64, usize>; DIGITS as usize],
@@ -19,15 +20,15 @@
 impl Rank {
     /// Adds a number.
     pub fn add(&mut self, number: u64) {
-        let number = number.min(LARGEST);
+        let number = number.min(MAX_NUMBER);
         for (level, counts) in self.levels.iter_mut().enumerate() {
             *counts.entry(prefix(number, level)).or_default() += 1;
         }
     }
 
-    /// Takes a number out that was added before.
+    /// Removes a number that was added before.
     pub fn remove(&mut self, number: u64) {
-        let number = number.min(LARGEST);
+        let number = number.min(MAX_NUMBER);
         for (level, counts) in self.levels.iter_mut().enumerate() {
             let prefix = prefix(number, level);
             let count = counts.get_mut(&prefix).expect("the number was added");
@@ -38,10 +39,10 @@
         }
     }
 
-    /// How many numbers are less than `bound`.
+    /// Returns how many numbers are less than `bound`.
     #[must_use]
     pub fn count_below(&self, bound: u64) -> usize {
-        let bound = bound.min(LARGEST);
+        let bound = bound.min(MAX_NUMBER);
         let mut below = 0;
         for (level, counts) in self.levels.iter().enumerate() {
             let end = prefix(bound, level);
@@ -55,7 +56,7 @@
     }
 }
 
-/// The number without its lowest `level` digits.
+/// Returns the number without its lowest `level` digits.
 fn prefix(number: u64, level: usize) -> u64 {
     number >> (DIGIT_BITS * level as u32)
 }
--- a/crates/fireflywheel/src/retry_budget.rs
+++ b/crates/fireflywheel/src/retry_budget.rs
@@ -1,21 +1,21 @@
-//! A retry budget: retries are a small share of first attempts, so that they can't bring an overloaded
-//! backend server down for good.
+//! A retry budget, which limits retries to a small fraction of first attempts, so that retries cannot keep an
+//! overloaded backend server from recovering.
 //!
-//! Only the router that took the request from its caller retries it, and it asks this budget each time;
-//! nothing behind it retries again, so attempts don't multiply from hop to hop. The floor, which lets a
-//! router with little traffic retry at all, is meant for the whole fleet and divided by the number of
-//! instances: a fixed floor for each would add up to a storm on a large fleet.
+//! Only the router that received the request from its caller retries it, and it consults this budget before each
+//! retry. Nothing behind that router retries, so attempts don't multiply from hop to hop. The floor allows a router
+//! with little traffic to retry at all. It applies to the whole fleet and is divided by the number of instances: a
+//! fixed floor for each instance would add up to a retry storm on a large fleet.
 
 use crate::{bucket, clock};
 
-/// How much may be retried.
+/// The limits on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Retries for each first attempt, 0.1 for one in ten.
+    /// The number of retries allowed for each first attempt; 0.1 allows one for every ten.
     pub ratio: f64,
-    /// Retries a second that the whole fleet may send beyond the ratio.
+    /// The number of retries per second that the whole fleet may send in addition to the ratio.
     pub floor_per_second: f64,
-    /// Retries that may be saved up at one instance.
+    /// The largest number of unused retries that one instance accumulates.
     pub burst: f64,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A token bucket that first attempts fill and retries empty.
+/// A token bucket that first attempts and the floor fill, and retries drain.
 #[derive(Clone, Debug)]
 pub struct Budget {
     options: Options,
@@ -38,7 +38,7 @@
 }
 
 impl Budget {
-    /// A full bucket at the only instance of its fleet.
+    /// Creates a full budget for a fleet of one instance.
     #[must_use]
     pub fn new(now: clock::Instant, options: Options) -> Self {
         Self {
@@ -48,26 +48,27 @@
         }
     }
 
-    /// Tells how many instances share the floor.
+    /// Sets the number of instances that share the floor.
     pub fn set_instances(&mut self, now: clock::Instant, instances: usize) {
-        self.fill(now);
+        self.refill(now);
         self.instances = instances.max(1);
     }
 
-    /// A first attempt was sent.
+    /// Records that a first attempt was sent.
     pub fn record_request(&mut self, now: clock::Instant) {
-        self.fill(now);
+        self.refill(now);
         self.bucket.add(self.options.ratio);
     }
 
-    /// Takes a token for a retry; `false` when the budget is used up and the failure must be handed on.
+    /// Takes a token for a retry. Returns `false` when the budget is exhausted and the failure must be passed on to
+    /// the caller.
     #[must_use]
     pub fn try_retry(&mut self, now: clock::Instant) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.bucket.take()
     }
 
-    fn fill(&mut self, now: clock::Instant) {
+    fn refill(&mut self, now: clock::Instant) {
         let floor = self.options.floor_per_second / self.instances as f64;
         self.bucket.fill(now, floor);
     }
--- a/crates/fireflywheel/src/routing/mod.rs
+++ b/crates/fireflywheel/src/routing/mod.rs
@@ -1,10 +1,13 @@
-//! Which backend server of one group gets a request, decided by one router on its own.
+//! Choice of the backend server in a group that gets a request, made by each router on its own.
 //!
-//! What a router knows of others' requests is late. Routers that all followed the same late report would all
-//! send to the server that was idle when it was written, and leave it overloaded until the next one. Three
-//! things keep them apart: two servers drawn by a seed of the router's own are compared, not all; what a
-//! report says fades with its age towards the mean of all servers, while the router's own requests are always
-//! counted in full; and a server that just joined or came back is mostly passed over at first.
+//! A router learns of the other routers' requests with a delay. If all routers followed the same stale report,
+//! they would all send to the server that was idle when it was written, and overload it until the next report.
+//! Three measures prevent such herding:
+//! - A router compares two servers that it draws at random with its own seed, not all servers.
+//! - A reported load decays with the report's age towards the mean of all servers, while the router's own
+//!   requests always count in full.
+//! - A server that just joined or came back from a backoff goes through a slow start, in which it is mostly
+//!   passed over at first.
 
 mod backend;
 mod cache;
@@ -22,20 +25,20 @@
 /// Settings of [`Table`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Age at which what a report says of others counts half.
+    /// The age at which the other routers' requests in a report count half.
     pub half_life: Duration,
-    /// Age from which it counts nothing.
+    /// The age from which a report is ignored.
     pub report_ttl: Duration,
-    /// Time over which a server that just joined comes to be chosen like the others.
+    /// The time over which a server that just joined comes to be chosen as often as the others.
     pub slow_start: Duration,
-    /// The server with the prefix in its cache is taken unless its load is above this many times the mean,
-    /// plus one.
+    /// The server with the prefix in its cache is preferred unless its load exceeds this many times the mean
+    /// load, plus one.
     pub imbalance: f64,
-    /// How long a server is left alone after a failure; doubles with each further one.
+    /// How long a server gets no requests after a failure; doubles with each consecutive failure.
     pub backoff: Duration,
-    /// The longest such time.
+    /// The upper limit of the backoff.
     pub max_backoff: Duration,
-    /// Prefixes remembered for each server.
+    /// The number of cached prefixes that are remembered for each server.
     pub max_prefixes: usize,
 }
 
@@ -53,27 +56,27 @@
     }
 }
 
-/// What a backend server said of its load.
+/// The load that a backend server reported.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Requests that run there, of all routers.
+    /// The number of requests running on the server, of all routers.
     pub running: u32,
-    /// Requests that wait there, of all routers.
+    /// The number of requests waiting on the server, of all routers.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs at once; 0 if unknown.
     pub slots: u32,
-    /// When that was so, as well as this router can tell.
+    /// The time that the report describes, as estimated by this router.
     pub at: clock::Instant,
 }
 
-/// The hash of a prompt's beginning, as routing and an engine's cache events name it: the model's name, a
-/// bar, and the first [`PREFIX_CHARS`] characters of the first message.
+/// Returns the hash of a prompt prefix, by which routing and the cache events of engines identify it. The text is
+/// the model's name, a bar, and the first [`PREFIX_CHARS`] characters of the first message.
 #[must_use]
 pub fn prefix(text: &str) -> u64 {
     xxh3::xxh3_64(text.as_bytes())
 }
 
-/// The part of a first message that names its prefix, in characters.
+/// The number of characters of the first message that belong to its prefix.
 pub const PREFIX_CHARS: usize = 64;
 
 /// The servers of one group at one router.
@@ -82,19 +85,19 @@
     options: Options,
     servers: SlotMap<server::Key, Server>,
     addresses: BTreeMap<SmolStr, server::Key>,
-    /// Sum of the servers' `others`.
-    others: u64,
+    /// The sum of `external_requests` over all servers.
+    external_requests: u64,
 }
 
-/// Loads of the eligible candidates, all at once.
+/// The number of eligible candidates, and the sum of their loads.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct LoadTotal {
     count: usize,
     load: f64,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(options: Options) -> Self {
         Self {
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Adds a server that was just learned of; one known by this address stays as it is. `slots` hold until
-    /// a report tells them.
+    /// Adds a newly discovered server. A server that is already known by this address stays unchanged. `slots`
+    /// is used until a report gives the actual number.
     pub fn add_server(
         &mut self,
         now: clock::Instant,
@@ -122,32 +125,35 @@
         key
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn remove_server(&mut self, key: server::Key) {
         if let Some(server) = self.servers.remove(key) {
             self.addresses.remove(&server.address);
-            self.others -= u64::from(server.others);
+            self.external_requests -= u64::from(server.external_requests);
         }
     }
 
-    /// The server at this address.
+    /// Returns the key of the server at this address.
     #[must_use]
     pub fn find(&self, address: &str) -> Option<server::Key> {
         self.addresses.get(address).copied()
     }
 
-    /// A server.
+    /// Returns the server with this key.
     #[must_use]
     pub fn get(&self, key: server::Key) -> Option<&Server> {
         self.servers.get(key)
     }
 
-    /// All servers.
+    /// Iterates over all servers.
     pub fn iter(&self) -> impl Iterator<Item = (server::Key, &Server)> {
         self.servers.iter()
     }
 
-    /// Takes a lagged report in, unless a newer one was taken before.
+    /// Records a report, unless a newer one was recorded before.
+    ///
+    /// A report lags. Only the requests beyond those that this router itself had in progress at the report's time
+    /// count as other routers' requests.
     pub fn record_report(&mut self, key: server::Key, report: Report) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
@@ -156,35 +162,36 @@
             return;
         }
         let total = report.running.saturating_add(report.waiting);
-        let others = total.saturating_sub(server.own_at(report.at));
-        self.others = self.others - u64::from(server.others) + u64::from(others);
-        server.others = others;
+        let external_requests = total.saturating_sub(server.in_flight_at(report.at));
+        self.external_requests = self.external_requests - u64::from(server.external_requests)
+            + u64::from(external_requests);
+        server.external_requests = external_requests;
         if report.slots > 0 {
             server.slots = report.slots;
         }
         server.report = Some(report);
     }
 
-    /// The slots of servers that haven't told theirs in a report.
+    /// Sets the slots of all servers that have not reported yet.
     pub fn set_slots(&mut self, slots: u32) {
-        let silent = self
+        let unreported = self
             .servers
             .values_mut()
             .filter(|server| server.report.is_none());
-        for server in silent {
+        for server in unreported {
             server.slots = slots;
         }
     }
 
-    /// Marks a server as leaving, or as staying after all.
+    /// Sets or clears the mark that a server is leaving.
     pub fn set_leaving(&mut self, key: server::Key, leaving: bool) {
         if let Some(server) = self.servers.get_mut(key) {
             server.leaving = leaving;
         }
     }
 
-    /// The server that gets the next request, of `candidates`, or `None` when all are full, leaving or left
-    /// alone after failures. `seed` is to differ from request to request and from router to router.
+    /// Chooses the server among `candidates` that gets the next request. Returns `None` when all of them are full,
+    /// leaving or backed off after failures. `seed` must differ between requests and between routers.
     #[must_use]
     pub fn choose(
         &self,
@@ -193,40 +200,42 @@
         prefix: Option<u64>,
         seed: u64,
     ) -> Option<server::Key> {
-        let mut sum = Sum::default();
+        let mut total = LoadTotal::default();
         for (_, server) in self.eligible(now, candidates) {
-            sum.count += 1;
-            sum.load += self.load(now, server);
+            total.count += 1;
+            total.load += self.load(now, server);
         }
-        if sum.count == 0 {
+        if total.count == 0 {
             return None;
         }
-        let affine = prefix.and_then(|prefix| self.affine(now, candidates, prefix, sum));
-        affine.or_else(|| self.lighter(now, candidates, seed, sum.count))
+        let by_prefix =
+            prefix.and_then(|prefix| self.choose_by_prefix(now, candidates, prefix, total));
+        by_prefix.or_else(|| self.choose_less_loaded(now, candidates, seed, total.count))
     }
 
-    /// A request was sent to a server.
+    /// Records that a request was sent to a server.
     pub fn request_started(&mut self, now: clock::Instant, key: server::Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note(now);
+            server.record_in_flight(now);
             server.in_flight += 1;
         }
     }
 
-    /// A request that was sent is over; `failed` when the server failed it.
+    /// Records that a request ended; `failed` tells whether the server failed it.
     pub fn request_ended(&mut self, now: clock::Instant, key: server::Key, failed: bool) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        server.note(now);
+        server.record_in_flight(now);
         server.in_flight = server.in_flight.saturating_sub(1);
         match failed {
-            true => server.fail(now, &self.options),
+            true => server.record_failure(now, &self.options),
             false => server.failures = 0,
         }
     }
 
-    /// Takes a late cache event in as a hint. After a gap in the events nothing older is believed.
+    /// Records a cache event, which may be late and counts as a hint only. After a gap in the sequence numbers,
+    /// everything learned from older events is dropped.
     pub fn record_cache_event(
         &mut self,
         key: server::Key,
@@ -236,25 +245,26 @@
     ) {
         let limit = self.options.max_prefixes;
         if let Some(server) = self.servers.get_mut(key) {
-            server.cache.event(sequence, prefix, stored, limit);
+            server.cache.record_event(sequence, prefix, stored, limit);
         }
     }
 
-    /// Forgets what a server is believed to have in its cache, such as after it restarted.
+    /// Clears what a server is believed to have in its cache, for example after it restarted.
     pub fn clear_cache(&mut self, key: server::Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.cache = cache::Cache::default();
         }
     }
 
-    /// Requests in progress at a server as this router believes, its own among them.
+    /// Returns the estimated number of requests in progress on a server, of this router and all others.
     #[must_use]
     pub fn load(&self, now: clock::Instant, server: &Server) -> f64 {
         let count = self.servers.len().max(1) as f64;
-        let mean_others = self.others as f64 / count;
-        let trust = server.trust(now, &self.options);
-        let others = f64::from(server.others) * trust + mean_others * (1.0 - trust);
-        f64::from(server.in_flight) + others
+        let mean_external = self.external_requests as f64 / count;
+        let report_weight = server.report_weight(now, &self.options);
+        let external_requests = f64::from(server.external_requests) * report_weight
+            + mean_external * (1.0 - report_weight);
+        f64::from(server.in_flight) + external_requests
     }
 
     fn eligible<'a>(
@@ -265,12 +275,12 @@
         candidates
             .iter()
             .filter_map(|key| Some((*key, self.servers.get(*key)?)))
-            .filter(move |(_, server)| server.takes_more(now, &self.options))
+            .filter(move |(_, server)| server.has_capacity(now, &self.options))
     }
 
-    /// The lighter of two that are drawn by the seed. One that just joined is passed over, the less often
-    /// the longer it is there.
-    fn lighter(
+    /// Draws two servers by the seed and returns the less loaded one. If that server is earlier in its slow start
+    /// than the other, it is passed over with a probability that falls as its slow start proceeds.
+    fn choose_less_loaded(
         &self,
         now: clock::Instant,
         candidates: &[server::Key],
@@ -283,31 +293,37 @@
         let second = (first + 1 + step) % count;
         let first = self.eligible(now, candidates).nth(first)?;
         let second = self.eligible(now, candidates).nth(second)?;
-        let second_is_lighter = self.load(now, second.1) < self.load(now, first.1);
-        let (lighter, heavier) = match second_is_lighter {
+        let second_is_less_loaded = self.load(now, second.1) < self.load(now, first.1);
+        let (less_loaded, more_loaded) = match second_is_less_loaded {
             true => (second, first),
             false => (first, second),
         };
-        let risen = lighter.1.risen(now, &self.options);
-        let passed_over = risen < heavier.1.risen(now, &self.options) && risen <= fraction(drawn);
-        Some(if passed_over { heavier.0 } else { lighter.0 })
+        let slow_start_progress = less_loaded.1.slow_start_progress(now, &self.options);
+        let passed_over = slow_start_progress
+            < more_loaded.1.slow_start_progress(now, &self.options)
+            && slow_start_progress <= unit_fraction(drawn);
+        Some(if passed_over {
+            more_loaded.0
+        } else {
+            less_loaded.0
+        })
     }
 
-    /// The server that should have the prefix in its cache, unless it is too busy: one whose cache events
-    /// said so, or else the first or second by rendezvous hash.
-    fn affine(
+    /// Returns the server that most likely has the prefix in its cache: one whose cache events said so, or else the
+    /// first or second by rendezvous hashing. Servers above the load bound are left out.
+    fn choose_by_prefix(
         &self,
         now: clock::Instant,
         candidates: &[server::Key],
         prefix: u64,
-        sum: Sum,
+        total: LoadTotal,
     ) -> Option<server::Key> {
-        let bound = self.options.imbalance * sum.load / sum.count as f64 + 1.0;
-        let within = |server: &Server| self.load(now, server) <= bound;
+        let bound = self.options.imbalance * total.load / total.count as f64 + 1.0;
+        let is_within_bound = |server: &Server| self.load(now, server) <= bound;
         let cached = self
             .eligible(now, candidates)
             .filter(|(_, server)| server.cache.contains(prefix))
-            .filter(|(_, server)| within(server))
+            .filter(|(_, server)| is_within_bound(server))
             .min_by(|a, b| self.load(now, a.1).total_cmp(&self.load(now, b.1)));
         if let Some((key, _)) = cached {
             return Some(key);
@@ -317,26 +333,26 @@
         for (key, server) in self.eligible(now, candidates) {
             let weight = xxh3::xxh3_64_with_seed(server.address.as_bytes(), prefix);
             let ranked = Some((weight, key, server));
-            let above = |place: &Option<(u64, server::Key, &Server)>| {
-                place.is_none_or(|(other, ..)| weight > other)
+            let outranks = |ranked_server: &Option<(u64, server::Key, &Server)>| {
+                ranked_server.is_none_or(|(other, ..)| weight > other)
             };
-            if above(&first) {
+            if outranks(&first) {
                 second = first;
                 first = ranked;
-            } else if above(&second) {
+            } else if outranks(&second) {
                 second = ranked;
             }
         }
         [first, second]
             .into_iter()
             .flatten()
-            .find(|(_, _, server)| within(server))
+            .find(|(_, _, server)| is_within_bound(server))
             .map(|(_, key, _)| key)
     }
 }
 
-/// A number from 0 to 1, evenly spread.
-fn fraction(drawn: u64) -> f64 {
+/// Maps a random number to one that is uniformly distributed from 0 to 1.
+fn unit_fraction(drawn: u64) -> f64 {
     let mixed = xxh3::xxh3_64(&drawn.to_le_bytes());
     f64::from(mixed as u32) / (f64::from(u32::MAX) + 1.0)
 }
