--- a/crates/fireflywheel/tests/credit.rs
+++ b/crates/fireflywheel/tests/credit.rs
@@ -1,5 +1,5 @@
-//! Credits of a shared limit under frames that are lost, doubled, late and out of order, pauses of borrowers,
-//! and homes that are replaced.
+//! Tests of the credits of a shared limit under lost, duplicate, late and reordered frames, pauses of borrowers, and
+//! replacement of the lender.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 const LIMIT: u32 = 10;
 const STEPS: usize = 600;
 const SEEDS: u64 = 300;
-/// Frames under way at most; beyond that the oldest is lost.
-const UNDER_WAY: usize = 6;
-/// Bytes from which one run draws its steps.
-const BYTES: u64 = 16 * 1024;
+/// The largest number of frames in transit; beyond it, the oldest frame is lost.
+const MAX_IN_TRANSIT: usize = 6;
+/// The number of random bytes from which one run draws its steps.
+const INPUT_BYTES: u64 = 16 * 1024;
 
 fn incarnation(borrower: usize, number: u64) -> record::Incarnation {
     record::Incarnation {
@@ -27,295 +27,311 @@
     Lend(usize, u64, credit::Lend),
 }
 
-struct Holder {
+struct Instance {
     borrower: credit::Borrower,
+    /// The incarnation number of the instance.
     number: u64,
-    /// Its clock's origin against the others'.
-    origin: u64,
-    /// What it held when it checked, and until when it is paused before it uses that.
+    /// The offset of the instance's clock from the simulated time, in milliseconds.
+    clock_offset: u64,
+    /// While the instance is paused between its check and the use: the credits that it held at the check, and the
+    /// time at which the pause ends.
     paused: Option<(u32, u64)>,
 }
 
-/// Rules that can be left out, to show that each matters.
+/// The rule that a run leaves out, to show that the rule is necessary.
 #[derive(Clone, Copy, PartialEq)]
-enum Rule {
-    All,
-    /// A new home lends at once.
-    QuietHome,
-    /// The borrower counts the lease from the answer.
-    CountFromNeed,
-    /// The margin is left out.
+enum OmittedRule {
+    None,
+    /// A new lender lends at once.
+    LenderSilence,
+    /// The borrower counts the lease from the answer instead of the need.
+    LeaseFromNeed,
+    /// The lender adds no margin to the lease.
     Margin,
 }
 
-struct World {
+struct Simulation {
     now: u64,
-    rule: Rule,
+    omitted_rule: OmittedRule,
     options: credit::Options,
-    home: credit::Lender,
-    holders: Vec<Holder>,
+    lender: credit::Lender,
+    instances: Vec<Instance>,
     frames: Vec<Frame>,
 }
 
-impl World {
-    fn new(rule: Rule) -> Self {
+impl Simulation {
+    fn new(omitted_rule: OmittedRule) -> Self {
         let mut options = credit::Options::default();
         let start = clock::Instant(0);
-        if rule == Rule::Margin {
+        if omitted_rule == OmittedRule::Margin {
             options.margin = Duration::ZERO;
         }
-        let holder = |place: u64| Holder {
+        let instance = |index: u64| Instance {
             borrower: credit::Borrower::new(),
             number: 1,
-            origin: 77_777 * place,
+            clock_offset: 77_777 * index,
             paused: None,
         };
         Self {
             now: 0,
-            rule,
+            omitted_rule,
             options,
-            home: credit::Lender::new(start, LIMIT, options),
-            holders: (0..BORROWERS as u64).map(holder).collect(),
+            lender: credit::Lender::new(start, LIMIT, options),
+            instances: (0..BORROWERS as u64).map(instance).collect(),
             frames: Vec::new(),
         }
     }
 
     fn step(&mut self, u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
-        let place = u.choose_index(BORROWERS)?;
+        let index = u.choose_index(BORROWERS)?;
         match u.int_in_range(0..=199)? {
             0..=39 => self.now += u.int_in_range(1..=400)?,
-            40..=79 => self.ask(place, u.int_in_range(1..=LIMIT)?),
+            40..=79 => self.send_need(index, u.int_in_range(1..=LIMIT)?),
             80..=179 => self.deliver(u)?,
             180..=189 => {
                 let pause = u.int_in_range(1..=999)?;
-                self.pause(place, pause);
+                self.pause(index, pause);
             }
-            190 => self.replace_home(),
+            190 => self.replace_lender(),
             191 => {
-                let holder = &mut self.holders[place];
-                holder.borrower = credit::Borrower::new();
-                holder.paused = None;
-                holder.number += 1;
+                let instance = &mut self.instances[index];
+                instance.borrower = credit::Borrower::new();
+                instance.paused = None;
+                instance.number += 1;
             }
             192..=194 => drop(self.frames.pop()),
-            _ => self.use_credit(place),
+            _ => self.use_credit(index),
         }
-        let lost = self.frames.len().saturating_sub(UNDER_WAY);
+        let lost = self.frames.len().saturating_sub(MAX_IN_TRANSIT);
         self.frames.drain(..lost);
-        self.wake();
+        self.end_pauses();
         Ok(())
     }
 
-    fn local(&self, place: usize) -> clock::Instant {
-        clock::Instant(self.now + self.holders[place].origin)
+    fn local_time(&self, index: usize) -> clock::Instant {
+        clock::Instant(self.now + self.instances[index].clock_offset)
     }
 
-    fn ask(&mut self, place: usize, hold: u32) {
-        let now = self.local(place);
-        let holder = &mut self.holders[place];
-        if holder.paused.is_none() {
-            let need = holder.borrower.request_credits(now, hold);
-            self.frames.push(Frame::Need(place, holder.number, need));
+    fn send_need(&mut self, index: usize, hold: u32) {
+        let now = self.local_time(index);
+        let instance = &mut self.instances[index];
+        if instance.paused.is_none() {
+            let need = instance.borrower.request_credits(now, hold);
+            self.frames.push(Frame::Need(index, instance.number, need));
         }
     }
 
-    /// Delivers any frame, and perhaps keeps a copy that comes again.
+    /// Delivers a random frame, which sometimes stays in transit and is delivered again.
     fn deliver(&mut self, u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
         if self.frames.is_empty() {
             return Ok(());
         }
-        let place = u.choose_index(self.frames.len())?;
+        let index = u.choose_index(self.frames.len())?;
         let frame = match u.ratio(1, 5)? {
-            true => match &self.frames[place] {
-                Frame::Need(place, number, need) => Frame::Need(*place, *number, *need),
-                Frame::Lend(place, number, lend) => Frame::Lend(*place, *number, *lend),
+            true => match &self.frames[index] {
+                Frame::Need(index, number, need) => Frame::Need(*index, *number, *need),
+                Frame::Lend(index, number, lend) => Frame::Lend(*index, *number, *lend),
             },
-            false => self.frames.swap_remove(place),
+            false => self.frames.swap_remove(index),
         };
         match frame {
-            Frame::Need(place, number, need) => {
-                let by = incarnation(place, number);
-                let answer = self.home.handle_need(clock::Instant(self.now), &by, need);
+            Frame::Need(index, number, need) => {
+                let by = incarnation(index, number);
+                let answer = self.lender.handle_need(clock::Instant(self.now), &by, need);
                 self.frames
-                    .extend(answer.map(|lend| Frame::Lend(place, number, lend)));
+                    .extend(answer.map(|lend| Frame::Lend(index, number, lend)));
             }
-            Frame::Lend(place, number, lend) => self.lend(place, number, lend),
+            Frame::Lend(index, number, lend) => self.deliver_lend(index, number, lend),
         }
         Ok(())
     }
 
-    fn lend(&mut self, place: usize, number: u64, mut lend: credit::Lend) {
-        let now = self.local(place);
-        let holder = &mut self.holders[place];
-        if holder.paused.is_some() || holder.number != number {
+    fn deliver_lend(&mut self, index: usize, number: u64, mut lend: credit::Lend) {
+        let now = self.local_time(index);
+        let instance = &mut self.instances[index];
+        if instance.paused.is_some() || instance.number != number {
             return;
         }
-        if self.rule == Rule::CountFromNeed {
+        if self.omitted_rule == OmittedRule::LeaseFromNeed {
             let late = now.after(self.options.lease);
-            lend.lease = late.since(clock::Instant(holder.origin));
+            lend.lease = late.since(clock::Instant(instance.clock_offset));
             let mut counted = credit::Borrower::new();
             let _ = (0..lend.number)
-                .map(|_| counted.request_credits(clock::Instant(holder.origin), LIMIT))
+                .map(|_| counted.request_credits(clock::Instant(instance.clock_offset), LIMIT))
                 .count();
             counted.handle_lend(lend);
-            holder.borrower = counted;
+            instance.borrower = counted;
             return;
         }
-        holder.borrower.handle_lend(lend);
+        instance.borrower.handle_lend(lend);
     }
 
-    fn pause(&mut self, place: usize, pause: u64) {
-        let held = self.holders[place].borrower.held(self.local(place));
-        let holder = &mut self.holders[place];
-        if holder.paused.is_none() {
-            holder.paused = Some((held, self.now + pause));
+    fn pause(&mut self, index: usize, pause: u64) {
+        let held = self.instances[index].borrower.held(self.local_time(index));
+        let instance = &mut self.instances[index];
+        if instance.paused.is_none() {
+            instance.paused = Some((held, self.now + pause));
         }
     }
 
-    fn wake(&mut self) {
-        for holder in &mut self.holders {
-            holder.paused = holder.paused.filter(|(_, until)| *until > self.now);
+    fn end_pauses(&mut self) {
+        for instance in &mut self.instances {
+            instance.paused = instance.paused.filter(|(_, until)| *until > self.now);
         }
     }
 
-    fn use_credit(&mut self, place: usize) {
-        let now = self.local(place);
-        let holder = &mut self.holders[place];
-        if holder.paused.is_some() {
+    fn use_credit(&mut self, index: usize) {
+        let now = self.local_time(index);
+        let instance = &mut self.instances[index];
+        if instance.paused.is_some() {
             return;
         }
-        if holder.borrower.in_use() > 0 {
-            holder.borrower.release();
+        if instance.borrower.in_use() > 0 {
+            instance.borrower.release();
         } else {
-            let _ = holder.borrower.try_acquire(now);
+            let _ = instance.borrower.try_acquire(now);
         }
     }
 
-    fn replace_home(&mut self) {
+    fn replace_lender(&mut self) {
         let mut start = clock::Instant(self.now);
-        if self.rule == Rule::QuietHome {
+        if self.omitted_rule == OmittedRule::LenderSilence {
             start = clock::Instant(0);
         }
-        self.home = credit::Lender::new(start, LIMIT, self.options);
+        self.lender = credit::Lender::new(start, LIMIT, self.options);
     }
 
-    /// What all believe they hold, those who are paused after their check included.
+    /// Returns the number of credits that all borrowers believe they hold, including those paused after their check.
     fn held(&self) -> u32 {
-        let held = |(place, holder): (usize, &Holder)| match holder.paused {
+        let held = |(index, instance): (usize, &Instance)| match instance.paused {
             Some((held, _)) => held,
-            None => holder.borrower.held(self.local(place)),
+            None => instance.borrower.held(self.local_time(index)),
         };
-        self.holders.iter().enumerate().map(held).sum()
+        self.instances.iter().enumerate().map(held).sum()
     }
 }
 
-/// Runs one seed; whether the limit held throughout, and the most that was held.
-fn run(seed: u64, rule: Rule) -> (bool, u32) {
-    let mut most = 0;
+/// Runs one seed. Returns whether the limit held throughout, and the largest number of credits held.
+fn run(seed: u64, omitted_rule: OmittedRule) -> (bool, u32) {
+    let mut max_held = 0;
     arbtest::arbtest(|u| {
-        let mut world = World::new(rule);
+        let mut simulation = Simulation::new(omitted_rule);
         for _ in 0..STEPS {
             if u.is_empty() {
                 break;
             }
-            world.step(u)?;
-            most = most.max(world.held());
+            simulation.step(u)?;
+            max_held = max_held.max(simulation.held());
         }
         Ok(())
     })
-    .seed(seed << 32 | BYTES)
+    .seed(seed << 32 | INPUT_BYTES)
     .run();
-    (most <= LIMIT, most)
+    (max_held <= LIMIT, max_held)
 }
 
-/// Frames about credits come late, twice or never, processes pause, and homes are replaced. If two borrowers
-/// then counted on the same credit, more requests would be in flight than the operators allow.
+/// Credit frames are late, duplicated or lost, processes pause, and lenders are replaced. If two borrowers then used
+/// the same credit, more requests would be in flight than operators allow.
 #[test]
-fn limit_holds_in_any_order() {
-    let mut most = 0;
+fn limit_holds_under_any_order_of_frames() {
+    let mut max_held = 0;
     for seed in 0..SEEDS {
-        let (holds, held) = run(seed, Rule::All);
-        assert!(holds, "seed {seed}: {held} held of {LIMIT}");
-        most = most.max(held);
+        let (holds, held) = run(seed, OmittedRule::None);
+        assert!(holds, "seed {seed}: {held} credits held, limit {LIMIT}");
+        max_held = max_held.max(held);
     }
-    assert_eq!(most, LIMIT, "the runs never came near the limit");
+    assert_eq!(max_held, LIMIT, "no run reached the limit");
 }
 
-macro_rules! rules {
-    ($($name:ident: $rule:expr;)*) => {
+macro_rules! omitted_rules {
+    ($($name:ident: $omitted_rule:expr;)*) => {
         $(#[test]
         fn $name() {
-            let broken = (0..SEEDS).filter(|seed| !run(*seed, $rule).0).count();
-            println!("{broken} of {SEEDS} runs break");
-            assert!(broken > 0, "the rule makes no difference");
+            let exceeding = (0..SEEDS).filter(|seed| !run(*seed, $omitted_rule).0).count();
+            println!("{exceeding} of {SEEDS} runs exceed the limit");
+            assert!(exceeding > 0, "no run exceeds the limit without the rule");
         })*
     };
 }
 
-rules! {
-    new_home_must_wait: Rule::QuietHome;
-    lease_must_count_from_the_need: Rule::CountFromNeed;
-    margin_must_cover_pauses: Rule::Margin;
+omitted_rules! {
+    new_lender_must_wait: OmittedRule::LenderSilence;
+    lease_must_start_at_the_need: OmittedRule::LeaseFromNeed;
+    margin_must_cover_pauses: OmittedRule::Margin;
 }
 
-/// One instance asks for all there is and keeps it, so that callers at the others are refused though their
-/// tenant is below its limit. The home lends in proportion once others ask.
+/// One instance requests all credits. If it kept them, callers at the other instances would be refused although their
+/// tenant is below its limit. The lender must divide the credits in proportion once others ask.
 #[test]
-fn first_to_ask_does_not_keep_all() {
-    let mut world = World::new(Rule::All);
-    world.now = 10_000;
+fn first_borrower_does_not_keep_all_credits() {
+    let mut simulation = Simulation::new(OmittedRule::None);
+    simulation.now = 10_000;
     let mut lent = [0; 2];
     for round in 0..6 {
-        for (place, lent) in lent
+        for (index, lent) in lent
             .iter_mut()
             .enumerate()
             .take(if round == 0 { 1 } else { 2 })
         {
-            let now = world.local(place);
-            let need = world.holders[place].borrower.request_credits(now, LIMIT);
-            let by = incarnation(place, 1);
-            let lend = world
-                .home
-                .handle_need(clock::Instant(world.now), &by, need)
+            let now = simulation.local_time(index);
+            let need = simulation.instances[index]
+                .borrower
+                .request_credits(now, LIMIT);
+            let by = incarnation(index, 1);
+            let lend = simulation
+                .lender
+                .handle_need(clock::Instant(simulation.now), &by, need)
                 .expect("a new need");
-            assert!(world.holders[place].borrower.handle_lend(lend));
+            assert!(simulation.instances[index].borrower.handle_lend(lend));
             *lent = lend.hold;
         }
-        world.now += 1_000;
+        simulation.now += 1_000;
     }
     assert_eq!(lent, [LIMIT / 2, LIMIT / 2]);
 }
 
-/// The home dies. What it lent stays in use until its lease ends; the new home must not take it away before it
-/// can lend itself.
+/// The lender fails. Its credits stay in use until their lease ends; the new lender must not revoke them before it can
+/// lend itself.
 #[test]
-fn replaced_home_takes_nothing_away() {
-    let mut world = World::new(Rule::All);
-    world.now = 10_000;
+fn new_lender_does_not_revoke_credits() {
+    let mut simulation = Simulation::new(OmittedRule::None);
+    simulation.now = 10_000;
     let by = incarnation(0, 1);
-    let now = world.local(0);
-    let need = world.holders[0].borrower.request_credits(now, 4);
-    let lend = world
-        .home
-        .handle_need(clock::Instant(world.now), &by, need)
+    let now = simulation.local_time(0);
+    let need = simulation.instances[0].borrower.request_credits(now, 4);
+    let lend = simulation
+        .lender
+        .handle_need(clock::Instant(simulation.now), &by, need)
         .expect("a new need");
-    assert!(world.holders[0].borrower.handle_lend(lend));
-    world.now += 1_000;
-    world.replace_home();
-    let now = world.local(0);
-    let need = world.holders[0].borrower.request_credits(now, 4);
+    assert!(simulation.instances[0].borrower.handle_lend(lend));
+    simulation.now += 1_000;
+    simulation.replace_lender();
+    let now = simulation.local_time(0);
+    let need = simulation.instances[0].borrower.request_credits(now, 4);
     assert_eq!(
-        world.home.handle_need(clock::Instant(world.now), &by, need),
+        simulation
+            .lender
+            .handle_need(clock::Instant(simulation.now), &by, need),
         None
     );
-    assert_eq!(world.holders[0].borrower.held(world.local(0)), 4);
-    world.now += 4_000;
-    assert_eq!(world.holders[0].borrower.held(world.local(0)), 0);
-    let now = world.local(0);
-    let need = world.holders[0].borrower.request_credits(now, 4);
-    let lend = world
-        .home
-        .handle_need(clock::Instant(world.now), &by, need)
+    assert_eq!(
+        simulation.instances[0]
+            .borrower
+            .held(simulation.local_time(0)),
+        4
+    );
+    simulation.now += 4_000;
+    assert_eq!(
+        simulation.instances[0]
+            .borrower
+            .held(simulation.local_time(0)),
+        0
+    );
+    let now = simulation.local_time(0);
+    let need = simulation.instances[0].borrower.request_credits(now, 4);
+    let lend = simulation
+        .lender
+        .handle_need(clock::Instant(simulation.now), &by, need)
         .expect("a new need");
     assert_eq!(lend.hold, 4);
 }
--- a/crates/fireflywheel/tests/placement.rs
+++ b/crates/fireflywheel/tests/placement.rs
@@ -1,16 +1,16 @@
-//! What stays loaded, what goes, and what is loaded first and where.
+//! Tests of the placement policy: which replicas are unloaded, and which items are loaded first and where.
 
 use std::time::Duration;
 
 use fireflywheel::{clock, placement};
 
-const LOAD: Duration = Duration::from_secs(10);
+const LOAD_TIME: Duration = Duration::from_secs(10);
 
 fn at(seconds: u64) -> clock::Instant {
     clock::Instant(seconds * 1000)
 }
 
-/// A rate from arrivals at these seconds.
+/// Returns a request rate from arrivals at these seconds.
 fn rate<I>(arrivals: I) -> placement::Rate
 where
     I: IntoIterator<Item = u64>,
@@ -26,22 +26,22 @@
     placement::Replica {
         key,
         memory_mb: 10_000,
-        load: LOAD,
+        load: LOAD_TIME,
         rate,
         idle_since: Some(at(idle_since)),
     }
 }
 
-/// The seconds after its last use at which a replica is unloaded.
-fn unloaded_after(weight: f64, arrivals: &[u64]) -> Option<u64> {
+/// Returns the number of seconds after its last use at which a replica is unloaded.
+fn seconds_until_unload(weight: f64, arrivals: &[u64]) -> Option<u64> {
     let policy = placement::Policy::new(weight);
-    let last = *arrivals.last().expect("it was used");
+    let last = *arrivals.last().expect("the replica was used");
     let replica = replica(1, rate(arrivals.iter().copied()), last);
     (0..100_000).find(|second| policy.should_unload_idle(at(last + second), &replica))
 }
 
 #[test]
-fn rate_fades_while_nothing_comes() {
+fn rate_decays_without_arrivals() {
     let rate = rate([0, 10, 20, 30]);
     assert_eq!(rate.mean_gap(at(31)), Some(10.0));
     assert_eq!(rate.mean_gap(at(130)), Some(100.0));
@@ -50,27 +50,30 @@
 }
 
 #[test]
-fn weight_trades_idle_hours_for_cold_starts() {
-    let mut last = 0;
+fn higher_cold_start_weight_unloads_later() {
+    let mut previous = 0;
     for weight in [0.0, 0.25, 0.5, 0.75, 0.95] {
-        let after = unloaded_after(weight, &[5]).expect("unloaded at some time");
-        assert!(after > last, "{after} s at weight {weight}");
-        last = after;
+        let after = seconds_until_unload(weight, &[5]).expect("the replica is unloaded eventually");
+        assert!(
+            after > previous,
+            "unloaded after {after} s at weight {weight}"
+        );
+        previous = after;
     }
-    assert_eq!(unloaded_after(0.0, &[5]), Some(LOAD.as_secs()));
-    assert_eq!(unloaded_after(1.0, &[5]), None);
+    assert_eq!(seconds_until_unload(0.0, &[5]), Some(LOAD_TIME.as_secs()));
+    assert_eq!(seconds_until_unload(1.0, &[5]), None);
 }
 
-/// An item is asked for once in hours. Kept loaded for the usual time after each use, its memory idles for
-/// nothing; with the gaps known, it goes sooner. One in steady use stays.
+/// If an item that is requested once every few hours stays loaded for the break-even time after each use, its memory
+/// idles for nothing. Once its idle times are known it must be unloaded sooner, and an item in steady use later.
 #[test]
-fn known_gaps_change_patience() {
-    let unknown = unloaded_after(0.5, &[0]);
-    let rare = unloaded_after(0.5, &[0, 7200, 14_400, 21_600, 28_800]);
-    let steady = unloaded_after(0.5, &[0, 60, 120, 180, 240]);
+fn known_idle_times_change_the_idle_limit() {
+    let unknown = seconds_until_unload(0.5, &[0]);
+    let rare = seconds_until_unload(0.5, &[0, 7200, 14_400, 21_600, 28_800]);
+    let steady = seconds_until_unload(0.5, &[0, 60, 120, 180, 240]);
     assert!(
         rare < unknown && unknown < steady,
-        "{rare:?}, {unknown:?}, {steady:?}"
+        "unloaded after {rare:?} (rare), {unknown:?} (unknown), {steady:?} (steady)"
     );
 }
 
@@ -84,30 +87,30 @@
 }
 
 #[test]
-fn least_saved_wait_for_its_memory_goes_first() {
+fn replica_with_the_least_savings_is_evicted_first() {
     let policy = placement::Policy::new(0.5);
-    let often = replica(1, rate([180, 190, 200]), 200);
-    let seldom = replica(2, rate([0, 100, 200]), 200);
+    let frequent = replica(1, rate([180, 190, 200]), 200);
+    let infrequent = replica(2, rate([0, 100, 200]), 200);
     let mut large = replica(3, rate([0, 100, 200]), 200);
     large.memory_mb *= 4;
     let mut slow = replica(4, rate([0, 100, 200]), 200);
     slow.load *= 4;
     assert_eq!(
-        policy.eviction_order(at(201), &[often, seldom, large, slow]),
+        policy.eviction_order(at(201), &[frequent, infrequent, large, slow]),
         [3, 2, 4, 1]
     );
 }
 
 #[test]
-fn room_is_made_where_least_is_lost() {
+fn eviction_happens_where_the_loss_is_smallest() {
     let policy = placement::Policy::new(0.5);
-    let tenancy = |server, free_mb, replicas| placement::ServerReplicas {
+    let server_replicas = |server, free_mb, replicas| placement::ServerReplicas {
         server,
         free_mb,
         replicas,
     };
     let servers = [
-        tenancy(
+        server_replicas(
             "s1",
             0,
             vec![
@@ -115,7 +118,7 @@
                 replica(2, rate([98, 99, 100]), 100),
             ],
         ),
-        tenancy(
+        server_replicas(
             "s2",
             5_000,
             vec![
@@ -123,17 +126,17 @@
                 replica(4, rate([98, 99, 100]), 100),
             ],
         ),
-        tenancy("s3", 4_000, vec![replica(5, rate([0, 50, 100]), 100)]),
+        server_replicas("s3", 4_000, vec![replica(5, rate([0, 50, 100]), 100)]),
     ];
-    let room = policy
+    let eviction = policy
         .plan_eviction(at(101), 15_000, &servers)
-        .expect("s2 has it");
-    assert_eq!((room.server, room.victims), ("s2", vec![3]));
+        .expect("s2 can free enough memory");
+    assert_eq!((eviction.server, eviction.victims), ("s2", vec![3]));
     assert_eq!(policy.plan_eviction(at(101), 26_000, &servers), None);
 }
 
 #[test]
-fn nearest_checkpoint_then_least_busy_then_tightest() {
+fn server_choice_prefers_near_checkpoint_then_low_load_then_tight_fit() {
     let policy = placement::Policy::new(0.5);
     let candidate = |key, source, loading, free_mb| placement::Candidate {
         key,
@@ -148,32 +151,32 @@
     let wide = candidate(3, placement::Source::Memory, 0, 90_000);
     let tight = candidate(4, placement::Source::Memory, 0, 20_000);
     let full = candidate(5, placement::Source::Memory, 0, 9_999);
-    let mut holder = candidate(6, placement::Source::Memory, 0, 20_000);
-    holder.holds = true;
-    let all = [disk, busy, wide, tight, full, holder];
+    let mut server_with_item = candidate(6, placement::Source::Memory, 0, 20_000);
+    server_with_item.holds = true;
+    let all = [disk, busy, wide, tight, full, server_with_item];
     assert_eq!(policy.choose_server(10_000, &all), Some(4));
     assert_eq!(policy.choose_server(10_000, &all[..3]), Some(3));
     assert_eq!(policy.choose_server(10_000, &all[..2]), Some(2));
     assert_eq!(policy.choose_server(10_000, &all[4..]), None);
 }
 
-/// Many cold items are wanted at once and the store loads a few at a time. In a bad order some callers are
-/// late who need not be; what is too late for all of its callers must not make others late as well.
+/// Many cold items are requested at once and the store loads only a few at a time. In a bad order some callers miss
+/// their deadline unnecessarily. An item that would be late anyway must not make others late.
 #[test]
-fn cold_items_are_loaded_by_deadline_then_callers() {
+fn cold_items_are_loaded_by_deadline_then_waiting_callers() {
     let policy = placement::Policy::new(0.5);
-    let want = |key, deadline, waiting| placement::ColdItem {
+    let item = |key, deadline, waiting| placement::ColdItem {
         key,
         deadline: at(deadline),
         waiting,
-        load: LOAD,
+        load: LOAD_TIME,
     };
-    let wants = [
-        want(1, 60, 1),
-        want(2, 30, 1),
-        want(3, 30, 9),
-        want(4, 5, 50),
-        want(5, 90, 99),
+    let items = [
+        item(1, 60, 1),
+        item(2, 30, 1),
+        item(3, 30, 9),
+        item(4, 5, 50),
+        item(5, 90, 99),
     ];
-    assert_eq!(policy.load_order(at(0), &wants), [3, 2, 1, 5, 4]);
+    assert_eq!(policy.load_order(at(0), &items), [3, 2, 1, 5, 4]);
 }
