--- a/crates/fireflywheel/src/node/admission.rs
+++ b/crates/fireflywheel/src/node/admission.rs
@@ -1,92 +1,93 @@
-//! Taking requests in: everything that can be said at once is said at once.
+//! Admission of requests. Whatever is known to fail is refused on arrival.
 
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-use super::{Node, lanes, limits};
+use super::{Node, limits, queues};
 use crate::{claim, clock, document, effect, estimate, queue, request, server};
 
-/// The class of requests to models that name none.
+/// The class of requests to models that name no class.
 const DEFAULT_CLASS: &str = "interactive";
 
-/// Until a caller should come back that met a full queue.
-const QUEUE_RETRY: Duration = Duration::from_millis(500);
+/// Minimum delay before a caller whose request met a full queue should retry.
+const QUEUE_FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Until a caller should come back that met an instance which isn't ready or stops: another one answers.
-const ELSEWHERE_RETRY: Duration = Duration::from_millis(100);
+/// Delay before a caller should retry whose request met an instance that isn't ready or is stopping. It is
+/// short because another instance answers.
+const OTHER_INSTANCE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest time that is kept for an answer's way to the caller.
-const LONGEST_MARGIN: Duration = Duration::from_millis(25);
+/// Maximum time reserved for sending an answer to the caller.
+const MAX_ANSWER_MARGIN: Duration = Duration::from_millis(25);
 
-/// The deadline by which a refusal at the door is handed out.
-const REFUSED_BY: Duration = Duration::from_secs(5);
+/// Time within which a refusal is sent to a caller who named no deadline.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A request in progress.
+/// A request that has no final answer yet.
 #[derive(Debug)]
 pub(super) struct Request {
     pub arrival: request::Arrival,
     pub class: SmolStr,
     pub arrived: clock::Instant,
     pub deadline: clock::Instant,
-    pub lane: Option<lanes::Key>,
+    pub queue: Option<queues::Key>,
     pub idempotent: bool,
-    /// The claim that it needs before it may run.
+    /// The idempotency key that must be claimed before the request may run.
     pub claim: Option<claim::Key>,
     pub state: State,
-    /// Whether it was sent at all.
-    pub sent: bool,
-    /// Attempts that failed, but for refusals that cost the backend server nothing.
-    pub failures: u32,
+    /// Whether the request was sent to any backend server.
+    pub dispatched: bool,
+    /// Number of failed attempts, without refusals that cost the backend server next to nothing.
+    pub failed_attempts: u32,
     pub resumes: u32,
-    /// What it counts against.
-    pub holds: Vec<limits::Hold>,
+    /// The units of the limits of its tenant and class that are reserved for the request.
+    pub reservations: Vec<limits::Reservation>,
 }
 
-/// How far a request is.
+/// The progress of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum State {
-    /// Not decided yet.
+    /// Newly arrived, or about to be queued, claimed or answered.
     New,
-    /// Waits for credits of a shared limit.
-    Crediting,
-    /// Its claim waits to be read back.
-    Claiming,
-    /// Another request holds its key.
-    Behind,
-    /// In its lane's queue.
+    /// Waiting for credits of a limit that is shared between instances.
+    WaitingForCredits,
+    /// Waiting for its claim to be read back from the log.
+    WaitingForClaim,
+    /// Waiting for the outcome of another request that has claimed the same key.
+    WaitingForHolder,
+    /// Waiting in the queue of its target.
     Queued,
     /// Sent to a backend server.
     Running {
-        /// Which.
+        /// The backend server.
         server: server::Key,
-        /// When.
+        /// The time of the dispatch.
         since: clock::Instant,
     },
 }
 
 impl Node {
-    /// Takes in a request. Its dispatch or refusal is among the effects, now or of a later step.
+    /// Handles a new request. Its dispatch or refusal is among the effects of this call or of a later step.
     pub fn handle_arrival(
         &mut self,
         now: clock::Instant,
         arrival: request::Arrival,
         out: &mut Vec<effect::Effect>,
     ) -> request::Admitted {
-        let deadline = now.after(arrival.deadline.unwrap_or(REFUSED_BY));
+        let deadline = now.after(arrival.deadline.unwrap_or(REFUSAL_TIMEOUT));
         let key = self.requests.insert(Request {
             class: arrival.class.clone().unwrap_or_default(),
             arrival,
             arrived: now,
             deadline,
-            lane: None,
+            queue: None,
             idempotent: false,
             claim: None,
             state: State::New,
-            sent: false,
-            failures: 0,
+            dispatched: false,
+            failed_attempts: 0,
             resumes: 0,
-            holds: Vec::new(),
+            reservations: Vec::new(),
         });
         if let Err(refusal) = self.admit(now, key, out) {
             self.refuse(now, key, refusal, out);
@@ -104,16 +105,16 @@
         key: request::Key,
         out: &mut Vec<effect::Effect>,
     ) -> Result<(), request::Refusal> {
-        self.check_open(now)?;
+        self.check_accepting(now)?;
         self.resolve(now, key)?;
-        if self.take_limits(now, key, out) {
-            self.proceed(now, key, out);
+        if self.acquire_limits(now, key, out) {
+            self.continue_admission(now, key, out);
         }
         Ok(())
     }
 
-    /// Goes on with a request that its limits let in.
-    pub(super) fn proceed(
+    /// Continues with a request once its limits admit it.
+    pub(super) fn continue_admission(
         &mut self,
         now: clock::Instant,
         key: request::Key,
@@ -133,24 +134,25 @@
         if self.requests[key].claim.is_some() {
             return self.begin_claim(now, key, out);
         }
-        self.check_estimate(now, key)?;
+        self.check_expected_wait(now, key)?;
         self.enqueue(now, key, out)
     }
 
-    fn check_open(&self, now: clock::Instant) -> Result<(), request::Refusal> {
-        if self.refuses_new(now) {
+    fn check_accepting(&self, now: clock::Instant) -> Result<(), request::Refusal> {
+        if self.refuses_requests(now) {
             let refusal = request::Refusal::new(request::Code::Stopping, "this instance stops");
-            return Err(refusal.with_retry_after(ELSEWHERE_RETRY));
+            return Err(refusal.with_retry_after(OTHER_INSTANCE_RETRY_DELAY));
         }
         if self.config.version == 0 {
             let message = "this instance holds no configuration yet";
             let refusal = request::Refusal::new(request::Code::NotReady, message);
-            return Err(refusal.with_retry_after(ELSEWHERE_RETRY));
+            return Err(refusal.with_retry_after(OTHER_INSTANCE_RETRY_DELAY));
         }
         Ok(())
     }
 
-    /// Finds tenant, lane, class, deadline and whether the request may be repeated.
+    /// Checks the tenant, finds the queue, class and deadline of a request, and determines whether it may
+    /// be repeated.
     fn resolve(&mut self, now: clock::Instant, key: request::Key) -> Result<(), request::Refusal> {
         let document = self.config.document.clone();
         let arrival = self.requests[key].arrival.clone();
@@ -158,11 +160,11 @@
             let message = format!("no tenant {} in the configuration", arrival.tenant);
             return Err(request::Refusal::new(request::Code::UnknownTenant, message));
         }
-        let Some(lane) = self.lane(&arrival.target) else {
+        let Some(queue) = self.queue_for(&arrival.target) else {
             let message = "no such model, adapter or path in the configuration";
             return Err(request::Refusal::new(request::Code::UnknownTarget, message));
         };
-        let (class, idempotent, deduplicates) = nature(&document, &arrival);
+        let (class, idempotent, deduplicates) = classify(&document, &arrival);
         let Some(limits) = document.classes.get(&class) else {
             let message = format!("no class {class} in the configuration");
             return Err(request::Refusal::new(request::Code::UnknownClass, message));
@@ -181,24 +183,24 @@
         });
         let request = &mut self.requests[key];
         request.class = class;
-        request.lane = Some(lane);
+        request.queue = Some(queue);
         request.deadline = now.after(allowed.saturating_sub(answer_margin(allowed)));
         request.idempotent = idempotent;
         request.claim = claim;
         Ok(())
     }
 
-    /// Refuses at once what would be answered too late.
-    fn check_estimate(
+    /// Refuses a request that would be answered after its deadline.
+    fn check_expected_wait(
         &mut self,
         now: clock::Instant,
         key: request::Key,
     ) -> Result<(), request::Refusal> {
         let deadline = self.requests[key].deadline;
-        let Some(lane) = self.requests[key].lane else {
+        let Some(queue) = self.requests[key].queue else {
             return Ok(());
         };
-        let wait = self.expected_wait(now, lane, key);
+        let wait = self.expected_wait(now, queue, key);
         if now.after(wait) <= deadline {
             return Ok(());
         }
@@ -206,79 +208,81 @@
             "it would take {} ms, more than its deadline allows",
             wait.as_millis()
         );
-        let cold = self.lanes[lane].item.is_some() && self.is_cold(now, lane);
+        let cold = self.queues[queue].item.is_some() && self.is_cold(now, queue);
         if cold {
-            let lane = &mut self.lanes[lane];
-            lane.interest_until = now.after(2 * lane.load.mean());
+            let queue = &mut self.queues[queue];
+            queue.retries_expected_until = now.after(2 * queue.load_time.mean());
         }
         let refusal = request::Refusal::new(request::Code::TooLate, message);
         Err(refusal.with_retry_after(wait))
     }
 
-    /// How long until a request has its whole answer.
+    /// Returns the expected time until a request has its full answer.
     ///
-    /// The backend servers' slots are shared with other instances, so while a queue stands here, what this
-    /// instance has running is what it gets of them.
+    /// The slots of the backend servers are shared with other instances. While requests are queued here,
+    /// the number of slots available to this instance is therefore taken to be the number of its running
+    /// requests.
     fn expected_wait(
         &mut self,
         now: clock::Instant,
-        lane: lanes::Key,
+        queue: queues::Key,
         key: request::Key,
     ) -> Duration {
-        let cold = self.is_cold(now, lane);
-        let replicas = u32::try_from(self.replicas(now, lane))
+        let cold = self.is_cold(now, queue);
+        let replicas = u32::try_from(self.replica_count(now, queue))
             .unwrap_or(u32::MAX)
             .max(1);
         let request = &self.requests[key];
         let tenant = &request.arrival.tenant;
-        let share = self.share(tenant);
-        let lane = &self.lanes[lane];
-        let slots = replicas.saturating_mul(self.slots(&lane.group));
-        let ahead = lane.queue.turns_before(tenant, share, request.deadline);
-        let service = if lane.queue.is_empty() && lane.running < slots {
-            lane.service.mean()
+        let share = self.tenant_share(tenant);
+        let queue = &self.queues[queue];
+        let slots = replicas.saturating_mul(self.slots_per_server(&queue.group));
+        let ahead = queue.waiting.turns_before(tenant, share, request.deadline);
+        let service = if queue.waiting.is_empty() && queue.running < slots {
+            queue.service_time.mean()
         } else if cold {
-            lane.service.completion_time(ahead, slots)
+            queue.service_time.completion_time(ahead, slots)
         } else {
-            lane.service
-                .completion_time(ahead, lane.running.clamp(1, slots))
+            queue
+                .service_time
+                .completion_time(ahead, queue.running.clamp(1, slots))
         };
-        if !cold || lane.item.is_none() {
+        if !cold || queue.item.is_none() {
             return service;
         }
-        let waited = lane
+        let waited = queue
             .cold_since
             .map_or(Duration::ZERO, |since| now.since(since));
-        remaining(&lane.load, waited) + service
+        remaining_load_time(&queue.load_time, waited) + service
     }
 
-    /// A tenant's weight against others.
-    fn share(&self, tenant: &SmolStr) -> u32 {
+    /// Returns the scheduling weight of a tenant relative to other tenants.
+    fn tenant_share(&self, tenant: &SmolStr) -> u32 {
         let tenant = self.config.document.tenants.get(tenant);
         tenant.map_or(1, |tenant| tenant.share)
     }
 
-    /// Puts a request into its lane's queue and sends it on when it can go.
+    /// Adds a request to the queue of its target and dispatches what can be dispatched.
     pub(super) fn enqueue(
         &mut self,
         now: clock::Instant,
         key: request::Key,
         out: &mut Vec<effect::Effect>,
     ) -> Result<(), request::Refusal> {
-        let Some(lane) = self.requests[key].lane else {
+        let Some(queue) = self.requests[key].queue else {
             return Ok(());
         };
         let class = self.requests[key].class.clone();
         let limit = self.config.document.classes.get(&class);
         let limit = limit.map_or(usize::MAX, |class| class.queue);
         if self
-            .waiting
+            .queued_by_class
             .get(&class)
             .is_some_and(|waiting| *waiting >= limit)
         {
-            return Err(self.queue_full(lane));
+            return Err(self.queue_full_refusal(queue));
         }
-        let share = self.share(&self.requests[key].arrival.tenant);
+        let share = self.tenant_share(&self.requests[key].arrival.tenant);
         let request = &mut self.requests[key];
         let entry = queue::Entry {
             key,
@@ -286,46 +290,48 @@
             share,
             deadline: request.deadline,
         };
-        if self.lanes[lane].queue.push(entry).is_err() {
-            return Err(self.queue_full(lane));
+        if self.queues[queue].waiting.push(entry).is_err() {
+            return Err(self.queue_full_refusal(queue));
         }
         self.requests[key].state = State::Queued;
-        *self.waiting.entry(class).or_default() += 1;
-        self.pump(now, lane, out);
+        *self.queued_by_class.entry(class).or_default() += 1;
+        self.dispatch_waiting(now, queue, out);
         Ok(())
     }
 
-    fn queue_full(&self, lane: lanes::Key) -> request::Refusal {
-        let retry = self.lanes[lane].service.mean();
+    fn queue_full_refusal(&self, queue: queues::Key) -> request::Refusal {
+        let retry = self.queues[queue].service_time.mean();
         let refusal = request::Refusal::new(request::Code::QueueFull, "too many wait already");
-        refusal.with_retry_after(retry.max(QUEUE_RETRY))
+        refusal.with_retry_after(retry.max(QUEUE_FULL_RETRY_DELAY))
     }
 
-    /// A request of a class has left its queue.
-    pub(super) fn left_queue(&mut self, class: &str) {
-        if let Some(waiting) = self.waiting.get_mut(class) {
+    /// Updates the number of queued requests of a class after one has left its queue.
+    pub(super) fn record_dequeued(&mut self, class: &str) {
+        if let Some(waiting) = self.queued_by_class.get_mut(class) {
             *waiting = waiting.saturating_sub(1);
         }
     }
 }
 
-/// How long before the caller's deadline its final answer leaves, so that it is there in time and not just
-/// sent in time.
+/// Returns how long before the caller's deadline the final answer has to be sent, so that it arrives in
+/// time.
 fn answer_margin(allowed: Duration) -> Duration {
-    LONGEST_MARGIN.min(allowed / 10)
+    MAX_ANSWER_MARGIN.min(allowed / 10)
 }
 
-/// What is left of a load that has gone on for a while; one that takes longer than expected may take as
-/// long as it has again, up to half of the expected time.
-fn remaining(load: &estimate::Estimate, waited: Duration) -> Duration {
+/// Returns the expected remaining time of a load that has already taken `waited`. A load that takes longer
+/// than expected is assumed to take as long again as it has taken so far, up to a quarter of the expected
+/// time.
+fn remaining_load_time(load: &estimate::Estimate, waited: Duration) -> Duration {
     let expected = load.mean();
     expected
         .saturating_sub(waited)
         .max(waited.min(expected / 4))
 }
 
-/// Class, whether it is idempotent, and whether its service deduplicates by key.
-fn nature(document: &document::Document, arrival: &request::Arrival) -> (SmolStr, bool, bool) {
+/// Returns the class of a request, whether it is idempotent, and whether its service deduplicates by
+/// idempotency key.
+fn classify(document: &document::Document, arrival: &request::Arrival) -> (SmolStr, bool, bool) {
     match &arrival.target {
         request::Target::Model { .. } => {
             let class = arrival.class.clone();
--- a/crates/fireflywheel/src/node/attempts.rs
+++ b/crates/fireflywheel/src/node/attempts.rs
@@ -1,33 +1,33 @@
-//! Attempts at backend servers: what came of them, whether to try again, the final answer.
+//! Attempts at backend servers: their results, retries and final answers.
 
 use std::time::Duration;
 
-use super::{Node, admission::State, lanes};
+use super::{Node, admission::State, queues};
 use crate::{claim, clock, effect, request, server, verdict};
 
-/// Attempts at one request at most, over all backend servers.
-const ATTEMPTS: u32 = 4;
+/// Maximum number of attempts at one request over all backend servers.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Times that one stream is resumed.
-const RESUMES: u32 = 2;
+/// Maximum number of times that one stream is resumed.
+const MAX_RESUMES: u32 = 2;
 
-/// Until a caller should come back after a backend server failed.
-const FAILED_RETRY: Duration = Duration::from_millis(500);
+/// Delay before a caller should retry after a backend server failed.
+const BACKEND_FAILURE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Node {
     /// Sends a request to a backend server.
     pub(super) fn dispatch(
         &mut self,
         now: clock::Instant,
-        lane: lanes::Key,
+        queue: queues::Key,
         request: request::Key,
         server: server::Key,
         out: &mut Vec<effect::Effect>,
     ) {
-        let Some(lane) = self.lanes.get_mut(lane) else {
+        let Some(queue) = self.queues.get_mut(queue) else {
             return;
         };
-        let Some(group) = self.groups.get_mut(&lane.group) else {
+        let Some(group) = self.groups.get_mut(&queue.group) else {
             return;
         };
         let Some(address) = group.table.get(server).map(|server| server.address.clone()) else {
@@ -38,21 +38,21 @@
         };
         running.state = State::Running { server, since: now };
         let class = running.class.clone();
-        if !running.sent {
-            running.sent = true;
-            self.budget.record_request(now);
+        if !running.dispatched {
+            running.dispatched = true;
+            self.retry_budget.record_request(now);
         }
-        lane.running += 1;
+        queue.running += 1;
         group.table.request_started(now, server);
-        self.left_queue(&class);
+        self.record_dequeued(&class);
         out.push(effect::Effect::Dispatch {
             request,
             server: address,
         });
     }
 
-    /// What came of an attempt.
-    pub(super) fn attempted(
+    /// Handles the result of an attempt.
+    pub(super) fn handle_attempt(
         &mut self,
         now: clock::Instant,
         key: request::Key,
@@ -61,37 +61,37 @@
     ) {
         match attempt {
             request::Attempt::Began => {}
-            request::Attempt::Done(outcome) => self.done(now, key, outcome, out),
-            request::Attempt::Failed(failure) => self.failed(now, key, &failure, out),
+            request::Attempt::Done(outcome) => self.handle_success(now, key, outcome, out),
+            request::Attempt::Failed(failure) => self.handle_failure(now, key, &failure, out),
         }
     }
 
-    fn done(
+    fn handle_success(
         &mut self,
         now: clock::Instant,
         key: request::Key,
         outcome: claim::Outcome,
         out: &mut Vec<effect::Effect>,
     ) {
-        let lane = self.requests.get(key).and_then(|request| request.lane);
+        let queue = self.requests.get(key).and_then(|request| request.queue);
         if let Some(since) = self.end_attempt(now, key, false)
-            && let Some(lane) = lane.and_then(|lane| self.lanes.get_mut(lane))
+            && let Some(queue) = queue.and_then(|queue| self.queues.get_mut(queue))
         {
-            lane.service.observe(now.since(since));
-            lane.finished = lane.finished.saturating_add(1);
-            let idle = lane.item.is_some() && lane.running == 0 && lane.queue.is_empty();
+            queue.service_time.observe(now.since(since));
+            queue.finished = queue.finished.saturating_add(1);
+            let idle = queue.item.is_some() && queue.running == 0 && queue.waiting.is_empty();
             if idle {
-                self.hurry_usage(now);
+                self.expedite_usage_report(now);
             }
         }
-        self.finish(key, Some(outcome), out);
-        if let Some(lane) = lane {
-            self.pump(now, lane, out);
+        self.remove_request(key, Some(outcome), out);
+        if let Some(queue) = queue {
+            self.dispatch_waiting(now, queue, out);
         }
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
     }
 
-    /// Frees the place of an attempt; gives the time at which it was sent.
+    /// Releases the slot of an attempt and returns the time at which the attempt was sent.
     fn end_attempt(
         &mut self,
         now: clock::Instant,
@@ -103,15 +103,15 @@
             return None;
         };
         request.state = State::New;
-        let lane = self.lanes.get_mut(request.lane?)?;
-        lane.running = lane.running.saturating_sub(1);
-        if let Some(group) = self.groups.get_mut(&lane.group) {
+        let queue = self.queues.get_mut(request.queue?)?;
+        queue.running = queue.running.saturating_sub(1);
+        if let Some(group) = self.groups.get_mut(&queue.group) {
             group.table.request_ended(now, server, failed);
         }
         Some(since)
     }
 
-    fn failed(
+    fn handle_failure(
         &mut self,
         now: clock::Instant,
         key: request::Key,
@@ -124,36 +124,36 @@
         let State::Running { server, .. } = request.state else {
             return;
         };
-        let Some(lane) = request.lane else { return };
+        let Some(queue) = request.queue else { return };
         if self.may_resume(now, key, failure) {
             return self.resume(key, server, failure.events_delivered, out);
         }
-        let unwell = matches!(
+        let counts_as_failure = matches!(
             failure.cause,
             request::Cause::Connect
                 | request::Cause::Disconnected
                 | request::Cause::BackendFailed
                 | request::Cause::AnswerFlawed
         );
-        self.end_attempt(now, key, unwell);
-        self.learn(now, lane, server, failure.cause);
+        self.end_attempt(now, key, counts_as_failure);
+        self.update_server(now, queue, server, failure.cause);
         if self.may_retry(now, key, failure) && self.enqueue(now, key, out).is_ok() {
             return;
         }
-        let refusal = self.refusal(key, failure);
+        let refusal = self.failure_refusal(key, failure);
         self.refuse(now, key, refusal, out);
-        self.pump(now, lane, out);
+        self.dispatch_waiting(now, queue, out);
     }
 
-    /// What a failure says of the backend server, beside being one.
-    fn learn(
+    /// Updates what is known of a backend server by the cause of a failed attempt.
+    fn update_server(
         &mut self,
         now: clock::Instant,
-        lane: lanes::Key,
+        queue: queues::Key,
         server: server::Key,
         cause: request::Cause,
     ) {
-        let Some(group) = self.lanes.get(lane).map(|lane| lane.group.clone()) else {
+        let Some(group) = self.queues.get(queue).map(|queue| queue.group.clone()) else {
             return;
         };
         let Some(group) = self.groups.get_mut(&group) else {
@@ -169,8 +169,8 @@
                     known.leaving = true;
                 }
             }
-            request::Cause::NotLoaded => self.deny(now, &address, lane),
-            request::Cause::Overloaded => self.rest(now, &address, lane),
+            request::Cause::NotLoaded => self.suspend_not_loaded(now, &address, queue),
+            request::Cause::Overloaded => self.suspend_full(now, &address, queue),
             request::Cause::Connect
             | request::Cause::Disconnected
             | request::Cause::AnswerFlawed
@@ -180,7 +180,7 @@
         }
     }
 
-    /// A broken stream goes on where it broke, if the engine can.
+    /// Returns whether to ask the engine to resume an interrupted stream after the last delivered event.
     fn may_resume(
         &self,
         now: clock::Instant,
@@ -191,7 +191,7 @@
         failure.cause == request::Cause::Disconnected
             && failure.events_delivered > 0
             && request.arrival.stream
-            && request.resumes < RESUMES
+            && request.resumes < MAX_RESUMES
             && now < request.deadline
     }
 
@@ -204,8 +204,8 @@
     ) {
         let request = &mut self.requests[key];
         request.resumes += 1;
-        let group = request.lane.and_then(|lane| self.lanes.get(lane));
-        let group = group.and_then(|lane| self.groups.get(&lane.group));
+        let group = request.queue.and_then(|queue| self.queues.get(queue));
+        let group = group.and_then(|queue| self.groups.get(&queue.group));
         let Some(address) = group.and_then(|group| group.table.get(server)) else {
             return;
         };
@@ -216,8 +216,8 @@
         });
     }
 
-    /// Whether a request may be sent again: never after a byte of it went to the caller, never when it
-    /// isn't idempotent, and only within deadline and budget.
+    /// Returns whether a request may be sent again. It may not once part of an answer went to the caller or
+    /// if it isn't idempotent, and only within its deadline and the retry budget.
     fn may_retry(
         &mut self,
         now: clock::Instant,
@@ -225,32 +225,32 @@
         failure: &request::Failure,
     ) -> bool {
         let request = &self.requests[key];
-        let hopeless = matches!(
+        let is_final = matches!(
             failure.cause,
             request::Cause::CallerGone | request::Cause::DeadlinePassed
         );
-        if hopeless
+        if is_final
             || failure.events_delivered > 0
             || !request.idempotent
             || now >= request.deadline
         {
             return false;
         }
-        // A refusal in the engine's own protocol cost it next to nothing, and the placement is left alone for
-        // a while, so it counts neither as an attempt nor against the budget.
-        let free = matches!(
+        // A refusal by the engine's protocol costs the engine next to nothing, and the placement receives
+        // no requests for a while. It counts neither as an attempt nor against the retry budget.
+        let is_cheap_refusal = matches!(
             failure.cause,
             request::Cause::NotLoaded | request::Cause::Draining | request::Cause::Overloaded
         );
-        if free {
+        if is_cheap_refusal {
             return true;
         }
-        let failures = &mut self.requests[key].failures;
-        *failures += 1;
-        *failures < ATTEMPTS && self.budget.try_retry(now)
+        let failed_attempts = &mut self.requests[key].failed_attempts;
+        *failed_attempts += 1;
+        *failed_attempts < MAX_ATTEMPTS && self.retry_budget.try_retry(now)
     }
 
-    fn refusal(&self, key: request::Key, failure: &request::Failure) -> request::Refusal {
+    fn failure_refusal(&self, key: request::Key, failure: &request::Failure) -> request::Refusal {
         let request = &self.requests[key];
         let (code, message) = match failure.cause {
             request::Cause::Connect => (
@@ -276,14 +276,14 @@
             }
         };
         let refusal = request::Refusal::new(code, message).with_verdict(failure.verdict);
-        let again = request.idempotent || failure.verdict == verdict::Verdict::NotRun;
-        if again {
-            return refusal.with_retry_after(FAILED_RETRY);
+        let retry_allowed = request.idempotent || failure.verdict == verdict::Verdict::NotRun;
+        if retry_allowed {
+            return refusal.with_retry_after(BACKEND_FAILURE_RETRY_DELAY);
         }
         refusal
     }
 
-    /// The final answer to a request that isn't served.
+    /// Sends the refusal of a request as its final answer.
     pub(super) fn refuse(
         &mut self,
         now: clock::Instant,
@@ -300,11 +300,11 @@
             request: key,
             refusal,
         });
-        self.finish(key, Some(outcome), out);
+        self.remove_request(key, Some(outcome), out);
     }
 
-    /// Forgets a request that has its final answer; a claim that it holds is settled.
-    pub(super) fn finish(
+    /// Removes a request that has its final answer, and settles the claim that it holds.
+    pub(super) fn remove_request(
         &mut self,
         key: request::Key,
         outcome: Option<claim::Outcome>,
@@ -313,20 +313,21 @@
         let Some(request) = self.requests.remove(key) else {
             return;
         };
-        if let Some(lane) = request.lane.and_then(|lane| self.lanes.get_mut(lane)) {
-            lane.queue.remove(key);
+        if let Some(queue) = request.queue.and_then(|queue| self.queues.get_mut(queue)) {
+            queue.waiting.remove(key);
         }
         if request.state == State::Queued {
-            self.left_queue(&request.class);
+            self.record_dequeued(&request.class);
         }
-        self.give(request.holds);
+        self.release(request.reservations);
         if let Some(claim) = request.claim {
-            self.leave_claim(key, &claim, outcome, out);
+            self.release_claim(key, &claim, outcome, out);
         }
     }
 
-    /// The caller has gone: its place is free. What runs on under a claim is settled as unknown.
-    pub(super) fn abandoned(
+    /// Handles a caller's disconnection and releases the slot of its request. The claim of a request that
+    /// was already sent is settled with an unknown outcome, because it may still run.
+    pub(super) fn handle_caller_gone(
         &mut self,
         now: clock::Instant,
         key: request::Key,
@@ -335,7 +336,7 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let lane = request.lane;
+        let queue = request.queue;
         let sent = matches!(request.state, State::Running { .. });
         let verdict = if sent {
             verdict::Verdict::MayHaveRun
@@ -343,10 +344,10 @@
             verdict::Verdict::NotRun
         };
         self.end_attempt(now, key, false);
-        self.finish(key, Some(claim::Outcome::Failed(verdict)), out);
-        if let Some(lane) = lane {
-            self.pump(now, lane, out);
+        self.remove_request(key, Some(claim::Outcome::Failed(verdict)), out);
+        if let Some(queue) = queue {
+            self.dispatch_waiting(now, queue, out);
         }
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
     }
 }
--- a/crates/fireflywheel/src/node/checkpoints.rs
+++ b/crates/fireflywheel/src/node/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Appending checkpoints of the ledger, well before the log drops what they cover.
+//! Appends checkpoints of the ledger to the log, well before the log drops the records that they cover.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,55 +7,58 @@
 use super::Node;
 use crate::{clock, effect, record, rendezvous};
 
-/// Until a checkpoint that was begun and never seen whole is given up.
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// Time after which a checkpoint that was started but not read back completely is abandoned.
+const CHECKPOINT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is known of checkpoints in the log.
+/// The state of checkpoints in the log as this instance knows it.
 #[derive(Debug, Default)]
 pub(super) struct Checkpoints {
-    /// What the newest whole one covers.
+    /// The offset up to which the newest complete checkpoint covers the log.
     covered: u64,
-    /// The first offset after its last part: its own records are no reason for another one.
+    /// The first offset after the last part of that checkpoint. Records of a checkpoint don't count towards
+    /// the next one.
     end: u64,
-    /// When it was seen, or this instance had its ledger.
-    at: clock::Instant,
-    /// When this instance began one that it hasn't seen whole.
-    begun: Option<clock::Instant>,
-    /// Its parts that are not appended yet.
-    parts: VecDeque<record::Part>,
+    /// The time at which that checkpoint was read back completely, or at which this instance obtained its
+    /// ledger.
+    completed_at: clock::Instant,
+    /// The time at which this instance started a checkpoint that it hasn't read back completely.
+    started_at: Option<clock::Instant>,
+    /// The parts of the started checkpoint that are not appended yet.
+    unappended_parts: VecDeque<record::Part>,
 }
 
 impl Checkpoints {
-    /// A ledger is held from now on; the time to the next checkpoint counts from here.
-    pub fn started(&mut self, now: clock::Instant) {
-        self.at = now;
+    /// Restarts the checkpoint interval when this instance has obtained a ledger.
+    pub fn restart_interval(&mut self, now: clock::Instant) {
+        self.completed_at = now;
     }
 
-    /// A part was read back.
-    pub fn seen(&mut self, now: clock::Instant, offset: u64, part: &record::Part) {
-        let whole = part.part + 1 == part.parts;
-        if whole && part.next > self.covered {
+    /// Handles a part that was read back.
+    pub fn handle_part(&mut self, now: clock::Instant, offset: u64, part: &record::Part) {
+        let is_last = part.part + 1 == part.parts;
+        if is_last && part.next > self.covered {
             self.covered = part.next;
             self.end = offset + 1;
-            self.at = now;
-            self.begun = None;
+            self.completed_at = now;
+            self.started_at = None;
         }
     }
 }
 
 impl Node {
-    /// Appends a checkpoint when it is due and this instance is the one to do it. Two that think so at the
-    /// same time append the same text, which does no harm. The parts go one by one, so that other entries
-    /// aren't held up behind them and a large checkpoint doesn't overflow the writer.
+    /// Appends a checkpoint when it is due and this instance is selected to write it. Two instances that
+    /// both consider themselves selected append the same text, which is harmless. The parts are appended
+    /// one at a time, so that other entries aren't delayed behind them and a large checkpoint doesn't
+    /// overflow the writer.
     pub(super) fn write_checkpoint(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        if self.log.checkpoints.parts.is_empty() {
+        if self.log.checkpoints.unappended_parts.is_empty() {
             self.begin_checkpoint(now);
         }
         if self.log.writer.waiting() > 0 {
             return;
         }
-        if let Some(part) = self.log.checkpoints.parts.pop_front() {
-            self.push(record::Entry::Checkpoint(part), out);
+        if let Some(part) = self.log.checkpoints.unappended_parts.pop_front() {
+            self.append_entry(record::Entry::Checkpoint(part), out);
         }
     }
 
@@ -65,11 +68,14 @@
         };
         let known = &self.log.checkpoints;
         let timing = &self.options.timing;
-        let since = ledger.next().saturating_sub(known.end);
-        let old = since > 0 && now.since(known.at) >= timing.checkpoint_interval;
-        let due = since >= timing.checkpoint_records || old;
-        let underway = known.begun.is_some_and(|begun| now.since(begun) < GIVE_UP);
-        if !due || underway || !self.log.reading || self.stop.is_some() {
+        let records_since = ledger.next().saturating_sub(known.end);
+        let interval_elapsed =
+            records_since > 0 && now.since(known.completed_at) >= timing.checkpoint_interval;
+        let due = records_since >= timing.checkpoint_records || interval_elapsed;
+        let in_progress = known
+            .started_at
+            .is_some_and(|started_at| now.since(started_at) < CHECKPOINT_TIMEOUT);
+        if !due || in_progress || !self.log.readable || self.stop.is_some() {
             return;
         }
         let alive = self.membership.alive().map(SmolStr::as_str);
@@ -77,7 +83,7 @@
             return;
         }
         let parts = ledger.checkpoint();
-        self.log.checkpoints.begun = Some(now);
-        self.log.checkpoints.parts = parts.into();
+        self.log.checkpoints.started_at = Some(now);
+        self.log.checkpoints.unappended_parts = parts.into();
     }
 }
--- a/crates/fireflywheel/src/node/claims.rs
+++ b/crates/fireflywheel/src/node/claims.rs
@@ -1,42 +1,44 @@
-//! Idempotency keys: a claim is read back before its request is sent, and repeats wait behind it.
+//! Idempotency keys. A request is sent only after its claim was read back from the log; repeats with the
+//! same key wait for its outcome.
 
 use std::time::Duration;
 
 use super::{Node, admission::State};
 use crate::{claim, clock, effect, ledger, record, request, verdict};
 
-/// How long the log may be out of reach until those who wait for a claim are refused.
-const OUTAGE: Duration = Duration::from_millis(500);
+/// Time for which the log may be unreachable until requests that wait for a claim are refused.
+const LOG_OUTAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Requests of this instance with one key.
+/// Requests of this instance with the same key.
 #[derive(Debug, Default)]
-pub(super) struct Waiters {
-    /// Its claim is on the way to the log.
+pub(super) struct KeyRequests {
+    /// The request whose claim is being appended to the log.
     claimant: Option<request::Key>,
-    /// Behind another request, here or elsewhere.
-    behind: Vec<request::Key>,
+    /// Requests that wait for the outcome of another one, at this or another instance.
+    followers: Vec<request::Key>,
 }
 
-/// How a key stands in the ledger.
-enum Standing {
+/// The status of a key in the ledger.
+enum Status {
     Free,
     Open(claim::Claim),
     Closed(claim::Claim, claim::Outcome),
 }
 
 impl Node {
-    fn standing(&self, key: &claim::Key) -> Standing {
+    fn claim_status(&self, key: &claim::Key) -> Status {
         let ledger = self.log.ledger.as_ref();
         let Some(claim) = ledger.and_then(|ledger| ledger.claim(key)) else {
-            return Standing::Free;
+            return Status::Free;
         };
         match &claim.closed {
-            Some((outcome, _)) => Standing::Closed(claim.clone(), outcome.clone()),
-            None => Standing::Open(claim.clone()),
+            Some((outcome, _)) => Status::Closed(claim.clone(), outcome.clone()),
+            None => Status::Open(claim.clone()),
         }
     }
 
-    /// Starts a request that may run at most once.
+    /// Starts a request that may run at most once: claims its key, waits for the holder of the key, or
+    /// replays the holder's outcome.
     pub(super) fn begin_claim(
         &mut self,
         now: clock::Instant,
@@ -47,49 +49,49 @@
             return Ok(());
         };
         let fingerprint = self.requests[request].arrival.fingerprint;
-        match self.standing(&key) {
-            Standing::Closed(claim, outcome) => {
+        match self.claim_status(&key) {
+            Status::Closed(claim, outcome) => {
                 check_fingerprint(&claim, fingerprint)?;
-                // The holder is another request: this one must not settle the claim.
+                // Another request holds the claim, so this one must not settle it.
                 self.requests[request].claim = None;
                 self.replay(request, outcome, out)
             }
-            Standing::Open(claim) => {
+            Status::Open(claim) => {
                 check_fingerprint(&claim, fingerprint)?;
-                if self.is_over(&claim.by) {
+                if self.has_ended(&claim.by) {
                     self.requests[request].claim = None;
-                    return Err(unknown_end());
+                    return Err(unknown_outcome());
                 }
-                self.wait_behind(request, key);
+                self.wait_for_holder(request, key);
                 Ok(())
             }
-            Standing::Free => {
-                let taken = self
+            Status::Free => {
+                let claim_pending = self
                     .claims
                     .get(&key)
-                    .is_some_and(|waiters| waiters.claimant.is_some());
-                if taken {
-                    self.wait_behind(request, key);
+                    .is_some_and(|key_requests| key_requests.claimant.is_some());
+                if claim_pending {
+                    self.wait_for_holder(request, key);
                     return Ok(());
                 }
-                self.send_claim(now, request, key, out)
+                self.append_claim(now, request, key, out)
             }
         }
     }
 
-    fn wait_behind(&mut self, request: request::Key, key: claim::Key) {
-        self.requests[request].state = State::Behind;
-        self.claims.entry(key).or_default().behind.push(request);
+    fn wait_for_holder(&mut self, request: request::Key, key: claim::Key) {
+        self.requests[request].state = State::WaitingForHolder;
+        self.claims.entry(key).or_default().followers.push(request);
     }
 
-    fn send_claim(
+    fn append_claim(
         &mut self,
         now: clock::Instant,
         request: request::Key,
         key: claim::Key,
         out: &mut Vec<effect::Effect>,
     ) -> Result<(), request::Refusal> {
-        if !self.log.reading {
+        if !self.log.readable {
             return Err(log_outage());
         }
         let fingerprint = self.requests[request].arrival.fingerprint;
@@ -97,33 +99,33 @@
             key: key.clone(),
             fingerprint,
         };
-        if !self.push(entry, out) {
+        if !self.append_entry(entry, out) {
             return Err(log_outage());
         }
-        self.requests[request].state = State::Claiming;
+        self.requests[request].state = State::WaitingForClaim;
         self.claims.entry(key).or_default().claimant = Some(request);
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
         Ok(())
     }
 
-    /// A claim was read back. Only an accepted one of this very process lets its request run.
-    pub(super) fn claim_judged(
+    /// Handles a claim that was read back. Only an accepted claim of this process lets its request run.
+    pub(super) fn handle_claim(
         &mut self,
         now: clock::Instant,
         key: &claim::Key,
-        mine: bool,
-        judgement: &ledger::Decision,
+        is_own: bool,
+        decision: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
-        if !mine {
+        if !is_own {
             return;
         }
         let claimant = self
             .claims
             .get_mut(key)
-            .and_then(|waiters| waiters.claimant.take());
-        match judgement {
-            ledger::Decision::Accepted => self.claim_won(now, key, claimant, out),
+            .and_then(|key_requests| key_requests.claimant.take());
+        match decision {
+            ledger::Decision::Accepted => self.run_claimed(now, key, claimant, out),
             ledger::Decision::Rejected(ledger::Reason::Full) => {
                 let Some(request) = claimant else { return };
                 self.requests[request].claim = None;
@@ -142,34 +144,44 @@
         }
     }
 
-    /// The key is this process's. A request that was refused in the meantime, because the append took too
-    /// long, must not run: the caller was told so.
-    fn claim_won(
+    /// Runs the request that holds the claim of this process. A request that was refused in the meantime,
+    /// because the append took too long, must not run, since its caller was told that it didn't.
+    fn run_claimed(
         &mut self,
         now: clock::Instant,
         key: &claim::Key,
         claimant: Option<request::Key>,
         out: &mut Vec<effect::Effect>,
     ) {
-        let live = claimant.filter(|request| {
+        let waiting = claimant.filter(|request| {
             let request = self.requests.get(*request);
-            request.is_some_and(|request| request.state == State::Claiming)
+            request.is_some_and(|request| request.state == State::WaitingForClaim)
         });
-        let Some(request) = live else {
-            return self.settle(key, claim::Outcome::Failed(verdict::Verdict::NotRun), out);
+        let Some(request) = waiting else {
+            return self.append_settlement(
+                key,
+                claim::Outcome::Failed(verdict::Verdict::NotRun),
+                out,
+            );
         };
         if let Err(refusal) = self.enqueue(now, request, out) {
             self.refuse(now, request, refusal, out);
         }
     }
 
-    fn settle(&mut self, key: &claim::Key, outcome: claim::Outcome, out: &mut Vec<effect::Effect>) {
+    fn append_settlement(
+        &mut self,
+        key: &claim::Key,
+        outcome: claim::Outcome,
+        out: &mut Vec<effect::Effect>,
+    ) {
         let key = key.clone();
-        self.push(record::Entry::Settle { key, outcome }, out);
+        self.append_entry(record::Entry::Settle { key, outcome }, out);
     }
 
-    /// A request with a key has its final answer. If it held the claim, the claim is settled.
-    pub(super) fn leave_claim(
+    /// Removes a request that has its final answer from its key, and settles the claim if the request held
+    /// it.
+    pub(super) fn release_claim(
         &mut self,
         request: request::Key,
         key: &claim::Key,
@@ -177,40 +189,43 @@
         out: &mut Vec<effect::Effect>,
     ) {
         let mut held = true;
-        if let Some(waiters) = self.claims.get_mut(key) {
-            if waiters.claimant == Some(request) {
-                // Its claim may still land; `claim_won` then finds nobody and settles it.
-                waiters.claimant = None;
+        if let Some(key_requests) = self.claims.get_mut(key) {
+            if key_requests.claimant == Some(request) {
+                // The claim may still be appended; `run_claimed` then finds no request and settles it.
+                key_requests.claimant = None;
                 held = false;
             }
-            let before = waiters.behind.len();
-            waiters.behind.retain(|waiter| *waiter != request);
-            held &= waiters.behind.len() == before;
-            if waiters.claimant.is_none() && waiters.behind.is_empty() {
+            let before = key_requests.followers.len();
+            key_requests
+                .followers
+                .retain(|follower| *follower != request);
+            held &= key_requests.followers.len() == before;
+            if key_requests.claimant.is_none() && key_requests.followers.is_empty() {
                 self.claims.remove(key);
             }
         }
-        let mine = match self.standing(key) {
-            Standing::Open(claim) => claim.by == self.options.me,
-            Standing::Free | Standing::Closed(..) => false,
+        let is_own = match self.claim_status(key) {
+            Status::Open(claim) => claim.by == self.options.me,
+            Status::Free | Status::Closed(..) => false,
         };
-        if let Some(outcome) = outcome.filter(|_| held && mine) {
-            self.settle(key, shorten(outcome), out);
+        if let Some(outcome) = outcome.filter(|_| held && is_own) {
+            self.append_settlement(key, drop_large_body(outcome), out);
         }
     }
 
-    /// An outcome was read back: those behind it get it, or the first of them claims anew.
-    pub(super) fn claim_settled(
+    /// Handles an outcome that was read back. Requests that wait for it get this outcome, or the first of
+    /// them claims the key again.
+    pub(super) fn handle_settlement(
         &mut self,
         now: clock::Instant,
         key: &claim::Key,
         out: &mut Vec<effect::Effect>,
     ) {
-        let Some(waiters) = self.claims.get_mut(key) else {
+        let Some(key_requests) = self.claims.get_mut(key) else {
             return;
         };
-        let behind = std::mem::take(&mut waiters.behind);
-        for request in behind {
+        let followers = std::mem::take(&mut key_requests.followers);
+        for request in followers {
             if !self.requests.contains_key(request) {
                 continue;
             }
@@ -222,7 +237,7 @@
         }
     }
 
-    /// Hands a repeat the outcome of the first.
+    /// Answers a repeated request with the outcome of the first.
     fn replay(
         &mut self,
         request: request::Key,
@@ -232,7 +247,7 @@
         match outcome {
             claim::Outcome::Answered { body: Some(_), .. } => {
                 out.push(effect::Effect::Replay { request, outcome });
-                self.finish(request, None, out);
+                self.remove_request(request, None, out);
                 Ok(())
             }
             claim::Outcome::Answered { body: None, .. } => {
@@ -248,52 +263,59 @@
         }
     }
 
-    /// Refuses those who wait behind a holder that died or past their deadline.
+    /// Refuses requests whose key is held by an instance that has ended, and requests past their deadline.
+    /// During an outage of the log, requests that wait for their own claim are refused as well.
     pub(super) fn tick_claims(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        let mut over = Vec::new();
-        for (key, waiters) in &self.claims {
-            let holder = match self.standing(key) {
-                Standing::Open(claim) => Some(claim.by),
-                Standing::Free | Standing::Closed(..) => None,
+        let mut refused = Vec::new();
+        for (key, key_requests) in &self.claims {
+            let holder = match self.claim_status(key) {
+                Status::Open(claim) => Some(claim.by),
+                Status::Free | Status::Closed(..) => None,
             };
-            let lost = holder.is_some_and(|by| self.is_over(&by));
-            for request in &waiters.behind {
+            let holder_ended = holder.is_some_and(|by| self.has_ended(&by));
+            for request in &key_requests.followers {
                 let late = self
                     .requests
                     .get(*request)
                     .is_none_or(|known| known.deadline <= now);
-                if lost || late {
-                    over.push(*request);
+                if holder_ended || late {
+                    refused.push(*request);
                 }
             }
         }
-        for request in over {
+        for request in refused {
             if let Some(known) = self.requests.get_mut(request) {
                 known.claim = None;
-                self.forget_behind(request);
-                self.refuse(now, request, unknown_end(), out);
+                self.stop_waiting_for_holder(request);
+                self.refuse(now, request, unknown_outcome(), out);
             }
         }
-        self.refuse_late_claimants(now, out);
-        let out_of_reach = self
+        self.refuse_expired_claimants(now, out);
+        let is_outage = self
             .log
-            .failed_since
-            .is_some_and(|since| now.since(since) >= OUTAGE);
-        if out_of_reach {
-            self.refuse_claims_in_outage(now, out);
+            .unreadable_since
+            .is_some_and(|since| now.since(since) >= LOG_OUTAGE_TIMEOUT);
+        if is_outage {
+            self.refuse_claimants(now, out);
         }
     }
 
-    fn forget_behind(&mut self, request: request::Key) {
-        for waiters in self.claims.values_mut() {
-            waiters.behind.retain(|waiter| *waiter != request);
+    fn stop_waiting_for_holder(&mut self, request: request::Key) {
+        for key_requests in self.claims.values_mut() {
+            key_requests
+                .followers
+                .retain(|follower| *follower != request);
         }
-        self.claims
-            .retain(|_, waiters| waiters.claimant.is_some() || !waiters.behind.is_empty());
+        self.claims.retain(|_, key_requests| {
+            key_requests.claimant.is_some() || !key_requests.followers.is_empty()
+        });
     }
 
-    fn refuse_late_claimants(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        let claimants = self.claims.values().filter_map(|waiters| waiters.claimant);
+    fn refuse_expired_claimants(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        let claimants = self
+            .claims
+            .values()
+            .filter_map(|key_requests| key_requests.claimant);
         let late: Vec<request::Key> = claimants
             .filter(|request| {
                 let request = self.requests.get(*request);
@@ -307,33 +329,32 @@
         }
     }
 
-    /// Refuses every request whose claim can't be read back. It has not run and will not: when its claim
-    /// lands after all, it is settled as not run.
-    pub(super) fn refuse_claims_in_outage(
-        &mut self,
-        now: clock::Instant,
-        out: &mut Vec<effect::Effect>,
-    ) {
-        let claimants = self.claims.values().filter_map(|waiters| waiters.claimant);
+    /// Refuses every request whose claim can't be read back. Such a request has not run and will not: if
+    /// its claim is appended after all, it is settled as not run.
+    pub(super) fn refuse_claimants(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        let claimants = self
+            .claims
+            .values()
+            .filter_map(|key_requests| key_requests.claimant);
         let claimants: Vec<request::Key> = claimants.collect();
         for request in claimants {
             self.refuse(now, request, log_outage(), out);
         }
     }
 
-    /// After a jump of the ledger: looks each key up again.
-    pub(super) fn review_claims(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+    /// Looks up each key again after the ledger skipped records.
+    pub(super) fn recheck_claims(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         let keys: Vec<claim::Key> = self.claims.keys().cloned().collect();
         for key in keys {
-            match self.standing(&key) {
-                Standing::Open(claim) if claim.by == self.options.me => {
+            match self.claim_status(&key) {
+                Status::Open(claim) if claim.by == self.options.me => {
                     let claimant = self.claims.get_mut(&key).and_then(|w| w.claimant.take());
                     if claimant.is_some() {
-                        self.claim_won(now, &key, claimant, out);
+                        self.run_claimed(now, &key, claimant, out);
                     }
                 }
-                Standing::Open(_) | Standing::Closed(..) | Standing::Free => {
-                    self.claim_settled(now, &key, out);
+                Status::Open(_) | Status::Closed(..) | Status::Free => {
+                    self.handle_settlement(now, &key, out);
                 }
             }
         }
@@ -348,21 +369,21 @@
     Err(request::Refusal::new(request::Code::KeyMismatch, message))
 }
 
-fn unknown_end() -> request::Refusal {
+fn unknown_outcome() -> request::Refusal {
     let message = "how the first request with this key ended isn't known";
     let refusal = request::Refusal::new(request::Code::KeyOpen, message);
     refusal.with_verdict(verdict::Verdict::MayHaveRun)
 }
 
 fn log_outage() -> request::Refusal {
-    /// Until a caller should come back.
-    const RETRY: Duration = Duration::from_secs(2);
+    /// Delay before a caller should retry.
+    const RETRY_DELAY: Duration = Duration::from_secs(2);
     let message = "the platform's log can't be reached, so its key can't be claimed";
-    request::Refusal::new(request::Code::LogOutage, message).with_retry_after(RETRY)
+    request::Refusal::new(request::Code::LogOutage, message).with_retry_after(RETRY_DELAY)
 }
 
-/// Drops a body that is too long to be kept.
-fn shorten(outcome: claim::Outcome) -> claim::Outcome {
+/// Drops the body of an outcome if it is too large to be stored.
+fn drop_large_body(outcome: claim::Outcome) -> claim::Outcome {
     match outcome {
         claim::Outcome::Answered {
             status,
--- a/crates/fireflywheel/src/node/limits.rs
+++ b/crates/fireflywheel/src/node/limits.rs
@@ -1,8 +1,9 @@
-//! Limits of tenants and classes that hold across instances.
+//! Limits of tenants and classes that apply across instances.
 //!
-//! Half of a limit is divided: each instance may use its equal part without a word to anyone, so that it
-//! never stands without any while a home changes. The other half is lent by the limit's home, one instance
-//! chosen by rendezvous hash; see [`credit`]. A burst at one instance so gets far more than an equal part.
+//! Half of a limit is divided equally: each instance may use its part without asking, so that it can always
+//! admit some requests while the limit's home changes. The other half is lent by the limit's home, an
+//! instance selected by rendezvous hashing; see [`credit`]. This gives an instance with a burst far more
+//! than an equal part.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,36 +12,38 @@
 use super::{Node, admission::State};
 use crate::{clock, credit, document, effect, rendezvous, request, wire};
 
-/// How long a request waits for the home's answer.
-const CREDIT_WAIT: Duration = Duration::from_millis(200);
+/// Time for which a request waits for credits from the limit's home.
+const CREDIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Between two needs of one limit while it is in use: well within the lease.
-const RENEW: Duration = Duration::from_secs(1);
+/// Maximum interval between two requests for credits while a limit is in use. It is well within the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Between two needs that were not answered as wished.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// Minimum interval between two requests for credits while the last one is unanswered or was not granted in
+/// full.
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Credits are held for this share more than is in use, so that most requests need not wait for an answer.
+/// Divisor that gives the requested headroom from the credits needed, so that most requests don't have to
+/// wait for the home's answer.
 const HEADROOM_DIVISOR: u32 = 4;
 
-/// Instances that are assumed until the platform's list was read.
-const UNLISTED_SHARERS: u32 = 16;
+/// Number of instances that is assumed until the platform's list was read.
+const ASSUMED_INSTANCES: u32 = 16;
 
-/// Until a caller should come back that met a limit.
-const RETRY: Duration = Duration::from_millis(500);
+/// Delay before a caller should retry whose request met a limit.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Which limit.
+/// Identifies a limit.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Name {
-    /// `in_flight` of a tenant.
+    /// The setting `in_flight` of a tenant.
     Tenant(SmolStr),
-    /// `in_flight` of a class.
+    /// The setting `in_flight` of a class.
     Class(SmolStr),
 }
 
 impl Name {
-    /// How frames call it.
-    fn text(&self) -> SmolStr {
+    /// Returns the name of the limit in frames.
+    fn to_text(&self) -> SmolStr {
         match self {
             Self::Tenant(name) => format_smolstr!("tenant/{name}"),
             Self::Class(name) => format_smolstr!("class/{name}"),
@@ -80,49 +83,49 @@
                 format_smolstr!("class {name} has as many requests in progress as allowed"),
             ),
         };
-        request::Refusal::new(code, message).with_retry_after(RETRY)
+        request::Refusal::new(code, message).with_retry_after(RETRY_DELAY)
     }
 }
 
-/// What a request counts against.
+/// A unit of a limit that is reserved for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Hold {
+pub(super) struct Reservation {
     name: Name,
-    /// From this instance's own part, not from the credits.
-    own: bool,
+    /// Whether the unit belongs to this instance's own part and not to its credits.
+    from_own_part: bool,
 }
 
-/// One limit as this instance uses it.
+/// This instance's use of one limit.
 #[derive(Debug, Default)]
-struct Side {
+struct LocalUse {
     borrower: credit::Borrower,
     own_used: u32,
     waiting: Vec<request::Key>,
-    asked: Option<clock::Instant>,
-    /// What the last need asked to hold.
-    wished: u32,
+    requested_at: Option<clock::Instant>,
+    /// Number of credits requested last.
+    requested_credits: u32,
 }
 
-/// All limits at this instance.
+/// The state of all limits at this instance.
 #[derive(Debug)]
 pub(super) struct Limits {
-    sides: BTreeMap<Name, Side>,
-    homes: BTreeMap<Name, credit::Lender>,
-    /// How many instances share the limits, as counted last.
-    sharers: u32,
+    local_uses: BTreeMap<Name, LocalUse>,
+    lenders: BTreeMap<Name, credit::Lender>,
+    /// Number of instances that share the limits, as counted last.
+    instances: u32,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            sides: BTreeMap::new(),
-            homes: BTreeMap::new(),
-            sharers: UNLISTED_SHARERS,
+            local_uses: BTreeMap::new(),
+            lenders: BTreeMap::new(),
+            instances: ASSUMED_INSTANCES,
         }
     }
 }
 
-/// How a limit is split over the instances.
+/// The division of a limit between the instances.
 struct Split {
     own: u32,
     lent: u32,
@@ -145,24 +148,26 @@
 }
 
 impl Node {
-    /// Counts the instances that share the limits: every one that is remembered, dead ones too, or listed.
+    /// Counts the instances that share the limits: the members that are remembered, including dead ones, or
+    /// the listed instances if these are more.
     ///
-    /// If the living were counted, those who have noticed a death or a return and those who haven't would use
-    /// parts of different sizes, and their sum could pass the limit; so could the two sides of a partition.
-    /// A process that has just started knows nobody, and must not take itself for the only one. What a new
-    /// name adds is noticed by all within the time of gossip; until then the sum may be above the limit by
-    /// its one part.
-    pub(super) fn count_sharers(&mut self) {
+    /// If only living instances were counted, those that have noticed a death or a return and those that
+    /// haven't would use parts of different sizes, whose sum could exceed the limit. The same would apply
+    /// to the two sides of a partition. A process that has just started knows no other instance, and must
+    /// not assume that it is the only one. All instances learn of a new name within the time that gossip
+    /// takes. Until then the sum may exceed the limit by the part of the new instance.
+    pub(super) fn count_instances(&mut self) {
         let known = u32::try_from(self.membership.members().count()).unwrap_or(u32::MAX);
-        self.limits.sharers = known.max(self.routers_listed.unwrap_or(UNLISTED_SHARERS));
+        self.limits.instances = known.max(self.listed_instances.unwrap_or(ASSUMED_INSTANCES));
     }
 
     fn split(&self, name: &Name) -> Split {
-        Split::new(name.limit(&self.config.document), self.limits.sharers)
+        Split::new(name.limit(&self.config.document), self.limits.instances)
     }
 
-    /// Counts a request against its tenant's and its class's limit; `false` while it has to wait for credits.
-    pub(super) fn take_limits(
+    /// Reserves a unit of the limits of its tenant and its class for a request. Returns `false` if the request
+    /// has to wait for credits.
+    pub(super) fn acquire_limits(
         &mut self,
         now: clock::Instant,
         key: request::Key,
@@ -174,14 +179,14 @@
             Name::Class(request.class.clone()),
         ];
         for name in names {
-            match self.take(now, &name) {
-                Some(hold) => self.requests[key].holds.push(hold),
+            match self.acquire(now, &name) {
+                Some(reservation) => self.requests[key].reservations.push(reservation),
                 None => {
-                    self.give_back(key);
-                    self.requests[key].state = State::Crediting;
-                    let side = self.limits.sides.entry(name.clone()).or_default();
-                    side.waiting.push(key);
-                    self.ask_credits(now, &name, out);
+                    self.release_request(key);
+                    self.requests[key].state = State::WaitingForCredits;
+                    let local = self.limits.local_uses.entry(name.clone()).or_default();
+                    local.waiting.push(key);
+                    self.request_credits(now, &name, out);
                     return false;
                 }
             }
@@ -189,74 +194,77 @@
         true
     }
 
-    fn take(&mut self, now: clock::Instant, name: &Name) -> Option<Hold> {
+    fn acquire(&mut self, now: clock::Instant, name: &Name) -> Option<Reservation> {
         let own = self.split(name).own;
-        let side = self.limits.sides.entry(name.clone()).or_default();
-        let hold = |own| Hold {
+        let local = self.limits.local_uses.entry(name.clone()).or_default();
+        let reserve = |from_own_part| Reservation {
             name: name.clone(),
-            own,
+            from_own_part,
         };
-        if side.own_used < own {
-            side.own_used += 1;
-            return Some(hold(true));
+        if local.own_used < own {
+            local.own_used += 1;
+            return Some(reserve(true));
         }
-        side.borrower.try_acquire(now).then(|| hold(false))
+        local.borrower.try_acquire(now).then(|| reserve(false))
     }
 
-    /// Gives back what a request counts against.
-    pub(super) fn give_back(&mut self, key: request::Key) {
+    /// Releases what is reserved for a request.
+    pub(super) fn release_request(&mut self, key: request::Key) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        let holds = std::mem::take(&mut request.holds);
-        self.give(holds);
+        let reservations = std::mem::take(&mut request.reservations);
+        self.release(reservations);
     }
 
-    /// Gives holds back.
-    pub(super) fn give(&mut self, holds: Vec<Hold>) {
-        for hold in holds {
-            let Some(side) = self.limits.sides.get_mut(&hold.name) else {
+    /// Releases reserved units of limits.
+    pub(super) fn release(&mut self, reservations: Vec<Reservation>) {
+        for reservation in reservations {
+            let Some(local) = self.limits.local_uses.get_mut(&reservation.name) else {
                 continue;
             };
-            if hold.own {
-                side.own_used = side.own_used.saturating_sub(1);
+            if reservation.from_own_part {
+                local.own_used = local.own_used.saturating_sub(1);
             } else {
-                side.borrower.release();
+                local.borrower.release();
             }
         }
     }
 
     fn home(&self, name: &Name) -> Option<SmolStr> {
         let alive = self.membership.alive().map(SmolStr::as_str);
-        rendezvous::first(&name.text(), alive).map(SmolStr::new)
+        rendezvous::first(&name.to_text(), alive).map(SmolStr::new)
     }
 
-    /// Asks the home for what is in use, what waits, and some headroom.
-    fn ask_credits(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
+    /// Requests credits from the limit's home for the requests in progress and waiting, with some headroom.
+    fn request_credits(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
         let Some(home) = self.home(name) else { return };
-        let Some(side) = self.limits.sides.get_mut(name) else {
+        let Some(local) = self.limits.local_uses.get_mut(name) else {
             return;
         };
-        if side.asked.is_some_and(|asked| now.since(asked) < ASK_AGAIN) {
+        if local
+            .requested_at
+            .is_some_and(|requested_at| now.since(requested_at) < MIN_REQUEST_INTERVAL)
+        {
             return;
         }
-        side.asked = Some(now);
-        let waiting = u32::try_from(side.waiting.len()).unwrap_or(u32::MAX);
-        let used = side.borrower.in_use().saturating_add(waiting);
-        let need = side
+        local.requested_at = Some(now);
+        let waiting = u32::try_from(local.waiting.len()).unwrap_or(u32::MAX);
+        let used = local.borrower.in_use().saturating_add(waiting);
+        let need = local
             .borrower
             .request_credits(now, used.saturating_add(used / HEADROOM_DIVISOR));
-        side.wished = need.hold;
+        local.requested_credits = need.hold;
         let frame = wire::Frame::Credit(wire::Credit::Need {
-            limit: name.text(),
+            limit: name.to_text(),
             hold: need.hold,
             number: need.number,
         });
-        self.tell(now, home, frame, out);
+        self.send_frame(now, home, frame, out);
     }
 
-    /// A frame about a limit.
-    pub(super) fn credit(
+    /// Handles a frame about credits.
+    pub(super) fn handle_credit(
         &mut self,
         now: clock::Instant,
         from: &crate::record::Incarnation,
@@ -268,7 +276,7 @@
                 limit,
                 hold,
                 number,
-            } => self.lend(now, from, &limit, credit::Need { hold, number }, out),
+            } => self.handle_need(now, from, &limit, credit::Need { hold, number }, out),
             wire::Credit::Lend {
                 limit,
                 hold,
@@ -281,13 +289,13 @@
                     number,
                     lease,
                 };
-                self.lent(now, &limit, lend, out);
+                self.handle_lend(now, &limit, lend, out);
             }
         }
     }
 
-    /// Answers a need if this instance is the limit's home as far as it knows.
-    fn lend(
+    /// Answers a request for credits if this instance considers itself the limit's home.
+    fn handle_need(
         &mut self,
         now: clock::Instant,
         from: &crate::record::Incarnation,
@@ -304,7 +312,7 @@
         let amount = self.split(&name).lent;
         let lender = self
             .limits
-            .homes
+            .lenders
             .entry(name)
             .or_insert_with(|| credit::Lender::new(now, amount, credit::Options::default()));
         lender.set_limit(amount);
@@ -317,11 +325,12 @@
             number: lend.number,
             lease_ms: clock::millis(lend.lease),
         });
-        self.tell(now, from.instance.clone(), frame, out);
+        self.send_frame(now, from.instance.clone(), frame, out);
     }
 
-    /// The home has answered: those who wait go on, or hear that the limit is reached.
-    fn lent(
+    /// Handles the answer of the limit's home: waiting requests continue, or are refused if the limit is
+    /// reached.
+    fn handle_lend(
         &mut self,
         now: clock::Instant,
         limit: &SmolStr,
@@ -331,108 +340,121 @@
         let Some(name) = Name::parse(limit) else {
             return;
         };
-        let Some(side) = self.limits.sides.get_mut(&name) else {
+        let Some(local) = self.limits.local_uses.get_mut(&name) else {
             return;
         };
-        if !side.borrower.handle_lend(lend) {
+        if !local.borrower.handle_lend(lend) {
             return;
         }
-        let reached = lend.hold < side.wished;
-        side.asked = side.asked.filter(|_| reached);
-        for key in std::mem::take(&mut side.waiting) {
-            self.retry_limits(now, key, &name, reached, out);
+        let limit_reached = lend.hold < local.requested_credits;
+        local.requested_at = local.requested_at.filter(|_| limit_reached);
+        for key in std::mem::take(&mut local.waiting) {
+            self.retry_admission(now, key, &name, limit_reached, out);
         }
     }
 
-    /// Lets a request in that waited for credits. One that still finds none is refused when the home gave
-    /// less than was wished; else more came since the home was asked, and it is asked again.
-    fn retry_limits(
+    /// Retries the admission of a request that waited for credits. If there are still none, it is refused
+    /// when the home granted less than was requested. Otherwise more requests have arrived since, and the
+    /// home is asked again.
+    fn retry_admission(
         &mut self,
         now: clock::Instant,
         key: request::Key,
         name: &Name,
-        reached: bool,
+        limit_reached: bool,
         out: &mut Vec<effect::Effect>,
     ) {
         let waits = self
             .requests
             .get(key)
-            .is_some_and(|request| request.state == State::Crediting);
+            .is_some_and(|request| request.state == State::WaitingForCredits);
         if !waits {
             return;
         }
-        if self.take_limits(now, key, out) {
-            self.proceed(now, key, out);
-        } else if reached {
+        if self.acquire_limits(now, key, out) {
+            self.continue_admission(now, key, out);
+        } else if limit_reached {
             self.refuse(now, key, name.refusal(), out);
         }
     }
 
-    /// The homes of the limits of which this instance borrows.
+    /// Returns the homes of the limits from which this instance borrows credits.
     pub(super) fn homes_in_use(&self) -> Vec<SmolStr> {
-        let sides = self.limits.sides.iter();
-        let borrowed = sides.filter(|(_, side)| side.asked.is_some());
+        let local_uses = self.limits.local_uses.iter();
+        let borrowed = local_uses.filter(|(_, local)| local.requested_at.is_some());
         borrowed.filter_map(|(name, _)| self.home(name)).collect()
     }
 
-    /// Renews what is in use, and refuses those who waited too long.
+    /// Renews the credits in use, and refuses requests that waited too long for credits.
     pub(super) fn tick_limits(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        let names: Vec<Name> = self.limits.sides.keys().cloned().collect();
+        let names: Vec<Name> = self.limits.local_uses.keys().cloned().collect();
         for name in names {
-            self.retry_waiting(now, &name, out);
-            self.refuse_unlent(now, &name, out);
-            self.renew(now, &name, out);
+            self.retry_all_waiting(now, &name, out);
+            self.refuse_timed_out(now, &name, out);
+            self.renew_credits(now, &name, out);
         }
     }
 
-    /// Forgets what it lent as the home of limits that have another home now.
-    pub(super) fn forget_moved_homes(&mut self) {
-        let homes: Vec<Name> = self.limits.homes.keys().cloned().collect();
+    /// Removes the lenders of limits whose home is another instance now.
+    pub(super) fn remove_moved_lenders(&mut self) {
+        let homes: Vec<Name> = self.limits.lenders.keys().cloned().collect();
         for name in homes {
             if self.home(&name).as_ref() != Some(&self.options.me.instance) {
-                self.limits.homes.remove(&name);
+                self.limits.lenders.remove(&name);
             }
         }
     }
 
-    /// This instance's own part may have grown, or some of it was given back.
-    fn retry_waiting(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
+    /// Retries waiting requests when this instance's own part has grown or some of it was released.
+    fn retry_all_waiting(
+        &mut self,
+        now: clock::Instant,
+        name: &Name,
+        out: &mut Vec<effect::Effect>,
+    ) {
         let own = self.split(name).own;
-        let Some(side) = self.limits.sides.get_mut(name) else {
+        let Some(local) = self.limits.local_uses.get_mut(name) else {
             return;
         };
-        if side.waiting.is_empty() || side.own_used >= own {
+        if local.waiting.is_empty() || local.own_used >= own {
             return;
         }
-        for key in std::mem::take(&mut side.waiting) {
-            self.retry_limits(now, key, name, false, out);
+        for key in std::mem::take(&mut local.waiting) {
+            self.retry_admission(now, key, name, false, out);
         }
     }
 
-    fn refuse_unlent(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
-        let Some(side) = self.limits.sides.get_mut(name) else {
+    fn refuse_timed_out(
+        &mut self,
+        now: clock::Instant,
+        name: &Name,
+        out: &mut Vec<effect::Effect>,
+    ) {
+        let Some(local) = self.limits.local_uses.get_mut(name) else {
             return;
         };
         let requests = &self.requests;
-        let (late, waiting) = std::mem::take(&mut side.waiting)
+        let (timed_out, waiting) = std::mem::take(&mut local.waiting)
             .into_iter()
             .filter(|key| requests.contains_key(*key))
-            .partition(|key| now.since(requests[*key].arrived) >= CREDIT_WAIT);
-        side.waiting = waiting;
-        for key in late {
+            .partition(|key| now.since(requests[*key].arrived) >= CREDIT_TIMEOUT);
+        local.waiting = waiting;
+        for key in timed_out {
             self.refuse(now, key, name.refusal(), out);
         }
     }
 
-    fn renew(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
-        let Some(side) = self.limits.sides.get(name) else {
+    fn renew_credits(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
+        let Some(local) = self.limits.local_uses.get(name) else {
             return;
         };
-        let held = side.borrower.held(now);
-        let wants = side.borrower.in_use() > 0 || held > 0 || !side.waiting.is_empty();
-        let due = side.asked.is_none_or(|asked| now.since(asked) >= RENEW);
-        if wants && due {
-            self.ask_credits(now, name, out);
+        let held = local.borrower.held(now);
+        let needs_renewal = local.borrower.in_use() > 0 || held > 0 || !local.waiting.is_empty();
+        let due = local
+            .requested_at
+            .is_none_or(|requested_at| now.since(requested_at) >= RENEWAL_INTERVAL);
+        if needs_renewal && due {
+            self.request_credits(now, name, out);
         }
     }
 }
--- a/crates/fireflywheel/src/node/mod.rs
+++ b/crates/fireflywheel/src/node/mod.rs
@@ -1,31 +1,31 @@
-//! The core of one instance: events in, effects out.
+//! The state machine of one instance: it takes events and returns effects.
 //!
-//! A node does no input or output and reads no clock. [`Node::step`] takes the time and one event and adds
-//! what is to be done to a list of effects; the daemon round it carries them out and reports back by
+//! A node performs no I/O and reads no clock. [`Node::step`] takes the current time and one event, and
+//! appends the actions to perform to a list of effects. The daemon performs them and reports the results as
 //! further events.
 //!
-//! * `platform`: reads the log into the ledger, and writes to it.
+//! * `platform`: reads the log into the ledger, and appends to the log.
 //! * `checkpoints`: appends checkpoints of the ledger.
-//! * `servers`: what the list and the reports tell of backend servers.
-//! * `peers`: membership, hand-over of configuration and state.
-//! * `stewards`: takes groups, drives their stewards, sends their orders.
-//! * `admission`: takes requests in, or refuses them at once.
-//! * `limits`: limits of tenants and classes across instances.
-//! * `lanes`: queues, candidates, dispatch.
-//! * `cold`: what is asked of stewards; `usage`: what they are told.
-//! * `attempts`: outcomes, retries, final answers.
-//! * `claims`: idempotency keys.
-//! * `stop`: a planned stop.
+//! * `servers`: keeps track of backend servers by the platform's list and their load reports.
+//! * `peers`: handles membership, and transfers configuration and ledger state between instances.
+//! * `stewards`: claims groups, runs their stewards and sends their orders.
+//! * `admission`: admits requests or refuses them at once.
+//! * `limits`: enforces the limits of tenants and classes across instances.
+//! * `queues`: queues requests, selects candidate servers and dispatches.
+//! * `demand`: asks stewards for replicas; `usage`: reports the use of items to them.
+//! * `attempts`: handles results of attempts, retries and final answers.
+//! * `claims`: handles idempotency keys.
+//! * `stop`: performs a planned stop.
 
 mod admission;
 mod attempts;
 mod checkpoints;
 mod claims;
-mod cold;
-mod lanes;
+mod demand;
 mod limits;
 mod peers;
 mod platform;
+mod queues;
 mod servers;
 mod stewards;
 mod stop;
@@ -45,54 +45,56 @@
     right, settings, status,
 };
 
-/// How often [`event::Event::Tick`] is due.
+/// Interval between two [`event::Event::Tick`] events.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Between two rounds over all members.
-const SLOW_TICK: Duration = Duration::from_millis(100);
+/// Interval between two runs of [`Node::tick_slowly`].
+const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a node is told at its start.
+/// Options of a node.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This process.
+    /// The instance name and incarnation of this process.
     pub me: record::Incarnation,
-    /// Where peers reach it.
+    /// The address at which peers reach this instance.
     pub address: SmolStr,
-    /// Its failure domain.
+    /// The failure domain of this instance.
     pub failure_domain: SmolStr,
-    /// Peer addresses from the settings.
+    /// Peer addresses from the settings, used to join the cluster.
     pub seeds: Vec<SmolStr>,
-    /// Requests that wait at one instance for one model or route.
+    /// Maximum number of requests that wait at this instance for one model or route.
     pub max_queue: usize,
-    /// Times of membership and of the platform.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Decides ties; any number, another on each instance.
+    /// Seed of the random draw of backend servers to compare. Any value works, but each instance needs a different
+    /// one, so that instances don't all draw the same servers.
     pub seed: u64,
 }
 
-/// Times, as in the settings' `[timing]`.
+/// Intervals and timeouts, as in the section `[timing]` of the settings.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// Between pings to one peer.
+    /// Interval between pings to one peer.
     pub ping_interval: Duration,
-    /// Without an answer until a peer is suspected.
+    /// Time without an answer after which a peer is suspected.
     pub suspect_timeout: Duration,
-    /// From suspicion until it is taken for dead.
+    /// Time from suspicion until a peer is considered dead.
     pub dead_timeout: Duration,
-    /// From not ready until new work is refused at a planned stop: the balancer's delay.
+    /// Time at a planned stop between reporting not ready and refusing new requests. It covers the delay
+    /// with which the load balancer notices.
     pub drain_delay: Duration,
-    /// Until a planned stop ends with what it has.
+    /// Time after which a planned stop ends even if requests are still in progress.
     pub drain_limit: Duration,
-    /// A backend server absent from the list for so long is gone.
+    /// Time for which a backend server has to be absent from the platform's list until it counts as gone.
     pub gone_after: Duration,
-    /// Records between checkpoints.
+    /// Number of records between checkpoints.
     pub checkpoint_records: u64,
-    /// Time between checkpoints at most.
+    /// Maximum time between checkpoints.
     pub checkpoint_interval: Duration,
 }
 
 impl Options {
-    /// What the settings say, for this process at this peer address.
+    /// Creates the options of this process from its settings. `address` is its peer address.
     #[must_use]
     pub fn new(
         settings: &settings::Settings,
@@ -127,7 +129,7 @@
     }
 }
 
-/// The configuration that this instance acts by.
+/// The configuration in force at this instance.
 #[derive(Clone, Debug, Default)]
 struct Config {
     version: u64,
@@ -135,49 +137,51 @@
     document: Arc<document::Document>,
 }
 
-/// One instance.
+/// The state of one instance.
 #[derive(Debug)]
 pub struct Node {
     options: Options,
-    seed: u64,
+    random_state: u64,
     log: platform::Log,
     config: Config,
     membership: membership::Membership,
     peers: BTreeMap<SmolStr, peers::Peer>,
-    ping_numbers: u64,
-    /// Instances that are linked beyond the ring.
-    links_wanted: BTreeSet<SmolStr>,
-    /// Whether the peers were last told that the log is read here.
-    log_told: bool,
-    groups: BTreeMap<SmolStr, lanes::Group>,
-    lanes: SlotMap<lanes::Key, lanes::Lane>,
-    lane_names: BTreeMap<lanes::Name, lanes::Key>,
+    unscheduled_pings: u64,
+    /// Instances to which links are kept in addition to the ring neighbours.
+    wanted_links: BTreeSet<SmolStr>,
+    /// Whether the log was usable here in the last announcement to the peers.
+    log_access_announced: bool,
+    groups: BTreeMap<SmolStr, queues::Group>,
+    queues: SlotMap<queues::Key, queues::TargetQueue>,
+    queue_keys: BTreeMap<queues::Name, queues::Key>,
     requests: SlotMap<request::Key, admission::Request>,
     limits: limits::Limits,
-    /// Requests of each class that wait in a queue here.
-    waiting: BTreeMap<SmolStr, usize>,
-    claims: BTreeMap<claim::Key, claims::Waiters>,
-    /// Placements that a steward called ready, and those that an engine denied, until when.
+    /// Number of queued requests at this instance by class.
+    queued_by_class: BTreeMap<SmolStr, usize>,
+    claims: BTreeMap<claim::Key, claims::KeyRequests>,
+    /// Placements that a steward reported as ready before the ledger does, with the time of that report.
     ready_hints: BTreeMap<right::Key, clock::Instant>,
-    denied: BTreeMap<right::Key, clock::Instant>,
+    /// Placements that receive no requests because their engine answered that the item isn't loaded or that it
+    /// is full, with the end of that suspension.
+    suspended_until: BTreeMap<right::Key, clock::Instant>,
     stewards: stewards::Stewards,
-    usage_sent: clock::Instant,
-    budget: retry_budget::Budget,
+    usage_reported_at: clock::Instant,
+    retry_budget: retry_budget::Budget,
     stop: Option<stop::Stop>,
-    /// Rises with everything that a lane's candidates are worked out from.
-    placements: u64,
-    /// Items that each group's steward was told to be in use.
-    usage_told: BTreeMap<SmolStr, BTreeSet<item::Item>>,
-    /// Instances that the platform's list names; `None` until it was read.
-    routers_listed: Option<u32>,
-    /// Backend servers that are asked for reports.
-    watched: Vec<SmolStr>,
-    notices: BTreeSet<String>,
-    slow_at: clock::Instant,
+    /// Revision of everything from which the candidates of queues are computed.
+    placements_revision: u64,
+    /// Items that were last reported as in use to the steward of each group.
+    reported_in_use: BTreeMap<SmolStr, BTreeSet<item::Item>>,
+    /// Number of instances on the platform's list; `None` until the list was read.
+    listed_instances: Option<u32>,
+    /// Addresses of the backend servers whose load reports are polled.
+    polled_servers: Vec<SmolStr>,
+    emitted_notices: BTreeSet<String>,
+    last_slow_tick: clock::Instant,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration, ledger or known peers.
     #[must_use]
     pub fn new(options: Options) -> Self {
         let timing = &options.timing;
@@ -194,41 +198,41 @@
             membership_options,
         );
         Self {
-            seed: options.seed,
+            random_state: options.seed,
             log: platform::Log::new(options.me.clone()),
             config: Config::default(),
             membership,
             peers: BTreeMap::new(),
-            ping_numbers: 0,
-            links_wanted: BTreeSet::new(),
-            log_told: false,
+            unscheduled_pings: 0,
+            wanted_links: BTreeSet::new(),
+            log_access_announced: false,
             groups: BTreeMap::new(),
-            lanes: SlotMap::with_key(),
-            lane_names: BTreeMap::new(),
+            queues: SlotMap::with_key(),
+            queue_keys: BTreeMap::new(),
             requests: SlotMap::with_key(),
             limits: limits::Limits::default(),
-            waiting: BTreeMap::new(),
+            queued_by_class: BTreeMap::new(),
             claims: BTreeMap::new(),
             ready_hints: BTreeMap::new(),
-            denied: BTreeMap::new(),
+            suspended_until: BTreeMap::new(),
             stewards: stewards::Stewards::default(),
-            usage_sent: clock::Instant::default(),
-            budget: retry_budget::Budget::new(
+            usage_reported_at: clock::Instant::default(),
+            retry_budget: retry_budget::Budget::new(
                 clock::Instant::default(),
                 retry_budget::Options::default(),
             ),
             stop: None,
-            placements: 1,
-            usage_told: BTreeMap::new(),
-            routers_listed: None,
-            watched: Vec::new(),
-            notices: BTreeSet::new(),
-            slow_at: clock::Instant::default(),
+            placements_revision: 1,
+            reported_in_use: BTreeMap::new(),
+            listed_instances: None,
+            polled_servers: Vec::new(),
+            emitted_notices: BTreeSet::new(),
+            last_slow_tick: clock::Instant::default(),
             options,
         }
     }
 
-    /// The first effects: what to read and whom to reach.
+    /// Starts the node: its first effects read the log and connect to peers.
     pub fn start(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         for seed in self.options.seeds.clone() {
             self.membership.add_seed(seed);
@@ -237,7 +241,7 @@
         self.tick_peers(now, out);
     }
 
-    /// Takes one event and gives its effects.
+    /// Handles one event and appends its effects to `out`.
     pub fn step(
         &mut self,
         now: clock::Instant,
@@ -250,53 +254,53 @@
                 first,
                 next,
                 records,
-            } => self.read(now, first, next, records, out),
-            event::Event::LogReadFailed => self.read_failed(now),
-            event::Event::Appended(answer) => self.appended(now, answer, out),
-            event::Event::InstancesListed(entries) => self.listed(now, &entries, out),
-            event::Event::LinkUp(update) => self.link_up(now, &update, out),
-            event::Event::LinkDown(peer) => self.link_down(now, &peer),
-            event::Event::Frame { from, frame } => self.frame(now, &from, frame, out),
+            } => self.handle_log_read(now, first, next, records, out),
+            event::Event::LogReadFailed => self.handle_log_read_failure(now),
+            event::Event::Appended(answer) => self.handle_append_answer(now, answer, out),
+            event::Event::InstancesListed(entries) => self.handle_list(now, &entries, out),
+            event::Event::LinkUp(update) => self.handle_link_up(now, &update, out),
+            event::Event::LinkDown(peer) => self.handle_link_down(now, &peer),
+            event::Event::Frame { from, frame } => self.handle_frame(now, &from, frame, out),
             event::Event::ReportReceived { server, report } => {
-                self.reported(now, &server, report, out);
+                self.handle_report(now, &server, report, out);
             }
-            event::Event::ReportFailed { server } => self.unreported(&server),
+            event::Event::ReportFailed { server } => self.handle_report_failure(&server),
             event::Event::OrderAnswered { attempt_id, answer } => {
-                self.ordered(now, attempt_id, &answer, out);
+                self.handle_order_answer(now, attempt_id, &answer, out);
             }
             event::Event::AttemptUpdated { request, attempt } => {
-                self.attempted(now, request, attempt, out);
+                self.handle_attempt(now, request, attempt, out);
             }
-            event::Event::CallerGone(request) => self.abandoned(now, request, out),
+            event::Event::CallerGone(request) => self.handle_caller_gone(now, request, out),
             event::Event::Stop => self.begin_stop(now),
         }
     }
 
     fn tick(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        if now.since(self.slow_at) >= SLOW_TICK {
-            self.slow_at = now;
+        if now.since(self.last_slow_tick) >= SLOW_TICK_INTERVAL {
+            self.last_slow_tick = now;
             self.tick_slowly();
         }
         self.tick_peers(now, out);
         self.tick_limits(now, out);
-        self.tick_lanes(now, out);
+        self.tick_queues(now, out);
         self.tick_stewards(now, out);
         self.tick_log(now, out);
         self.tick_stop(now, out);
     }
 
-    /// What walks over all members: neither urgent nor cheap enough for every tick.
+    /// Runs tasks that iterate over all members. They are not urgent, and too expensive for every tick.
     fn tick_slowly(&mut self) {
-        self.keep_wanted_links();
-        self.count_sharers();
-        self.forget_moved_homes();
+        self.update_wanted_links();
+        self.count_instances();
+        self.remove_moved_lenders();
     }
 
-    /// Whether new work may come.
+    /// Checks whether this instance may receive new requests.
     ///
     /// # Errors
     ///
-    /// Why it may not, in a sentence.
+    /// Returns the reason, in a sentence, if it may not.
     pub fn check_ready(&self) -> Result<(), SmolStr> {
         if self.stop.is_some() {
             return Err(SmolStr::new_static("a planned stop is in progress"));
@@ -304,12 +308,12 @@
         if let Some(reason) = &self.log.halted {
             return Err(reason.clone());
         }
-        let newest = self.newest_heard();
+        let newest = self.newest_known_version();
         if self.config.version < newest || self.config.version == 0 {
             return Err(SmolStr::new(format!(
                 "holds version {} of the configuration, the newest heard of is {newest}; the log {}",
                 self.config.version,
-                if self.log.reading {
+                if self.log.readable {
                     "is read"
                 } else {
                     "can't be read"
@@ -319,26 +323,26 @@
         if self.log.ledger.is_none() {
             return Err(SmolStr::new(self.log.waiting_for()));
         }
-        if self.log.reading && !self.log.caught_up {
+        if self.log.readable && !self.log.caught_up {
             let (next, end) = (self.log.next(), self.log.end);
             return Err(format_smolstr!("follows the log, at {next} of {end}"));
         }
         Ok(())
     }
 
-    /// The version of the configuration in force here; 0 for none.
+    /// Returns the version of the configuration in force at this instance; 0 for none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.config.version
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force at this instance.
     #[must_use]
     pub fn document(&self) -> &Arc<document::Document> {
         &self.config.document
     }
 
-    /// How this instance is, for operators.
+    /// Returns the status of this instance for operators.
     #[must_use]
     pub fn status(&self) -> status::Status {
         let ready = self.check_ready();
@@ -352,7 +356,7 @@
             reason: ready.err().unwrap_or_default(),
             version: self.config.version,
             log: status::Log {
-                reading: self.log.reading,
+                reading: self.log.readable,
                 next: self.log.next(),
             },
             stewards: stewards
@@ -380,17 +384,17 @@
                 })
                 .collect(),
             queues: self
-                .lanes
+                .queues
                 .values()
-                .map(|lane| status::Queue {
-                    model: lane.label(),
-                    waiting: lane.queue.len(),
+                .map(|queue| status::Queue {
+                    model: queue.label(),
+                    waiting: queue.waiting.len(),
                 })
                 .collect(),
         }
     }
 
-    /// What a request in progress is for.
+    /// Returns the target of a request in progress.
     #[must_use]
     pub fn target(&self, key: request::Key) -> Option<request::Target> {
         self.requests
@@ -398,38 +402,40 @@
             .map(|request| request.arrival.target.clone())
     }
 
-    /// Whether what a target needs is loaded nowhere, as far as this instance knows.
+    /// Returns whether requests for a target wait for a load, because as far as this instance knows the
+    /// target's item is loaded on no backend server.
     #[must_use]
     pub fn waits_for_load(&self, target: &request::Target) -> bool {
         let request::Target::Model { model, adapter } = target else {
             return false;
         };
-        let name = lanes::Name::Model(model.clone(), adapter.clone());
-        let lane = self
-            .lane_names
+        let name = queues::Name::Model(model.clone(), adapter.clone());
+        let queue = self
+            .queue_keys
             .get(&name)
-            .and_then(|key| self.lanes.get(*key));
-        lane.is_some_and(|lane| lane.cold_since.is_some())
+            .and_then(|key| self.queues.get(*key));
+        queue.is_some_and(|queue| queue.cold_since.is_some())
     }
 
-    /// Requests that have no final answer yet.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn requests_in_progress(&self) -> usize {
         self.requests.len()
     }
 
-    /// Tells an operator something, once.
-    fn notice(&mut self, alarm: bool, text: String, out: &mut Vec<effect::Effect>) {
-        if self.notices.insert(text.clone()) {
+    /// Emits a notice to operators, unless the same text was emitted before.
+    fn notify_operator(&mut self, alarm: bool, text: String, out: &mut Vec<effect::Effect>) {
+        if self.emitted_notices.insert(text.clone()) {
             out.push(effect::Effect::Notice(effect::Notice { alarm, text }));
         }
     }
 
-    /// The next number of a sequence that is another on each instance.
-    fn draw(&mut self) -> u64 {
-        // Weyl sequence through an avalanche, as in SplitMix64; only ties are decided by it.
-        self.seed = self.seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mixed = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    /// Returns the next pseudo-random number. The sequence depends on the seed of this instance.
+    fn next_random(&mut self) -> u64 {
+        // A Weyl sequence with a mixing function, as in SplitMix64. It is only used to draw backend servers.
+        self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mixed =
+            (self.random_state ^ (self.random_state >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         mixed ^ (mixed >> 31)
     }
 }
--- a/crates/fireflywheel/src/node/peers.rs
+++ b/crates/fireflywheel/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Other instances: membership, and what they hand over.
+//! Handles other instances: membership, and the transfer of configuration and ledger state.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -7,33 +7,36 @@
 use super::{Config, Node};
 use crate::{bootstrap, clock, document, effect, member, membership, record, wire};
 
-/// Between two requests for a ledger's state, which is large.
-const STATE_PAUSE: Duration = Duration::from_secs(2);
+/// Interval between two requests for a peer's ledger state, which is large.
+const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Between two requests for a document.
-const DOCUMENT_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between two requests for a document.
+const DOCUMENT_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a document is left to the log to bring, while it is read.
-const LOG_FIRST: Duration = Duration::from_millis(300);
+/// Time for which a newer document is awaited from the log, while the log is readable, before it is
+/// requested from a peer.
+const LOG_GRACE_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long a peer tells that it can't read the log until its groups are taken over.
-const BLIND_LIMIT: Duration = Duration::from_secs(1);
+/// Time for which a peer has to report that it can't use the log until its groups are taken over.
+const LOG_LOSS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Records that a peer must be ahead while the log can't be read here, until its state is asked for.
-const STATE_LAG: u64 = 1;
+/// Number of records by which a peer has to be ahead before its state is requested, while this instance
+/// can't read the log.
+const MIN_STATE_LAG: u64 = 1;
 
 /// A linked peer.
 #[derive(Debug)]
 pub(super) struct Peer {
     by: record::Incarnation,
-    /// What it told last; `None` until it told anything.
+    /// The newest digest of the peer; `None` until one arrived.
     digest: Option<wire::Digest>,
-    /// Since when it has told that it can't read the log.
-    blind_since: Option<clock::Instant>,
-    asked_state: Option<clock::Instant>,
-    /// Since when it has told of a newer version than the one here.
-    behind_since: Option<clock::Instant>,
-    asked_document: Option<clock::Instant>,
+    /// Time since which the peer has reported that it can't use the log.
+    log_lost_since: Option<clock::Instant>,
+    state_requested_at: Option<clock::Instant>,
+    /// Time since which the peer has reported a newer version of the configuration than the one in force
+    /// here.
+    newer_version_since: Option<clock::Instant>,
+    document_requested_at: Option<clock::Instant>,
 }
 
 impl Node {
@@ -41,17 +44,18 @@
         let mut actions = Vec::new();
         self.membership.tick(now, &mut actions);
         for action in actions {
-            self.act(now, action, out);
+            self.execute_membership_action(now, action, out);
         }
-        self.tell_log(now, out);
+        self.announce_log_access(now, out);
         if self.membership.is_superseded() && self.stop.is_none() {
-            let text = String::from("a later process runs under this instance's name; stopping");
-            self.notice(true, text, out);
+            let text =
+                String::from("a later process runs under the name of this instance; stopping");
+            self.notify_operator(true, text, out);
             self.begin_stop(now);
         }
     }
 
-    fn act(
+    fn execute_membership_action(
         &mut self,
         now: clock::Instant,
         action: membership::Action,
@@ -81,24 +85,24 @@
         }
     }
 
-    /// Links to the stewards of groups that this instance uses, and to the homes of limits that it borrows
-    /// from, are kept beyond the ring's neighbours.
-    pub(super) fn keep_wanted_links(&mut self) {
+    /// Requests links to the stewards of the groups that this instance uses and to the homes of the limits
+    /// from which it borrows, in addition to the ring neighbours.
+    pub(super) fn update_wanted_links(&mut self) {
         let ledger = self.log.ledger.as_ref();
-        let used = self.lanes.values().map(|lane| &lane.group);
+        let used = self.queues.values().map(|queue| &queue.group);
         let used: BTreeSet<&SmolStr> = used.collect();
         let stewards = used.into_iter().filter_map(|group| ledger?.steward(group));
         let stewards = stewards.map(|steward| steward.by.instance.clone());
         let homes = self.homes_in_use();
         let me = &self.options.me.instance;
         let wanted: BTreeSet<SmolStr> = stewards.chain(homes).filter(|name| name != me).collect();
-        if wanted != self.links_wanted {
+        if wanted != self.wanted_links {
             self.membership.set_wanted_links(wanted.iter().cloned());
-            self.links_wanted = wanted;
+            self.wanted_links = wanted;
         }
     }
 
-    /// What this instance tells with each ping and pong.
+    /// Returns the digest that this instance sends with each ping and pong.
     pub(super) fn digest(&self, now: clock::Instant) -> wire::Digest {
         wire::Digest {
             version: self.config.version,
@@ -107,15 +111,15 @@
         }
     }
 
-    /// The newest version that any linked peer or the ledger has.
-    pub(super) fn newest_heard(&self) -> u64 {
+    /// Returns the newest version of the configuration among the linked peers and the ledger.
+    pub(super) fn newest_known_version(&self) -> u64 {
         let digests = self.peers.values().filter_map(|peer| peer.digest);
         let heard = digests.map(|digest| digest.version);
         let ledger = self.log.version();
         heard.max().unwrap_or(0).max(ledger)
     }
 
-    pub(super) fn link_up(
+    pub(super) fn handle_link_up(
         &mut self,
         now: clock::Instant,
         update: &member::Update,
@@ -127,20 +131,20 @@
         let peer = Peer {
             by: update.by.clone(),
             digest: None,
-            blind_since: None,
-            asked_state: None,
-            behind_since: None,
-            asked_document: None,
+            log_lost_since: None,
+            state_requested_at: None,
+            newer_version_since: None,
+            document_requested_at: None,
         };
         self.peers.insert(update.by.instance.clone(), peer);
-        // A ping at once, so that a new instance learns the newest version soon.
+        // An immediate ping lets a new instance learn the newest version early.
         let gossip = self.membership.gossip(membership::MAX_GOSSIP_UPDATES);
-        let frame = self.extra_ping(now, gossip);
+        let frame = self.unscheduled_ping(now, gossip);
         let to = update.by.instance.clone();
         out.push(effect::Effect::Send { to, frame });
     }
 
-    pub(super) fn link_down(&mut self, now: clock::Instant, peer: &record::Incarnation) {
+    pub(super) fn handle_link_down(&mut self, now: clock::Instant, peer: &record::Incarnation) {
         self.membership.link_down(now, peer);
         let same = self
             .peers
@@ -151,7 +155,7 @@
         }
     }
 
-    pub(super) fn frame(
+    pub(super) fn handle_frame(
         &mut self,
         now: clock::Instant,
         from: &record::Incarnation,
@@ -165,7 +169,7 @@
                 digest,
                 gossip,
             } => {
-                self.gossiped(now, &gossip);
+                self.handle_gossip(now, &gossip);
                 let frame = wire::Frame::Pong {
                     number,
                     digest: self.digest(now),
@@ -173,7 +177,7 @@
                 };
                 let to = from.instance.clone();
                 out.push(effect::Effect::Send { to, frame });
-                self.digested(now, from, digest, out);
+                self.handle_digest(now, from, digest, out);
             }
             wire::Frame::Pong {
                 number,
@@ -181,8 +185,8 @@
                 gossip,
             } => {
                 self.membership.handle_pong(now, number, from);
-                self.gossiped(now, &gossip);
-                self.digested(now, from, digest, out);
+                self.handle_gossip(now, &gossip);
+                self.handle_digest(now, from, digest, out);
             }
             wire::Frame::AskMembers { hashes } => {
                 let members = self.membership.differing_members(&from.instance, &hashes);
@@ -193,33 +197,36 @@
                 }
             }
             wire::Frame::Members(members) => self.membership.handle_members(now, &members),
-            wire::Frame::Want(want) => self.wanted(now, &from.instance, &want, out),
+            wire::Frame::Want(want) => self.handle_want(now, &from.instance, &want, out),
             wire::Frame::Usage { group, items } => {
-                self.stewards.used(now, &group, &from.instance, &items);
+                self.stewards
+                    .handle_usage(now, &group, &from.instance, &items);
             }
-            wire::Frame::Ready { server, item } => self.heard_ready(now, server, item, out),
+            wire::Frame::Ready { server, item } => self.handle_ready(now, server, item, out),
             wire::Frame::Busy {
                 item,
                 retry_ms,
                 reason,
                 ..
-            } => self.heard_busy(now, &item, retry_ms, &reason, out),
-            wire::Frame::AskDocument { above } => self.hand_document(from, above, out),
-            wire::Frame::Document { version, text } => self.take_document(now, version, &text, out),
-            wire::Frame::AskState { next } => self.hand_state(from, next, out),
-            wire::Frame::State(part) => self.take_state(now, part, out),
-            wire::Frame::Credit(credit) => self.credit(now, from, credit, out),
+            } => self.handle_busy(now, &item, retry_ms, &reason, out),
+            wire::Frame::AskDocument { above } => self.send_document(from, above, out),
+            wire::Frame::Document { version, text } => {
+                self.handle_document(now, version, &text, out);
+            }
+            wire::Frame::AskState { next } => self.send_state(from, next, out),
+            wire::Frame::State(part) => self.handle_state(now, part, out),
+            wire::Frame::Credit(credit) => self.handle_credit(now, from, credit, out),
         }
     }
 
-    fn gossiped(&mut self, now: clock::Instant, updates: &[member::Update]) {
+    fn handle_gossip(&mut self, now: clock::Instant, updates: &[member::Update]) {
         for update in updates {
             self.membership.handle_update(now, update);
         }
     }
 
-    /// Learns what a peer knows, and asks for what it has and this instance has not.
-    fn digested(
+    /// Records a peer's digest, and requests what the peer has and this instance lacks.
+    fn handle_digest(
         &mut self,
         now: clock::Instant,
         from: &record::Incarnation,
@@ -228,47 +235,50 @@
     ) {
         let version = self.config.version;
         let next = self.log.next();
-        let cut_off = !self.log.reading || self.log.ledger.is_none();
+        let log_unavailable = !self.log.readable || self.log.ledger.is_none();
         let Some(peer) = self.peers.get_mut(&from.instance) else {
             return;
         };
         peer.digest = Some(digest);
-        peer.blind_since = if digest.log_readable {
+        peer.log_lost_since = if digest.log_readable {
             None
         } else {
-            peer.blind_since.or(Some(now))
+            peer.log_lost_since.or(Some(now))
         };
         let to = from.instance.clone();
         let due = |asked: Option<clock::Instant>, pause| {
             asked.is_none_or(|asked| now.since(asked) >= pause)
         };
-        // While the log is read, it brings the document too, most often sooner.
-        let patient = digest.version > version && !cut_off;
-        let since = match patient {
-            true => Some(*peer.behind_since.get_or_insert(now)),
+        // While the log is readable, it provides the document too, usually earlier.
+        let await_log = digest.version > version && !log_unavailable;
+        let since = match await_log {
+            true => Some(*peer.newer_version_since.get_or_insert(now)),
             false => None,
         };
         if digest.version <= version {
-            peer.behind_since = None;
+            peer.newer_version_since = None;
         }
-        let log_first = since.is_some_and(|since| now.since(since) < LOG_FIRST);
-        if digest.version > version && !log_first && due(peer.asked_document, DOCUMENT_PAUSE) {
-            peer.asked_document = Some(now);
+        let awaiting_log = since.is_some_and(|since| now.since(since) < LOG_GRACE_PERIOD);
+        if digest.version > version
+            && !awaiting_log
+            && due(peer.document_requested_at, DOCUMENT_REQUEST_INTERVAL)
+        {
+            peer.document_requested_at = Some(now);
             let frame = wire::Frame::AskDocument { above: version };
             out.push(effect::Effect::Send {
                 to: to.clone(),
                 frame,
             });
         }
-        let behind = digest.next >= next + STATE_LAG;
-        if cut_off && behind && due(peer.asked_state, STATE_PAUSE) {
-            peer.asked_state = Some(now);
+        let behind = digest.next >= next + MIN_STATE_LAG;
+        if log_unavailable && behind && due(peer.state_requested_at, STATE_REQUEST_INTERVAL) {
+            peer.state_requested_at = Some(now);
             let frame = wire::Frame::AskState { next };
             out.push(effect::Effect::Send { to, frame });
         }
     }
 
-    fn hand_document(&self, to: &record::Incarnation, above: u64, out: &mut Vec<effect::Effect>) {
+    fn send_document(&self, to: &record::Incarnation, above: u64, out: &mut Vec<effect::Effect>) {
         if self.config.version <= above {
             return;
         }
@@ -282,7 +292,7 @@
         });
     }
 
-    fn hand_state(&self, to: &record::Incarnation, above: u64, out: &mut Vec<effect::Effect>) {
+    fn send_state(&self, to: &record::Incarnation, above: u64, out: &mut Vec<effect::Effect>) {
         let Some(ledger) = &self.log.ledger else {
             return;
         };
@@ -297,7 +307,7 @@
         }
     }
 
-    fn take_state(
+    fn handle_state(
         &mut self,
         now: clock::Instant,
         part: record::Part,
@@ -307,16 +317,17 @@
         if part.next <= held {
             return;
         }
-        if self.log.ledger.is_some() && self.log.start.floor() < held {
-            self.log.start = bootstrap::Bootstrap::resume_from(held);
+        if self.log.ledger.is_some() && self.log.bootstrap.floor() < held {
+            self.log.bootstrap = bootstrap::Bootstrap::resume_from(held);
         }
-        self.log.start.add_part(part);
-        self.try_start(now, out);
+        self.log.bootstrap.add_part(part);
+        self.try_bootstrap(now, out);
     }
 
-    /// Puts a peer's document in force if it is newer than the one here. A peer has proven the key and hands
-    /// over only what the log accepted, so an instance that can't read the log follows all the same.
-    fn take_document(
+    /// Applies a peer's document if it is newer than the one in force. A peer has proven that it has the
+    /// key, and sends only documents that the log accepted, so an instance that can't read the log also
+    /// follows the configuration.
+    fn handle_document(
         &mut self,
         now: clock::Instant,
         version: u64,
@@ -333,20 +344,24 @@
                     text: text.into(),
                     document: document.into(),
                 };
-                self.put_in_force(now, config, out);
+                self.apply_config(now, config, out);
             }
             Err(faults) => {
                 let text = format!(
-                    "a peer's document of version {version} has {} faults here; replace this build",
+                    "configuration {version} from a peer has {} faults here; upgrade this build",
                     faults.len()
                 );
-                self.notice(true, text, out);
+                self.notify_operator(true, text, out);
             }
         }
     }
 
-    /// Follows the ledger's document when it is newer.
-    pub(super) fn adopt_from_ledger(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+    /// Applies the ledger's document if it is newer than the one in force.
+    pub(super) fn apply_ledger_config(
+        &mut self,
+        now: clock::Instant,
+        out: &mut Vec<effect::Effect>,
+    ) {
         let Some(ledger) = &self.log.ledger else {
             return;
         };
@@ -358,25 +373,26 @@
             text: ledger.text().into(),
             document: ledger.document().clone(),
         };
-        self.put_in_force(now, config, out);
+        self.apply_config(now, config, out);
     }
 
-    /// The one place where the configuration changes. The version only rises.
-    fn put_in_force(&mut self, now: clock::Instant, config: Config, out: &mut Vec<effect::Effect>) {
+    /// Applies a configuration. This is the only place where the configuration changes, and its version
+    /// only increases.
+    fn apply_config(&mut self, now: clock::Instant, config: Config, out: &mut Vec<effect::Effect>) {
         debug_assert!(config.version > self.config.version);
         self.config = config;
-        self.reconfigure_lanes(now, out);
+        self.reconfigure_queues(now, out);
         let text = format!("configuration {} is in force", self.config.version);
         out.push(effect::Effect::Notice(effect::Notice {
             alarm: false,
             text,
         }));
-        self.spread(now, out);
+        self.announce_config(now, out);
     }
 
-    /// Tells every linked peer at once, so that one which is cut off from the log follows within a round
-    /// trip; the rhythm of pings would do it too, only later.
-    fn spread(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+    /// Notifies every linked peer of a new configuration at once, so that a peer without access to the log
+    /// follows within a round-trip time. The regular pings would notify it too, but later.
+    fn announce_config(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         let mut behind = Vec::new();
         for (name, peer) in &self.peers {
             let version = peer.digest.map_or(0, |digest| digest.version);
@@ -386,13 +402,14 @@
             behind.push(name.clone());
         }
         for to in behind {
-            let frame = self.extra_ping(now, Vec::new());
+            let frame = self.unscheduled_ping(now, Vec::new());
             out.push(effect::Effect::Send { to, frame });
         }
     }
 
-    /// Whether an instance counts as dead, gone or replaced by a later process.
-    pub(super) fn is_over(&self, by: &record::Incarnation) -> bool {
+    /// Returns whether a process is considered dead or was replaced by a later process of the same
+    /// instance.
+    pub(super) fn has_ended(&self, by: &record::Incarnation) -> bool {
         if by.instance == self.options.me.instance {
             return by.number != self.options.me.number;
         }
@@ -403,40 +420,45 @@
         member.by.number > by.number || member.state == member::State::Dead
     }
 
-    /// Whether a linked peer has told for a while that it can't read the log. As a steward it could open no
-    /// intent, and cold models of its group would stay cold though others reach the log.
-    pub(super) fn is_blind(&self, now: clock::Instant, instance: &str) -> bool {
+    /// Returns whether a linked peer has reported for [`LOG_LOSS_TIMEOUT`] that it can't use the log. As a
+    /// steward it could open no intent, and models of its group that are loaded nowhere would stay so
+    /// although other instances reach the log.
+    pub(super) fn has_lost_log(&self, now: clock::Instant, instance: &str) -> bool {
         let peer = self.peers.get(instance);
-        let since = peer.and_then(|peer| peer.blind_since);
-        since.is_some_and(|since| now.since(since) >= BLIND_LIMIT)
+        let since = peer.and_then(|peer| peer.log_lost_since);
+        since.is_some_and(|since| now.since(since) >= LOG_LOSS_TIMEOUT)
     }
 
-    /// Tells every linked peer at once when this instance loses or regains the log.
-    fn tell_log(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+    /// Notifies every linked peer at once when this instance loses or regains access to the log.
+    fn announce_log_access(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         let usable = self.log.is_usable(now);
-        if self.log_told == usable {
+        if self.log_access_announced == usable {
             return;
         }
-        self.log_told = usable;
+        self.log_access_announced = usable;
         let peers: Vec<SmolStr> = self.peers.keys().cloned().collect();
         for to in peers {
-            let frame = self.extra_ping(now, Vec::new());
+            let frame = self.unscheduled_ping(now, Vec::new());
             out.push(effect::Effect::Send { to, frame });
         }
     }
 
-    /// A ping outside the ring's rhythm, for the digest that it carries. Its number can't be one of the
-    /// membership's, which count up from zero.
-    fn extra_ping(&mut self, now: clock::Instant, gossip: Vec<member::Update>) -> wire::Frame {
-        self.ping_numbers += 1;
+    /// Creates a ping outside the regular interval to send a digest. Its number can't equal one of the
+    /// membership's numbers, which count up from zero.
+    fn unscheduled_ping(
+        &mut self,
+        now: clock::Instant,
+        gossip: Vec<member::Update>,
+    ) -> wire::Frame {
+        self.unscheduled_pings += 1;
         wire::Frame::Ping {
-            number: u64::MAX - self.ping_numbers,
+            number: u64::MAX - self.unscheduled_pings,
             digest: self.digest(now),
             gossip,
         }
     }
 
-    /// Whether an instance said that it stops.
+    /// Returns whether an instance has announced that it stops.
     pub(super) fn is_leaving(&self, instance: &SmolStr) -> bool {
         self.membership.state(instance) == Some(member::State::Leaving)
     }
--- a/crates/fireflywheel/src/node/platform.rs
+++ b/crates/fireflywheel/src/node/platform.rs
@@ -1,37 +1,37 @@
-//! The platform's log as the node sees it: read into the ledger, and written to.
+//! Reads the platform's log into the ledger, and appends to the log.
 
 use smol_str::SmolStr;
 
 use super::{Node, checkpoints};
 use crate::{bootstrap, clock, effect, ledger, record, writer};
 
-/// Until an append that the log refused is tried again.
-const APPEND_RETRY: std::time::Duration = std::time::Duration::from_millis(200);
+/// Delay before the next append after one was refused or its answer was lost.
+const APPEND_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// How long appends may fail until the log counts as not to be written to.
-const UNWRITABLE_AFTER: std::time::Duration = std::time::Duration::from_millis(500);
+/// Time for which appends may fail until the log counts as unwritable.
+const UNWRITABLE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// What is known of the log.
+/// The state of the log as this instance knows it.
 #[derive(Debug)]
 pub(super) struct Log {
     pub ledger: Option<ledger::Ledger>,
-    pub start: bootstrap::Bootstrap,
+    pub bootstrap: bootstrap::Bootstrap,
     pub writer: writer::Writer,
     /// Whether the last read was answered.
-    pub reading: bool,
-    /// The offset that its next record got at the last read.
+    pub readable: bool,
+    /// The offset that the log's next record would get, as of the last read.
     pub end: u64,
-    /// Whether the ledger has reached the log's end, and lost no place in it since. Before that, what the
-    /// ledger holds may be long outdated.
+    /// Whether the ledger has reached the end of the log and has not lost its position in the log since.
+    /// Before that, the ledger may be long outdated.
     pub caught_up: bool,
-    /// Since when it can't be read or written.
-    pub failed_since: Option<clock::Instant>,
-    /// Why this instance can't fold any further.
+    /// Time since which the log can't be read.
+    pub unreadable_since: Option<clock::Instant>,
+    /// The reason why this instance can't fold any further records.
     pub halted: Option<SmolStr>,
     appending: bool,
-    /// Since when no append was taken, though some were tried.
+    /// Time of the first failed append since the last one that was stored.
     append_failed_since: Option<clock::Instant>,
-    append_at: clock::Instant,
+    next_append_at: clock::Instant,
     pub checkpoints: checkpoints::Checkpoints,
 }
 
@@ -39,53 +39,54 @@
     pub fn new(me: record::Incarnation) -> Self {
         Self {
             ledger: None,
-            start: bootstrap::Bootstrap::new(),
+            bootstrap: bootstrap::Bootstrap::new(),
             writer: writer::Writer::new(me),
-            reading: false,
+            readable: false,
             end: 0,
             caught_up: false,
-            failed_since: None,
+            unreadable_since: None,
             halted: None,
             appending: false,
             append_failed_since: None,
-            append_at: clock::Instant::default(),
+            next_append_at: clock::Instant::default(),
             checkpoints: checkpoints::Checkpoints::default(),
         }
     }
 
-    /// The first offset that isn't folded here.
+    /// Returns the first offset that isn't folded yet.
     pub fn next(&self) -> u64 {
         self.ledger.as_ref().map_or(0, ledger::Ledger::next)
     }
 
-    /// The version of the newest document that was folded here.
+    /// Returns the version of the newest document that was folded.
     pub fn version(&self) -> u64 {
         self.ledger.as_ref().map_or(0, ledger::Ledger::version)
     }
 
-    /// Whether the log is read, and takes appends when there are any. A log that can be read but not written
-    /// to is no use to a steward.
+    /// Returns whether the log can be read, and accepts appends if there are any. A steward can't work with
+    /// a log that is readable but not writable.
     pub fn is_usable(&self, now: clock::Instant) -> bool {
         let failed = self.append_failed_since;
-        let unwritable = failed.is_some_and(|since| now.since(since) >= UNWRITABLE_AFTER);
-        self.reading && !unwritable
+        let unwritable = failed.is_some_and(|since| now.since(since) >= UNWRITABLE_TIMEOUT);
+        self.readable && !unwritable
     }
 
-    /// Whether nothing waits to be appended or read back.
+    /// Returns whether no entry waits to be appended or read back.
     pub fn is_written(&self) -> bool {
         self.writer.waiting() == 0 && self.writer.in_flight().next().is_none()
     }
 
-    /// What the start waits for, in a sentence.
+    /// Describes what the bootstrap of the ledger waits for, in a sentence.
     pub fn waiting_for(&self) -> String {
-        self.start.waiting().to_string()
+        self.bootstrap.waiting().to_string()
     }
 }
 
 impl Node {
-    /// Takes records in. While the ledger follows the log, each is folded and its judgements acted on;
-    /// after a gap, or at the start, a checkpoint comes first.
-    pub(super) fn read(
+    /// Handles records that were read from the log. While the ledger follows the log, each record is folded
+    /// and its decisions are handled. At the start or after a gap, the ledger is restored from a checkpoint
+    /// first.
+    pub(super) fn handle_log_read(
         &mut self,
         now: clock::Instant,
         first: u64,
@@ -93,8 +94,8 @@
         records: Vec<record::Stored>,
         out: &mut Vec<effect::Effect>,
     ) {
-        self.log.reading = true;
-        self.log.failed_since = None;
+        self.log.readable = true;
+        self.log.unreadable_since = None;
         if self.log.halted.is_some() {
             return;
         }
@@ -102,9 +103,9 @@
         let held = self.log.ledger.as_ref().map(ledger::Ledger::next);
         match held {
             Some(held) if held >= first => {}
-            // The records between were dropped: only a checkpoint that goes further helps.
-            Some(held) if self.log.start.floor() != held => {
-                return self.halt(
+            // The log has dropped the records in between, so a checkpoint that covers them is needed.
+            Some(held) if self.log.bootstrap.floor() != held => {
+                return self.handle_fold_error(
                     ledger::FoldError::Gap {
                         next: held,
                         offset: first,
@@ -112,7 +113,7 @@
                     out,
                 );
             }
-            Some(_) | None => return self.read_to_start(now, first, next, records, out),
+            Some(_) | None => return self.read_for_bootstrap(now, first, next, records, out),
         }
         for stored in &records {
             if self
@@ -128,16 +129,16 @@
             }
         }
         self.log.caught_up |= self.log.next() >= next;
-        self.adopt_from_ledger(now, out);
+        self.apply_ledger_config(now, out);
         if !records.is_empty() {
-            self.placements_changed();
-            self.drive_stewards(now, out);
+            self.invalidate_candidates();
+            self.step_stewards(now, out);
         }
-        self.pump_all(now, out);
-        self.pump_log(now, out);
+        self.dispatch_all_waiting(now, out);
+        self.append_next_batch(now, out);
     }
 
-    fn read_to_start(
+    fn read_for_bootstrap(
         &mut self,
         now: clock::Instant,
         first: u64,
@@ -145,13 +146,14 @@
         records: Vec<record::Stored>,
         out: &mut Vec<effect::Effect>,
     ) {
-        self.log.start.add_records(first, next, records);
-        self.try_start(now, out);
+        self.log.bootstrap.add_records(first, next, records);
+        self.try_bootstrap(now, out);
     }
 
-    /// Takes a ledger from checkpoint and tail, or from a peer, if it goes further than the one held.
-    pub(super) fn try_start(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        match self.log.start.build_ledger() {
+    /// Replaces the ledger with one built from a checkpoint and the records after it, or from a peer's
+    /// state, if that covers more records than the current ledger.
+    pub(super) fn try_bootstrap(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        match self.log.bootstrap.build_ledger() {
             Ok(Some(newer)) => {
                 let next = newer.next();
                 match &mut self.log.ledger {
@@ -162,27 +164,27 @@
                     }
                     None => self.log.ledger = Some(newer),
                 }
-                self.log.checkpoints.started(now);
+                self.log.checkpoints.restart_interval(now);
                 out.push(effect::Effect::ReadFrom(next));
-                self.caught_up(now, out);
+                self.handle_skipped_records(now, out);
             }
             Ok(None) => {
-                if let Some(from) = self.log.start.read_from() {
+                if let Some(from) = self.log.bootstrap.read_from() {
                     out.push(effect::Effect::ReadFrom(from));
                 }
             }
-            Err(halt) => self.halt(halt, out),
+            Err(error) => self.handle_fold_error(error, out),
         }
     }
 
-    /// After a jump the judgements in between were not seen one by one: what waits for them looks at the
-    /// ledger itself.
-    fn caught_up(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        self.placements_changed();
-        self.adopt_from_ledger(now, out);
-        self.review_claims(now, out);
-        self.drive_stewards(now, out);
-        self.pump_all(now, out);
+    /// Updates everything that depends on decisions in the log after the ledger skipped records. These
+    /// decisions were not handled one by one, so their effects are read from the ledger.
+    fn handle_skipped_records(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        self.invalidate_candidates();
+        self.apply_ledger_config(now, out);
+        self.recheck_claims(now, out);
+        self.step_stewards(now, out);
+        self.dispatch_all_waiting(now, out);
     }
 
     fn fold(
@@ -196,41 +198,42 @@
         };
         let folded = match ledger.fold(stored) {
             Ok(folded) => folded,
-            Err(halt) => {
-                self.halt(halt, out);
+            Err(error) => {
+                self.handle_fold_error(error, out);
                 return false;
             }
         };
         let Some(folded) = folded else { return true };
         self.log.writer.record_read(&folded.id);
-        for (entry, judgement) in &folded.entries {
-            self.judged(now, &folded, entry, judgement, out);
+        for (entry, decision) in &folded.entries {
+            self.handle_decision(now, &folded, entry, decision, out);
         }
         true
     }
 
-    fn judged(
+    fn handle_decision(
         &mut self,
         now: clock::Instant,
         folded: &ledger::Folded,
         entry: &record::Entry,
-        judgement: &ledger::Decision,
+        decision: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
-        let mine = folded.id.by == self.options.me;
+        let is_own = folded.id.by == self.options.me;
         match entry {
             record::Entry::Steward { group, .. } => {
-                self.steward_judged(now, group, mine, judgement, out);
+                self.handle_steward_decision(now, group, is_own, decision, out);
             }
             record::Entry::Grant(order)
             | record::Entry::Withdraw(order)
             | record::Entry::Close { order, .. } => {
-                self.stewards.judged(now, &order.group, mine, entry);
+                self.stewards
+                    .handle_decision(now, &order.group, is_own, entry);
             }
-            record::Entry::Claim { key, .. } => self.claim_judged(now, key, mine, judgement, out),
-            record::Entry::Settle { key, .. } => self.claim_settled(now, key, out),
+            record::Entry::Claim { key, .. } => self.handle_claim(now, key, is_own, decision, out),
+            record::Entry::Settle { key, .. } => self.handle_settlement(now, key, out),
             record::Entry::Checkpoint(part) => {
-                self.log.checkpoints.seen(now, folded.offset, part);
+                self.log.checkpoints.handle_part(now, folded.offset, part);
             }
             record::Entry::Publish { .. }
             | record::Entry::Acknowledge { .. }
@@ -239,34 +242,35 @@
         }
     }
 
-    fn halt(&mut self, halt: ledger::FoldError, out: &mut Vec<effect::Effect>) {
-        match halt {
+    fn handle_fold_error(&mut self, error: ledger::FoldError, out: &mut Vec<effect::Effect>) {
+        match error {
             ledger::FoldError::Gap { next, .. } => {
-                self.log.start = bootstrap::Bootstrap::resume_from(next);
+                self.log.bootstrap = bootstrap::Bootstrap::resume_from(next);
                 self.log.caught_up = false;
-                self.notice(
+                self.notify_operator(
                     true,
-                    format!("the log no longer holds record {next}; going on from a checkpoint"),
+                    format!("record {next} is no longer in the log; restoring from a checkpoint"),
                     out,
                 );
                 out.push(effect::Effect::ReadFrom(0));
             }
             ledger::FoldError::UnsupportedRules(_) => {
-                let reason = halt.to_string();
+                let reason = error.to_string();
                 self.log.halted = Some(SmolStr::new(&reason));
-                self.notice(true, reason, out);
+                self.notify_operator(true, reason, out);
             }
         }
     }
 
-    /// The log can't be read: what waits for a read-back that may never come is told so.
-    pub(super) fn read_failed(&mut self, now: clock::Instant) {
-        self.log.reading = false;
-        self.log.failed_since.get_or_insert(now);
+    /// Handles a failed read of the log. Requests whose claim may never be read back are refused after a
+    /// while; see [`Node::tick_claims`].
+    pub(super) fn handle_log_read_failure(&mut self, now: clock::Instant) {
+        self.log.readable = false;
+        self.log.unreadable_since.get_or_insert(now);
     }
 
-    /// What came of the append in flight.
-    pub(super) fn appended(
+    /// Handles the answer to the append in flight.
+    pub(super) fn handle_append_answer(
         &mut self,
         now: clock::Instant,
         answer: writer::Answer,
@@ -279,28 +283,31 @@
                 self.log.append_failed_since.or(Some(now))
             }
         };
-        self.log.append_at = match answer {
+        self.log.next_append_at = match answer {
             writer::Answer::Stored(_) => now,
-            writer::Answer::Refused | writer::Answer::Lost => now.after(APPEND_RETRY),
+            writer::Answer::Refused | writer::Answer::Lost => now.after(APPEND_RETRY_DELAY),
         };
         self.log.writer.handle_answer(answer);
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
     }
 
-    /// Appends an entry with the next batch.
-    pub(super) fn push(&mut self, entry: record::Entry, out: &mut Vec<effect::Effect>) -> bool {
+    /// Adds an entry to the next batch of appends. Returns `false` if the writer is full.
+    pub(super) fn append_entry(
+        &mut self,
+        entry: record::Entry,
+        out: &mut Vec<effect::Effect>,
+    ) -> bool {
         if self.log.writer.push(entry).is_ok() {
             return true;
         }
-        let text =
-            String::from("too much waits to be appended to the log; new entries are dropped");
-        self.notice(true, text, out);
+        let text = String::from("the queue of log appends is full; new entries are dropped");
+        self.notify_operator(true, text, out);
         false
     }
 
-    /// Sends the next batch when none is in flight.
-    pub(super) fn pump_log(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        if self.log.appending || now < self.log.append_at || self.log.halted.is_some() {
+    /// Appends the next batch if none is in flight.
+    pub(super) fn append_next_batch(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        if self.log.appending || now < self.log.next_append_at || self.log.halted.is_some() {
             return;
         }
         if let Some(body) = self.log.writer.next_append() {
@@ -311,6 +318,6 @@
 
     pub(super) fn tick_log(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         self.write_checkpoint(now, out);
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
     }
 }
--- a/crates/fireflywheel/src/node/servers.rs
+++ b/crates/fireflywheel/src/node/servers.rs
@@ -1,4 +1,5 @@
-//! Backend servers as the platform's list and their own reports tell of them: all late, none of it proof.
+//! Tracks backend servers by the platform's list and their own load reports. Both are delayed, and neither
+//! proves that a server runs or is gone.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +9,9 @@
 use crate::{clock, effect, ledger, membership, report, routing};
 
 impl Node {
-    /// Takes in the platform's list: a hint of who is there, and the only word on backend servers.
-    pub(super) fn listed(
+    /// Handles the platform's list of instances. It is a hint for the membership, and the only source of
+    /// information about which backend servers exist.
+    pub(super) fn handle_list(
         &mut self,
         now: clock::Instant,
         entries: &[report::ListEntry],
@@ -24,24 +26,24 @@
                 address: entry.address.clone(),
             })
             .collect();
-        self.routers_listed = u32::try_from(routers.len()).ok();
-        self.budget.set_instances(now, routers.len().max(1));
-        self.count_sharers();
+        self.listed_instances = u32::try_from(routers.len()).ok();
+        self.retry_budget.set_instances(now, routers.len().max(1));
+        self.count_instances();
         self.membership.set_listed(now, &routers);
         for entry in entries
             .iter()
             .filter(|entry| entry.kind == report::Kind::Backend)
         {
-            self.server_listed(now, entry);
+            self.update_listed_server(now, entry);
         }
-        self.mark_absent(now, entries);
-        self.placements_changed();
-        self.watch(out);
-        self.pump_all(now, out);
+        self.update_absent_servers(now, entries);
+        self.invalidate_candidates();
+        self.poll_reports(out);
+        self.dispatch_all_waiting(now, out);
     }
 
-    fn server_listed(&mut self, now: clock::Instant, entry: &report::ListEntry) {
-        let slots = self.slots(&entry.group);
+    fn update_listed_server(&mut self, now: clock::Instant, entry: &report::ListEntry) {
+        let slots = self.slots_per_server(&entry.group);
         let group = self.groups.entry(entry.group.clone()).or_default();
         let leaving = entry.state == report::State::Leaving;
         let key = match group.table.find(&entry.address) {
@@ -56,19 +58,19 @@
         let server = group.servers.entry(entry.address.clone()).or_default();
         server.failure_domain = entry.failure_domain.clone();
         server.absent_since = None;
-        let reported = server
+        let reports_leaving = server
             .report
             .as_ref()
             .is_some_and(|(_, report)| report.leaving);
-        server.leaving = leaving || reported;
+        server.leaving = leaving || reports_leaving;
         group.table.set_leaving(key, server.leaving);
     }
 
-    /// A backend server that the list no longer names gets nothing new at once; it stays known until it is
-    /// certain that no right names it.
-    fn mark_absent(&mut self, now: clock::Instant, entries: &[report::ListEntry]) {
+    /// Marks backend servers that the list no longer names as leaving, so that they receive no new
+    /// requests. They are removed after a while, once no right names them.
+    fn update_absent_servers(&mut self, now: clock::Instant, entries: &[report::ListEntry]) {
         let rights = self.log.ledger.as_ref().map(ledger::Ledger::rights);
-        let seen = self.log.next();
+        let next_offset = self.log.next();
         for (name, group) in &mut self.groups {
             let listed: BTreeSet<_> = entries
                 .iter()
@@ -81,26 +83,26 @@
                 }
                 if server.absent_since.is_none() {
                     server.absent_since = Some(now);
-                    server.absent_offset = seen;
+                    server.absent_offset = next_offset;
                 }
                 if let Some(key) = group.table.find(address) {
                     group.table.set_leaving(key, true);
                 }
             }
-            let held = |address: &SmolStr| {
+            let has_rights = |address: &SmolStr| {
                 rights.is_some_and(|rights| rights.keys().any(|key| key.server == *address))
             };
-            let forgotten: Vec<SmolStr> = group
+            let removed: Vec<SmolStr> = group
                 .servers
                 .iter()
                 .filter(|(address, server)| {
                     let absent = server.absent_since.map(|since| now.since(since));
                     absent.is_some_and(|absent| absent >= 2 * self.options.timing.gone_after)
-                        && !held(address)
+                        && !has_rights(address)
                 })
                 .map(|(address, _)| address.clone())
                 .collect();
-            for address in forgotten {
+            for address in removed {
                 group.servers.remove(&address);
                 if let Some(key) = group.table.find(&address) {
                     group.table.remove_server(key);
@@ -109,19 +111,22 @@
         }
     }
 
-    /// Asks every listed engine for reports.
-    fn watch(&mut self, out: &mut Vec<effect::Effect>) {
-        let engines = self.groups.iter().filter(|(name, _)| self.is_engine(name));
+    /// Polls the load reports of every listed engine.
+    fn poll_reports(&mut self, out: &mut Vec<effect::Effect>) {
+        let engines = self
+            .groups
+            .iter()
+            .filter(|(name, _)| self.is_engine_group(name));
         let servers = engines.flat_map(|(_, group)| group.servers.iter());
         let present = servers.filter(|(_, server)| server.absent_since.is_none());
-        let watched: Vec<SmolStr> = present.map(|(address, _)| address.clone()).collect();
-        if watched != self.watched {
-            self.watched.clone_from(&watched);
-            out.push(effect::Effect::PollReports(watched));
+        let polled_servers: Vec<SmolStr> = present.map(|(address, _)| address.clone()).collect();
+        if polled_servers != self.polled_servers {
+            self.polled_servers.clone_from(&polled_servers);
+            out.push(effect::Effect::PollReports(polled_servers));
         }
     }
 
-    pub(super) fn reported(
+    pub(super) fn handle_report(
         &mut self,
         now: clock::Instant,
         server: &SmolStr,
@@ -132,7 +137,7 @@
             let Some(key) = group.table.find(server) else {
                 continue;
             };
-            group.table.record_report(key, routed(now, &report));
+            group.table.record_report(key, routing_report(now, &report));
             let Some(known) = group.servers.get_mut(server) else {
                 continue;
             };
@@ -153,10 +158,10 @@
             known.report = Some((now, report));
             break;
         }
-        self.pump_all(now, out);
+        self.dispatch_all_waiting(now, out);
     }
 
-    pub(super) fn unreported(&mut self, server: &SmolStr) {
+    pub(super) fn handle_report_failure(&mut self, server: &SmolStr) {
         for group in self.groups.values_mut() {
             if let Some(known) = group.servers.get_mut(server) {
                 known.report = None;
@@ -165,7 +170,7 @@
     }
 }
 
-fn routed(now: clock::Instant, report: &report::Report) -> routing::Report {
+fn routing_report(now: clock::Instant, report: &report::Report) -> routing::Report {
     routing::Report {
         running: report.running,
         waiting: report.waiting,
--- a/crates/fireflywheel/src/node/stewards.rs
+++ b/crates/fireflywheel/src/node/stewards.rs
@@ -1,4 +1,4 @@
-//! Taking groups, driving their stewards, and carrying their orders.
+//! Claims groups, runs their stewards and sends their orders.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,98 +7,99 @@
 use super::Node;
 use crate::{clock, document, effect, ledger, order, record, rendezvous, steward, wire};
 
-/// Between two looks at all that a steward might do. It walks over the group's rights, so once a tick would
-/// cost a good part of a core.
-const DRIVE_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two steps of a steward. A step iterates over the rights of the group, so running it on
+/// every tick would take a considerable part of a CPU core.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Until a group is claimed again after a claim whose fate isn't known.
-const CLAIM_PAUSE: Duration = Duration::from_secs(1);
+/// Time after which a group is claimed again if the outcome of the previous claim isn't known.
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a group's holder may be unknown to the membership until another takes over. At the start of an
-/// instance the holder is unknown only because it was not heard of yet.
-const UNKNOWN_LIMIT: Duration = Duration::from_secs(5);
+/// Time for which the steward of a group may be unknown to the membership until another instance takes the
+/// group over. After the start of an instance, the steward may be unknown only because no update about it
+/// has arrived yet.
+const UNKNOWN_STEWARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The stewards of this instance, and what is left of earlier ones.
+/// The stewards of this instance, and the unanswered orders of its former stewards.
 #[derive(Debug, Default)]
 pub(super) struct Stewards {
-    held: BTreeMap<SmolStr, steward::Steward>,
+    active: BTreeMap<SmolStr, steward::Steward>,
     retired: Vec<steward::Retired>,
-    order_attempts: BTreeMap<order::AttemptId, Sent>,
+    order_attempts: BTreeMap<order::AttemptId, SentOrder>,
     next_attempt_id: u64,
-    claimed: BTreeMap<SmolStr, clock::Instant>,
-    unknown: BTreeMap<SmolStr, clock::Instant>,
-    driven: clock::Instant,
+    claimed_at: BTreeMap<SmolStr, clock::Instant>,
+    holder_unknown_since: BTreeMap<SmolStr, clock::Instant>,
+    last_step: clock::Instant,
 }
 
-/// Whose order an attempt id stands for.
+/// The order that an attempt id identifies.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentOrder {
     group: SmolStr,
     epoch: u64,
     sending: u32,
 }
 
 impl Stewards {
-    pub fn judged(
+    pub fn handle_decision(
         &mut self,
         now: clock::Instant,
         group: &SmolStr,
-        mine: bool,
+        is_own: bool,
         entry: &record::Entry,
     ) {
-        if !mine {
+        if !is_own {
             return;
         }
-        if let Some(steward) = self.held.get_mut(group) {
+        if let Some(steward) = self.active.get_mut(group) {
             steward.handle_decision(now, entry);
         }
     }
 
-    pub fn used(
+    pub fn handle_usage(
         &mut self,
         now: clock::Instant,
         group: &SmolStr,
         from: &SmolStr,
         items: &[wire::Usage],
     ) {
-        if let Some(steward) = self.held.get_mut(group) {
+        if let Some(steward) = self.active.get_mut(group) {
             steward.handle_usage(now, from, items);
         }
     }
 
     pub fn holds_any(&self) -> bool {
-        !self.held.is_empty()
+        !self.active.is_empty()
     }
 
     pub fn retire_all(&mut self) {
-        for steward in self.held.values_mut() {
+        for steward in self.active.values_mut() {
             steward.retire();
         }
     }
 }
 
 impl Node {
-    /// Drives the stewards at [`DRIVE_EVERY`]; what they wait for drives them at once.
+    /// Steps the stewards every [`STEP_INTERVAL`]. Events that they wait for step them immediately.
     pub(super) fn tick_stewards(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        if now.since(self.stewards.driven) >= DRIVE_EVERY {
-            self.drive_stewards(now, out);
+        if now.since(self.stewards.last_step) >= STEP_INTERVAL {
+            self.step_stewards(now, out);
         }
     }
 
-    pub(super) fn drive_stewards(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        self.stewards.driven = now;
-        self.drop_lost_groups(out);
+    pub(super) fn step_stewards(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        self.stewards.last_step = now;
+        self.retire_lost_stewards(out);
         if self.stop.is_none() {
             self.claim_groups(now, out);
         }
-        let groups: Vec<SmolStr> = self.stewards.held.keys().cloned().collect();
+        let groups: Vec<SmolStr> = self.stewards.active.keys().cloned().collect();
         for group in groups {
-            self.drive(now, &group, out);
+            self.step_steward(now, &group, out);
         }
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
     }
 
-    /// Claims each group of engines that nobody serves, if this instance is the first in line.
+    /// Claims each group of engines without a steward if rendezvous hashing selects this instance for it.
     fn claim_groups(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
         let Some(ledger) = &self.log.ledger else {
             return;
@@ -113,21 +114,21 @@
             let Some(epoch) = self.epoch_to_claim(now, group) else {
                 continue;
             };
-            let asked = self.stewards.claimed.get(group);
-            if asked.is_some_and(|asked| now.since(*asked) < CLAIM_PAUSE) {
+            let claimed_at = self.stewards.claimed_at.get(group);
+            if claimed_at.is_some_and(|claimed_at| now.since(*claimed_at) < CLAIM_RETRY_INTERVAL) {
                 continue;
             }
-            self.stewards.claimed.insert(group.clone(), now);
+            self.stewards.claimed_at.insert(group.clone(), now);
             let group = group.clone();
-            self.push(record::Entry::Steward { group, epoch }, out);
+            self.append_entry(record::Entry::Steward { group, epoch }, out);
         }
     }
 
-    /// The epoch to claim, when the group is nobody's and this instance comes first.
+    /// Returns the epoch to claim if the group has no steward and this instance is selected for it.
     fn epoch_to_claim(&mut self, now: clock::Instant, group: &SmolStr) -> Option<u64> {
         let alive = self.membership.alive().map(SmolStr::as_str);
-        let able = alive.filter(|name| !self.is_blind(now, name));
-        let first = rendezvous::first(group, able)?;
+        let candidates = alive.filter(|name| !self.has_lost_log(now, name));
+        let first = rendezvous::first(group, candidates)?;
         if first != self.options.me.instance.as_str() {
             return None;
         }
@@ -139,37 +140,42 @@
         if holder.by == self.options.me {
             return None;
         }
-        let free = self.is_over(&holder.by)
+        let is_free = self.has_ended(&holder.by)
             || self.is_leaving(&holder.by.instance)
-            || self.is_blind(now, &holder.by.instance);
-        if free {
+            || self.has_lost_log(now, &holder.by.instance);
+        if is_free {
             return Some(epoch);
         }
         if self.membership.state(&holder.by.instance).is_some() {
-            self.stewards.unknown.remove(group);
+            self.stewards.holder_unknown_since.remove(group);
             return None;
         }
-        let since = *self.stewards.unknown.entry(group.clone()).or_insert(now);
-        (now.since(since) >= UNKNOWN_LIMIT).then_some(epoch)
+        let since = *self
+            .stewards
+            .holder_unknown_since
+            .entry(group.clone())
+            .or_insert(now);
+        (now.since(since) >= UNKNOWN_STEWARD_TIMEOUT).then_some(epoch)
     }
 
-    /// A claim of a group was judged, here or elsewhere: the newest epoch's holder serves it, none other.
-    pub(super) fn steward_judged(
+    /// Handles the decision on a claim of a group by this or another instance. Only the holder of the
+    /// newest epoch serves the group.
+    pub(super) fn handle_steward_decision(
         &mut self,
         now: clock::Instant,
         group: &SmolStr,
-        mine: bool,
-        judgement: &ledger::Decision,
+        is_own: bool,
+        decision: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
-        if mine {
-            self.stewards.claimed.remove(group);
+        if is_own {
+            self.stewards.claimed_at.remove(group);
         }
-        if *judgement != ledger::Decision::Accepted {
+        if *decision != ledger::Decision::Accepted {
             return;
         }
-        self.drop_lost_groups(out);
-        self.tell_usage_anew(group);
+        self.retire_lost_stewards(out);
+        self.schedule_full_usage_report(group);
         let Some(ledger) = &self.log.ledger else {
             return;
         };
@@ -178,19 +184,20 @@
         };
         if holder.by == self.options.me {
             let steward = steward::Steward::new(now, group.clone(), holder.epoch);
-            self.stewards.held.insert(group.clone(), steward);
+            self.stewards.active.insert(group.clone(), steward);
         }
     }
 
-    /// Ends each epoch of this instance that the ledger says is over, and says so, which ends its pins.
-    fn drop_lost_groups(&mut self, out: &mut Vec<effect::Effect>) {
+    /// Retires the stewards of this instance whose epoch has ended according to the ledger. Their
+    /// acknowledgements end the pins of their orders.
+    fn retire_lost_stewards(&mut self, out: &mut Vec<effect::Effect>) {
         let Some(ledger) = &self.log.ledger else {
             return;
         };
         let me = &self.options.me;
         let lost: Vec<SmolStr> = self
             .stewards
-            .held
+            .active
             .values()
             .filter(|steward| {
                 let holder = ledger.steward(steward.group());
@@ -199,7 +206,7 @@
             .map(|steward| steward.group().clone())
             .collect();
         for group in lost {
-            let Some(steward) = self.stewards.held.remove(&group) else {
+            let Some(steward) = self.stewards.active.remove(&group) else {
                 continue;
             };
             let retired = steward.into_retired();
@@ -207,17 +214,23 @@
             if !retired.is_over() {
                 self.stewards.retired.push(retired);
             }
-            self.push(acknowledgement, out);
+            self.append_entry(acknowledgement, out);
         }
     }
 
-    fn drive(&mut self, now: clock::Instant, group: &SmolStr, out: &mut Vec<effect::Effect>) {
+    fn step_steward(
+        &mut self,
+        now: clock::Instant,
+        group: &SmolStr,
+        out: &mut Vec<effect::Effect>,
+    ) {
         self.with_steward(now, group, out, |steward, view, actions| {
             steward.step(view, actions);
         });
     }
 
-    /// Lets the group's steward here, if there is one, act on what it sees, and does what it wants done.
+    /// Calls `act` with this instance's steward of a group, if there is one, and executes the resulting
+    /// actions.
     fn with_steward<F>(
         &mut self,
         now: clock::Instant,
@@ -230,7 +243,7 @@
         let Some(ledger) = &self.log.ledger else {
             return;
         };
-        let Some(steward) = self.stewards.held.get_mut(group) else {
+        let Some(steward) = self.stewards.active.get_mut(group) else {
             return;
         };
         let servers = self.groups.entry(group.clone()).or_default();
@@ -243,10 +256,10 @@
         };
         let mut actions = Vec::new();
         act(steward, &view, &mut actions);
-        self.act_for(now, group, actions, out);
+        self.execute_actions(now, group, actions, out);
     }
 
-    fn act_for(
+    fn execute_actions(
         &mut self,
         now: clock::Instant,
         group: &SmolStr,
@@ -256,14 +269,14 @@
         for action in actions {
             match action {
                 steward::Action::Append(entry) => {
-                    self.push(entry, out);
+                    self.append_entry(entry, out);
                 }
                 steward::Action::SendOrder {
                     sending,
                     server,
                     command,
                 } => self.send_order(group, sending, server, command, out),
-                steward::Action::SendFrame { to, frame } => self.tell(now, to, frame, out),
+                steward::Action::SendFrame { to, frame } => self.send_frame(now, to, frame, out),
             }
         }
     }
@@ -278,12 +291,12 @@
     ) {
         let epoch = self
             .stewards
-            .held
+            .active
             .get(group)
             .map_or(0, steward::Steward::epoch);
         self.stewards.next_attempt_id += 1;
         let attempt_id = order::AttemptId(self.stewards.next_attempt_id);
-        let sent = Sent {
+        let sent = SentOrder {
             group: group.clone(),
             epoch,
             sending,
@@ -296,8 +309,8 @@
         });
     }
 
-    /// Tells an instance something, or takes it in here when it is this one.
-    pub(super) fn tell(
+    /// Sends a frame to an instance. A frame to this instance itself is handled directly.
+    pub(super) fn send_frame(
         &mut self,
         now: clock::Instant,
         to: SmolStr,
@@ -309,11 +322,11 @@
             return;
         }
         let me = self.options.me.clone();
-        self.frame(now, &me, frame, out);
+        self.handle_frame(now, &me, frame, out);
     }
 
-    /// What came of a sending, of this epoch or of one that is over.
-    pub(super) fn ordered(
+    /// Handles the answer to an order of the current or an earlier epoch.
+    pub(super) fn handle_order_answer(
         &mut self,
         now: clock::Instant,
         attempt_id: order::AttemptId,
@@ -323,50 +336,55 @@
         let Some(sent) = self.stewards.order_attempts.remove(&attempt_id) else {
             return;
         };
-        let held = self.stewards.held.get(&sent.group);
+        let held = self.stewards.active.get(&sent.group);
         if held.is_none_or(|steward| steward.epoch() != sent.epoch) {
-            return self.ordered_late(&sent, answer, out);
+            return self.handle_late_order_answer(&sent, answer, out);
         }
         self.with_steward(now, &sent.group, out, |steward, view, actions| {
             steward.answered(view, sent.sending, answer, actions);
         });
-        self.pump_log(now, out);
+        self.append_next_batch(now, out);
     }
 
-    fn ordered_late(&mut self, sent: &Sent, answer: &order::Answer, out: &mut Vec<effect::Effect>) {
+    fn handle_late_order_answer(
+        &mut self,
+        sent: &SentOrder,
+        answer: &order::Answer,
+        out: &mut Vec<effect::Effect>,
+    ) {
         let mut retired = self.stewards.retired.iter_mut();
         let epoch =
             retired.find(|retired| retired.group == sent.group && retired.epoch == sent.epoch);
         let Some(epoch) = epoch else { return };
         if epoch.answered(sent.sending, answer) {
             let acknowledgement = epoch.acknowledgement();
-            self.push(acknowledgement, out);
+            self.append_entry(acknowledgement, out);
         }
         self.stewards.retired.retain(|retired| !retired.is_over());
     }
 
-    /// Callers wait somewhere; taken in if this instance serves the group.
-    pub(super) fn wanted(
+    /// Handles an instance's request for replicas if this instance is the steward of the group.
+    pub(super) fn handle_want(
         &mut self,
         now: clock::Instant,
         from: &SmolStr,
         want: &wire::Want,
         out: &mut Vec<effect::Effect>,
     ) {
-        if let Some(steward) = self.stewards.held.get_mut(&want.group) {
+        if let Some(steward) = self.stewards.active.get_mut(&want.group) {
             steward.handle_want(now, from, want);
-            self.drive(now, &want.group, out);
-            self.pump_log(now, out);
+            self.step_steward(now, &want.group, out);
+            self.append_next_batch(now, out);
         }
     }
 
-    /// Whether nothing that this instance opened as a steward is left open.
-    pub(super) fn stewards_settled(&self) -> bool {
+    /// Returns whether all intents that this instance opened as a steward are closed.
+    pub(super) fn are_stewards_settled(&self) -> bool {
         let Some(ledger) = &self.log.ledger else {
             return true;
         };
         self.stewards
-            .held
+            .active
             .values()
             .all(|steward| steward.is_settled(ledger))
     }
--- a/crates/fireflywheel/src/node/stop.rs
+++ b/crates/fireflywheel/src/node/stop.rs
@@ -1,19 +1,20 @@
-//! A planned stop: not ready first, then no new work, then everything finished and handed over.
+//! A planned stop. The instance first reports not ready, then refuses new requests, then finishes the
+//! requests in progress and hands its groups over.
 
 use std::time::Duration;
 
 use super::Node;
 use crate::{clock, effect};
 
-/// How long a hand-over waits for a log that can't be read. A successor takes over without it too, only
-/// with more to ask the engines.
-const LOG_PATIENCE: Duration = Duration::from_secs(2);
+/// Time for which the hand-over waits for a log that can't be read. A successor can take over without the
+/// hand-over too, but has to query the engines for more.
+const LOG_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How far a planned stop is.
+/// The progress of a planned stop.
 #[derive(Debug)]
 pub(super) struct Stop {
     since: clock::Instant,
-    left: bool,
+    leave_announced: bool,
     exited: bool,
 }
 
@@ -25,14 +26,14 @@
         self.stewards.retire_all();
         self.stop = Some(Stop {
             since: now,
-            left: false,
+            leave_announced: false,
             exited: false,
         });
     }
 
-    /// Whether new work is refused. It isn't until the balancer had time to see that this instance is not
-    /// ready.
-    pub(super) fn refuses_new(&self, now: clock::Instant) -> bool {
+    /// Returns whether new requests are refused. They are accepted until the load balancer had time to
+    /// notice that this instance is not ready.
+    pub(super) fn refuses_requests(&self, now: clock::Instant) -> bool {
         let delay = self.options.timing.drain_delay;
         self.stop
             .as_ref()
@@ -45,19 +46,19 @@
             return;
         }
         let since = stop.since;
-        self.say_leaving(now, since);
-        let overdue = now.since(since) >= self.options.timing.drain_limit;
-        let finished = self.refuses_new(now) && self.requests.is_empty();
-        let over = finished && self.handed_over(now, since);
-        if !(overdue || over) {
+        self.announce_leaving(now, since);
+        let limit_reached = now.since(since) >= self.options.timing.drain_limit;
+        let finished = self.refuses_requests(now) && self.requests.is_empty();
+        let is_complete = finished && self.is_handed_over(now, since);
+        if !(limit_reached || is_complete) {
             return;
         }
-        if overdue && !finished {
+        if limit_reached && !finished {
             let text = format!(
-                "the drain limit passed with {} requests left",
+                "planned stop: drain limit reached with {} requests in progress",
                 self.requests.len()
             );
-            self.notice(true, text, out);
+            self.notify_operator(true, text, out);
         }
         if let Some(stop) = &mut self.stop {
             stop.exited = true;
@@ -65,18 +66,19 @@
         out.push(effect::Effect::Exit);
     }
 
-    /// Once its orders have ended, this instance says that it leaves, and others take its groups.
-    fn say_leaving(&mut self, now: clock::Instant, since: clock::Instant) {
-        let settled = self.stewards_settled() || self.log_lost(now, since);
+    /// Announces that this instance leaves once its orders have ended. Other instances then take its groups
+    /// over.
+    fn announce_leaving(&mut self, now: clock::Instant, since: clock::Instant) {
+        let settled = self.are_stewards_settled() || self.is_log_lost(now, since);
         let Some(stop) = &mut self.stop else { return };
-        if settled && !stop.left {
-            stop.left = true;
+        if settled && !stop.leave_announced {
+            stop.leave_announced = true;
             self.membership.leave();
         }
     }
 
-    fn handed_over(&self, now: clock::Instant, since: clock::Instant) -> bool {
-        if self.log_lost(now, since) {
+    fn is_handed_over(&self, now: clock::Instant, since: clock::Instant) -> bool {
+        if self.is_log_lost(now, since) {
             return true;
         }
         let others = self
@@ -87,7 +89,7 @@
         groups_free && self.log.is_written()
     }
 
-    fn log_lost(&self, now: clock::Instant, since: clock::Instant) -> bool {
-        !self.log.reading && now.since(since) >= LOG_PATIENCE
+    fn is_log_lost(&self, now: clock::Instant, since: clock::Instant) -> bool {
+        !self.log.readable && now.since(since) >= LOG_TIMEOUT
     }
 }
--- a/crates/fireflywheel/src/node/usage.rs
+++ b/crates/fireflywheel/src/node/usage.rs
@@ -1,4 +1,4 @@
-//! What an instance tells the stewards of its use of their items.
+//! Reports to stewards about the use of their items at this instance.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,40 +7,41 @@
 use super::Node;
 use crate::{clock, effect, item, wire};
 
-/// Between two usage reports to the stewards.
-const USAGE_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two usage reports to the stewards.
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Between two usage reports at least.
-const USAGE_LEAST: Duration = Duration::from_millis(50);
+/// Minimum interval between two usage reports.
+const MIN_USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Node {
-    /// A new steward of a group knows of no use yet: it is told of all at the next tick.
-    pub(super) fn tell_usage_anew(&mut self, group: &SmolStr) {
-        self.usage_told.remove(group);
-        self.usage_sent = clock::Instant::default();
+    /// Schedules a report of all items in use for the next tick, because a new steward of a group knows of none.
+    pub(super) fn schedule_full_usage_report(&mut self, group: &SmolStr) {
+        self.reported_in_use.remove(group);
+        self.usage_reported_at = clock::Instant::default();
     }
 
-    /// A lane that has fallen idle is told of at the next tick: others may wait for its room.
-    pub(super) fn hurry_usage(&mut self, now: clock::Instant) {
-        if now.since(self.usage_sent) >= USAGE_LEAST {
-            self.usage_sent = clock::Instant::default();
+    /// Schedules the next usage report for the next tick, subject to the minimum interval, after a queue became
+    /// idle. Other items may wait for the memory of its item.
+    pub(super) fn expedite_usage_report(&mut self, now: clock::Instant) {
+        if now.since(self.usage_reported_at) >= MIN_USAGE_REPORT_INTERVAL {
+            self.usage_reported_at = clock::Instant::default();
         }
     }
 
-    /// Tells the stewards what was used here.
-    pub(super) fn send_usage(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
-        if now.since(self.usage_sent) < USAGE_EVERY {
+    /// Sends usage reports to the stewards when they are due.
+    pub(super) fn report_usage(&mut self, now: clock::Instant, out: &mut Vec<effect::Effect>) {
+        if now.since(self.usage_reported_at) < USAGE_REPORT_INTERVAL {
             return;
         }
-        self.usage_sent = now;
+        self.usage_reported_at = now;
         let mut groups: BTreeMap<SmolStr, BTreeMap<item::Item, wire::Usage>> = BTreeMap::new();
-        for lane in self.lanes.values_mut() {
-            let Some(item) = &lane.item else { continue };
-            let waiting = u32::try_from(lane.queue.len()).unwrap_or(u32::MAX);
-            let active = lane.running.saturating_add(waiting);
-            let finished = std::mem::take(&mut lane.finished);
-            let group = groups.entry(lane.group.clone()).or_default();
-            // A model is in use while an adapter on it is.
+        for queue in self.queues.values_mut() {
+            let Some(item) = &queue.item else { continue };
+            let waiting = u32::try_from(queue.waiting.len()).unwrap_or(u32::MAX);
+            let active = queue.running.saturating_add(waiting);
+            let finished = std::mem::take(&mut queue.finished);
+            let group = groups.entry(queue.group.clone()).or_default();
+            // A model is in use while one of its adapters is.
             let mut items = vec![item.clone()];
             if item.adapter.is_some() {
                 items.push(item.base());
@@ -56,12 +57,12 @@
             }
         }
         for (group, items) in groups {
-            self.send_group_usage(now, group, items, out);
+            self.report_group_usage(now, group, items, out);
         }
     }
 
-    /// Sends what was used since the last time, and once that nothing is any more.
-    fn send_group_usage(
+    /// Reports the items used since the last report, and reports once when an item is no longer in use.
+    fn report_group_usage(
         &mut self,
         now: clock::Instant,
         group: SmolStr,
@@ -76,22 +77,22 @@
         let Some(to) = steward.map(|steward| steward.by.instance.clone()) else {
             return;
         };
-        let told = self.usage_told.entry(group.clone()).or_default();
+        let reported = self.reported_in_use.entry(group.clone()).or_default();
         let items: Vec<wire::Usage> = items
             .into_values()
             .filter(|usage| {
                 let used = usage.finished > 0 || usage.active > 0;
-                let changed = told.contains(&usage.item) != (usage.active > 0);
+                let changed = reported.contains(&usage.item) != (usage.active > 0);
                 if usage.active > 0 {
-                    told.insert(usage.item.clone());
+                    reported.insert(usage.item.clone());
                 } else {
-                    told.remove(&usage.item);
+                    reported.remove(&usage.item);
                 }
                 used || changed
             })
             .collect();
         if !items.is_empty() {
-            self.tell(now, to, wire::Frame::Usage { group, items }, out);
+            self.send_frame(now, to, wire::Frame::Usage { group, items }, out);
         }
     }
 }
--- a/crates/fireflywheel/tests/admission.rs
+++ b/crates/fireflywheel/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What waits, for how long, and what is tried again: the queue, the estimates and the retry budget.
+//! Tests of the request queue, the time estimates and the retry budget.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-struct Desk {
+struct Fixture {
     keys: SlotMap<request::Key, (SmolStr, u64)>,
     queue: queue::Queue,
 }
 
-impl Desk {
+impl Fixture {
     fn new(limit: usize) -> Self {
         Self {
             keys: SlotMap::with_key(),
@@ -54,129 +54,138 @@
 
 #[test]
 fn earliest_deadline_goes_first_within_a_tenant() {
-    let mut desk = Desk::new(10);
+    let mut fixture = Fixture::new(10);
     for deadline in [50, 10, 30, 20, 40] {
-        desk.push("guide", 1, deadline).unwrap();
+        fixture.push("guide", 1, deadline).unwrap();
     }
-    assert_eq!(desk.queue.earliest_deadline(), Some(clock::Instant(10)));
-    let order: Vec<_> = std::iter::from_fn(|| desk.pop())
+    assert_eq!(fixture.queue.earliest_deadline(), Some(clock::Instant(10)));
+    let order: Vec<_> = std::iter::from_fn(|| fixture.pop())
         .map(|(_, deadline)| deadline)
         .collect();
     assert_eq!(order, [10, 20, 30, 40, 50]);
 }
 
-/// One tenant sends a burst with near deadlines. Another, with a single request that can wait a little longer,
-/// must not wait behind all of it, and gets in time what its share gives.
+/// One tenant sends a burst with early deadlines. Another tenant's single request with a later deadline
+/// must not wait behind all of it, and must be served in time as its share allows.
 #[test]
 fn burst_of_one_tenant_does_not_take_the_others_share() {
-    let mut desk = Desk::new(1000);
+    let mut fixture = Fixture::new(1000);
     for deadline in 0..500 {
-        desk.push("burst", 1, deadline).unwrap();
+        fixture.push("burst", 1, deadline).unwrap();
     }
-    desk.pop_tenants(10);
-    desk.push("calm", 1, 10_000).unwrap();
-    assert!(desk.pop_tenants(2).contains(&SmolStr::new("calm")));
+    fixture.pop_tenants(10);
+    fixture.push("calm", 1, 10_000).unwrap();
+    assert!(fixture.pop_tenants(2).contains(&SmolStr::new("calm")));
     for deadline in 0..100 {
-        desk.push("calm", 3, 20_000 + deadline).unwrap();
+        fixture.push("calm", 3, 20_000 + deadline).unwrap();
     }
-    let calm = desk
+    let calm = fixture
         .pop_tenants(100)
         .iter()
         .filter(|tenant| *tenant == "calm")
         .count();
     assert!(
         (74..=76).contains(&calm),
-        "{calm} of 100 at a share of 3 to 1"
+        "{calm} of 100 turns at a share of 3 to 1"
     );
 }
 
-/// A tenant that was idle for long comes back. It must not be owed turns for that time, or it would hold up
-/// the others for as long.
+/// A tenant returns after a long idle time. If it had accumulated turns for that time, it would delay the
+/// others for as long.
 #[test]
-fn idle_time_earns_no_turns() {
-    let mut desk = Desk::new(1000);
+fn idle_tenant_accumulates_no_turns() {
+    let mut fixture = Fixture::new(1000);
     for deadline in 0..300 {
-        desk.push("steady", 1, deadline).unwrap();
+        fixture.push("steady", 1, deadline).unwrap();
     }
-    desk.pop_tenants(200);
+    fixture.pop_tenants(200);
     for deadline in 0..100 {
-        desk.push("back", 1, deadline).unwrap();
+        fixture.push("back", 1, deadline).unwrap();
     }
-    let back = desk
+    let back = fixture
         .pop_tenants(20)
         .iter()
         .filter(|tenant| *tenant == "back")
         .count();
-    assert!((9..=11).contains(&back), "{back} of 20");
+    assert!((9..=11).contains(&back), "{back} of 20 turns");
 }
 
-/// More requests come than may wait. The last ones must hear so at once, and those that wait stay.
+/// More requests arrive than may wait. The last ones must be refused at once, and those that wait must stay
+/// queued.
 #[test]
-fn full_queue_refuses() {
-    let mut desk = Desk::new(2);
-    let first = desk.push("guide", 1, 1).unwrap();
-    desk.push("guide", 1, 2).unwrap();
-    assert_eq!(desk.push("crew", 1, 0), Err(queue::Full));
-    assert!(desk.queue.remove(first));
-    assert!(!desk.queue.remove(first));
-    desk.push("crew", 1, 0).unwrap();
-    assert_eq!(desk.queue.len(), 2);
+fn full_queue_rejects_new_requests() {
+    let mut fixture = Fixture::new(2);
+    let first = fixture.push("guide", 1, 1).unwrap();
+    fixture.push("guide", 1, 2).unwrap();
+    assert_eq!(fixture.push("crew", 1, 0), Err(queue::Full));
+    assert!(fixture.queue.remove(first));
+    assert!(!fixture.queue.remove(first));
+    fixture.push("crew", 1, 0).unwrap();
+    assert_eq!(fixture.queue.len(), 2);
 }
 
-/// Any pushes, pops, removals and expiries leave the queue with exactly what a plain list would hold, and the
-/// count of what goes ahead right. A request that got lost here would never be answered.
+/// After any sequence of pushes, pops, removals and expiries, the queue holds exactly what a plain list
+/// would hold, and counts the earlier deadlines correctly. A request that is lost here would never be
+/// answered.
 #[test]
 fn queue_never_loses_a_request() {
     const BYTES: u64 = 8 * 1024;
     for seed in 0..50 {
-        let mut desk = Desk::new(40);
-        let mut plain: Vec<(u64, request::Key)> = Vec::new();
+        let mut fixture = Fixture::new(40);
+        let mut expected: Vec<(u64, request::Key)> = Vec::new();
         arbtest::arbtest(|u| {
             while !u.is_empty() {
                 let deadline = u.int_in_range(0..=5000)?;
                 match u.int_in_range(0..=9)? {
                     0..=5 => {
                         let tenant = format_smolstr!("t{}", u.int_in_range(0..=4)?);
-                        let pushed = desk.push(&tenant, u.int_in_range(0..=9)?, deadline);
-                        assert_eq!(pushed.is_err(), plain.len() == 40);
-                        plain.extend(pushed.ok().map(|key| (deadline, key)));
+                        let pushed = fixture.push(&tenant, u.int_in_range(0..=9)?, deadline);
+                        assert_eq!(pushed.is_err(), expected.len() == 40);
+                        expected.extend(pushed.ok().map(|key| (deadline, key)));
                     }
                     6 | 7 => {
-                        let popped = desk.queue.pop();
-                        assert_eq!(popped.is_none(), plain.is_empty());
-                        plain.retain(|(_, key)| Some(*key) != popped);
+                        let popped = fixture.queue.pop();
+                        assert_eq!(popped.is_none(), expected.is_empty());
+                        expected.retain(|(_, key)| Some(*key) != popped);
                     }
-                    8 if !plain.is_empty() => {
-                        let (_, key) = plain.swap_remove(u.choose_index(plain.len())?);
-                        assert!(desk.queue.remove(key));
+                    8 if !expected.is_empty() => {
+                        let (_, key) = expected.swap_remove(u.choose_index(expected.len())?);
+                        assert!(fixture.queue.remove(key));
                     }
                     _ => {
                         let now = clock::Instant(deadline / 4);
-                        let gone = desk.queue.take_expired(now).len();
-                        let before = plain.len();
-                        plain.retain(|(deadline, _)| *deadline > now.0);
-                        assert_eq!(gone, before - plain.len());
+                        let gone = fixture.queue.take_expired(now).len();
+                        let before = expected.len();
+                        expected.retain(|(deadline, _)| *deadline > now.0);
+                        assert_eq!(gone, before - expected.len());
                     }
                 }
-                let ahead = plain.iter().filter(|(other, _)| *other < deadline).count();
-                assert_eq!(desk.queue.ahead_of(clock::Instant(deadline)), ahead);
-                assert_eq!(desk.queue.len(), plain.len());
+                let ahead = expected
+                    .iter()
+                    .filter(|(other, _)| *other < deadline)
+                    .count();
+                assert_eq!(fixture.queue.ahead_of(clock::Instant(deadline)), ahead);
+                assert_eq!(fixture.queue.len(), expected.len());
             }
             Ok(())
         })
         .seed(seed << 32 | BYTES)
         .run();
-        while let Some(key) = desk.queue.pop() {
-            plain.retain(|(_, other)| *other != key);
+        while let Some(key) = fixture.queue.pop() {
+            expected.retain(|(_, other)| *other != key);
         }
-        assert!(plain.is_empty(), "{} lost with seed {seed}", plain.len());
+        assert!(
+            expected.is_empty(),
+            "{} requests lost with seed {seed}",
+            expected.len()
+        );
     }
 }
 
-/// A single request hangs for minutes. Were that taken at its word, all after it would be refused as too late
-/// though the model answers as fast as ever.
+/// A single request hangs for minutes. If its time counted in full, all later requests would be refused as
+/// too late although the model answers as fast as before.
 #[test]
-fn one_odd_sample_refuses_nobody() {
+fn single_outlier_hardly_raises_estimate() {
     let mut estimate = estimate::Estimate::new(SECOND);
     for _ in 0..50 {
         estimate.observe(SECOND);
@@ -190,29 +199,32 @@
     );
 }
 
-/// A model becomes ten times slower for good. Requests that can't be in time must be refused soon, not after
-/// hundreds were late.
+/// A model becomes ten times slower permanently. Requests that can't be answered in time must be refused
+/// soon, not after hundreds were late.
 #[test]
-fn lasting_change_is_followed() {
+fn estimate_follows_lasting_change() {
     let mut estimate = estimate::Estimate::new(SECOND);
     for _ in 0..50 {
         estimate.observe(SECOND);
     }
-    let slow = (0..100).position(|_| {
+    let samples_until_slow = (0..100).position(|_| {
         estimate.observe(10 * SECOND);
         estimate.mean() > 8 * SECOND
     });
-    assert!(slow.is_some_and(|samples| samples < 40), "{slow:?}");
+    assert!(
+        samples_until_slow.is_some_and(|samples| samples < 40),
+        "{samples_until_slow:?}"
+    );
     for _ in 0..100 {
         estimate.observe(SECOND);
     }
     assert!(estimate.mean() < 2 * SECOND);
 }
 
-/// Service times scatter widely. The estimate of the time that one is seldom above stays within twice the mean,
-/// and few that would be in time are refused.
+/// Service times vary widely. The upper bound must stay within twice the mean, so that few requests are
+/// refused that would be answered in time.
 #[test]
-fn scattered_times_cause_few_needless_refusals() {
+fn upper_bound_of_scattered_times_stays_within_twice_the_mean() {
     const SAMPLES: u64 = 2000;
     let mut estimate = estimate::Estimate::new(SECOND);
     let mut mean = Duration::ZERO;
@@ -228,14 +240,14 @@
     assert_eq!(estimate.queue_wait(0, 0), estimate.mean());
     assert!(
         estimate.queue_wait(usize::MAX, 1) > Duration::from_secs(1 << 40),
-        "no overflow"
+        "the wait overflowed"
     );
 }
 
-/// A backend server fails everything. Each failed request tried again would double the load on the others just
-/// then; the budget keeps retries to a small share.
+/// A backend server fails every request. Retrying each of them would double the load on the other servers
+/// at that moment. The budget limits retries to a small ratio of the requests.
 #[test]
-fn retries_are_a_share_of_requests() {
+fn retries_are_limited_to_a_ratio_of_requests() {
     let options = retry_budget::Options::default();
     let mut budget = retry_budget::Budget::new(clock::Instant(0), options);
     budget.set_instances(clock::Instant(0), 16);
@@ -248,12 +260,12 @@
     assert!((1000..=1030).contains(&retries), "{retries} retries");
 }
 
-/// Few requests come. A retry or two must still be possible, but the floor that allows it must not add up over
-/// a large fleet.
+/// Few requests arrive. A retry or two must still be possible, but the floor that allows them must not add
+/// up over a large fleet.
 #[test]
-fn floor_is_shared_by_the_fleet() {
+fn retry_floor_is_shared_by_the_fleet() {
     let retries = |instances: usize| -> usize {
-        let one = |_| {
+        let retries_of_one = |_| {
             let mut budget =
                 retry_budget::Budget::new(clock::Instant(0), retry_budget::Options::default());
             budget.set_instances(clock::Instant(0), instances);
@@ -261,14 +273,14 @@
                 .filter(|now| budget.try_retry(clock::Instant(*now)))
                 .count()
         };
-        (0..instances).map(one).sum()
+        (0..instances).map(retries_of_one).sum()
     };
-    let saved = |instances: usize| retry_budget::Options::default().burst as usize * instances;
+    let saved_up = |instances: usize| retry_budget::Options::default().burst as usize * instances;
     for instances in [1, 16, 256] {
-        let beyond = retries(instances) - saved(instances);
+        let from_floor = retries(instances) - saved_up(instances);
         assert!(
-            (700..=960).contains(&beyond),
-            "{beyond} a minute at {instances} instances"
+            (700..=960).contains(&from_floor),
+            "{from_floor} retries per minute with {instances} instances"
         );
     }
 }
--- a/crates/fireflywheel/tests/deadlines.rs
+++ b/crates/fireflywheel/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! What can't be answered in time is refused at once, not when its deadline comes.
+//! Requests that can't be answered in time are refused on arrival, not at their deadline.
 
 mod world;
 
@@ -19,8 +19,8 @@
     world
 }
 
-/// The refusal of a call, if it had one at the very moment of its arrival.
-fn refused_at_once(world: &World, call: usize) -> Option<&request::Refusal> {
+/// Returns the refusal of a call if the call was refused at the moment of its arrival.
+fn refusal_on_arrival(world: &World, call: usize) -> Option<&request::Refusal> {
     let call = &world.calls[call];
     match &call.ended {
         Some((at, world::End::Refused(refusal))) if *at == call.arrived => Some(refusal),
@@ -28,39 +28,45 @@
     }
 }
 
-/// A caller asks for a cold model and can't wait for its load. Told only at its deadline, it would have lost
-/// the time in which it could have gone elsewhere.
+/// A caller requests a model that isn't loaded and can't wait for its load. If it were refused only at its
+/// deadline, it would have lost the time to send the request elsewhere.
 #[test]
-fn load_that_takes_too_long_is_refused_at_once() {
+fn call_is_refused_at_once_if_load_exceeds_deadline() {
     let mut world = world(16, 2_000);
     let call = world.ask(0, "m0", 500);
-    let refusal = refused_at_once(&world, call).expect("refused at once");
+    let refusal = refusal_on_arrival(&world, call).expect("the call should be refused on arrival");
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
     assert!(
         refusal.retry_after.is_some(),
-        "it is told when to come back"
+        "the refusal must say when to retry"
     );
-    // The load goes on for those who come back.
+    // The load continues for callers that retry.
     let loaded = world.run_until(5_000, |world| world.replicas("m0") == 1, |_| {});
     assert!(loaded);
 }
 
-/// More callers wait than can be served within the newest one's deadline. It hears so at once; those before it
-/// are served.
+/// More requests wait than can be served within the deadline of the newest one. That one must be refused at
+/// once, and those before it must be served.
 #[test]
-fn queue_that_is_too_long_is_refused_at_once() {
+fn call_is_refused_at_once_if_queue_exceeds_deadline() {
     let mut world = world(16, 100);
     world.ask(0, "m0", 5_000);
     world.run(1_000, |_| {});
     let calls: Vec<usize> = (0..200).map(|_| world.ask(0, "m0", 600)).collect();
     let at_once = calls
         .iter()
-        .filter(|call| refused_at_once(&world, **call).is_some())
+        .filter(|call| refusal_on_arrival(&world, **call).is_some())
         .count();
-    assert!(at_once >= 80, "only {at_once} of 200 were refused at once");
+    assert!(
+        at_once >= 80,
+        "only {at_once} of 200 calls were refused on arrival"
+    );
     world.run(2_000, |_| {});
     let served = calls
         .iter()
         .filter(|call| matches!(world.calls[**call].ended, Some((_, world::End::Served))));
-    assert!(served.count() >= 60, "the slots stood idle");
+    assert!(
+        served.count() >= 60,
+        "slots stayed idle while requests waited"
+    );
 }
