--- a/crates/fireflywheel/tests/limits.rs
+++ b/crates/fireflywheel/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants hold across instances, without an instance having to ask for each request.
+//! Limits of tenants hold across instances without a request for credits per caller's request.
 
 mod world;
 
@@ -26,7 +26,7 @@
     world
 }
 
-fn running(world: &World) -> u32 {
+fn requests_running(world: &World) -> u32 {
     world
         .engines
         .values()
@@ -34,13 +34,13 @@
         .sum()
 }
 
-fn ask_as(world: &mut World, place: usize, tenant: &str) -> usize {
-    ask_within(world, place, tenant, 5_000)
+fn ask_as(world: &mut World, node: usize, tenant: &str) -> usize {
+    ask_within(world, node, tenant, 5_000)
 }
 
-/// A tenant's requests come in bursts at one instance or at all. If each instance counted for itself, four of
-/// them would run four times what operators allow; if each had only an equal part, a burst at one instance
-/// would be refused while the other parts lie idle.
+/// A tenant sends bursts to one instance or to all. If each instance counted only its own requests, four
+/// instances would run four times the limit. If each had only an equal part, a burst at one instance would
+/// be refused while the other parts are unused.
 #[test]
 fn bursts_stay_within_the_limit_and_use_most_of_it() {
     for seed in 0..10 {
@@ -48,57 +48,62 @@
         let mut most_at_one = 0;
         for round in 0..20 {
             for call in 0..60 {
-                let place = if round < 10 { 0 } else { call % 4 };
-                ask_as(&mut world, place, "t");
+                let node = if round < 10 { 0 } else { call % 4 };
+                ask_as(&mut world, node, "t");
             }
             world.run(700, |world| {
-                assert!(running(world) <= LIMIT, "{} run", running(world));
+                assert!(
+                    requests_running(world) <= LIMIT,
+                    "{} requests run",
+                    requests_running(world)
+                );
             });
         }
         for call in &world.calls {
-            let (at, _) = call.ended.as_ref().expect("every call is answered");
+            let (at, _) = call.ended.as_ref().expect("every call must be answered");
             assert!(*at <= call.deadline);
         }
-        // What the others hold runs out.
+        // The credits of the other instances expire.
         world.run(6_000, |_| {});
         for round in 0..3 {
             for _ in 0..60 {
                 ask_as(&mut world, 0, "t");
             }
             world.run(100 + round, |_| {});
-            most_at_one = most_at_one.max(running(&world));
+            most_at_one = most_at_one.max(requests_running(&world));
             world.run(900, |_| {});
         }
         assert!(
             most_at_one > LIMIT / 4,
-            "one instance got only {most_at_one} of {LIMIT}"
+            "one instance ran only {most_at_one} of {LIMIT} requests"
         );
     }
 }
 
-/// One tenant sends far more than it may. The other's requests are neither refused nor late for it.
+/// One tenant sends far more requests than its limit allows. The requests of the other must be neither
+/// refused nor late because of that.
 #[test]
-fn burst_of_one_tenant_takes_nothing_of_another() {
+fn burst_of_one_tenant_does_not_affect_another() {
     let mut world = world(77);
-    let mut of_u = Vec::new();
+    let mut calls_of_u = Vec::new();
     for _ in 0..30 {
         for call in 0..80 {
             ask_as(&mut world, call % 4, "t");
         }
-        for place in 0..4 {
-            of_u.push(ask_as(&mut world, place, "u"));
+        for node in 0..4 {
+            calls_of_u.push(ask_as(&mut world, node, "u"));
         }
         world.run(400, |_| {});
     }
     world.run(5_000, |_| {});
-    let served = of_u
+    let served = calls_of_u
         .iter()
         .filter(|call| matches!(world.calls[**call].ended, Some((_, world::End::Served))));
-    assert_eq!(served.count(), of_u.len());
+    assert_eq!(served.count(), calls_of_u.len());
 }
 
-/// An instance dies with its credits and another becomes the home of the limit. What the old home lent may
-/// still be in use, so the new one must not lend it again.
+/// An instance dies while it holds credits, and another becomes the home of the limit. The credits that the
+/// old home lent may still be in use, so the new one must not lend them again.
 #[test]
 fn limit_holds_while_its_home_moves() {
     for seed in 0..8 {
@@ -113,16 +118,21 @@
             if round == 9 {
                 world.start_node(seed as usize % 4);
             }
-            // The dead instance's requests may still run at the engines; they counted against the limit.
+            // Requests of the dead instance may still run at the engines, and they counted against the
+            // limit.
             world.run(500, |world| {
-                assert!(running(world) <= LIMIT, "{} run", running(world));
+                assert!(
+                    requests_running(world) <= LIMIT,
+                    "{} requests run",
+                    requests_running(world)
+                );
             });
         }
     }
 }
 
-/// Callers of one class come faster than they are served. Without a bound on those that wait, each would take
-/// memory until its deadline; with it the surplus hears at once that it did not run.
+/// Requests of one class arrive faster than they are served. Without a bound on the queue, each would take
+/// memory until its deadline. With the bound, excess requests are refused at once as not run.
 #[test]
 fn queue_of_a_class_is_bounded() {
     let mut world = World::new(3, 1).with_engines("g", 1, true);
@@ -138,11 +148,11 @@
         ask_as(&mut world, 0, "t");
     }
     world.run(6_000, |_| {});
-    let full = world.calls.iter().filter(|call| {
+    let queue_full = world.calls.iter().filter(|call| {
         matches!(&call.ended, Some((_, world::End::Refused(refusal)))
             if refusal.code == fireflywheel::request::Code::QueueFull)
     });
-    assert_eq!(full.count(), 20);
+    assert_eq!(queue_full.count(), 20);
     for _ in 0..10 {
         ask_as(&mut world, 0, "t");
     }
@@ -154,15 +164,15 @@
     assert_eq!(
         served.count(),
         20,
-        "those that left the queue must not count any more"
+        "requests that left the queue must not count any more"
     );
 }
 
-/// One tenant asks for five times what the engine can do within the deadline, the other for a quarter of it.
-/// The engine's turns are shared, so the modest one must hardly notice; were its place in the queue counted
-/// behind all that wait, it would be refused for the other's burst.
+/// One tenant requests five times what the engine can do within the deadline, the other a quarter of it.
+/// The engine's turns are shared, so the modest tenant must hardly be affected. If its position in the
+/// queue were counted behind all waiting requests, it would be refused because of the other's burst.
 #[test]
-fn modest_tenant_is_served_beside_a_burst() {
+fn modest_tenant_is_served_during_burst_of_another() {
     let mut world = World::new(21, 2).with_engines("g", 1, true);
     world.service_ms = 100;
     let text = document()
@@ -172,7 +182,7 @@
     world.start_serving();
     ask_within(&mut world, 0, "u", 5_000);
     world.run(6_000, |_| {});
-    // 16 places of 100 ms: 160 a second.
+    // 16 slots of 100 ms serve 160 requests per second.
     let mut modest = Vec::new();
     for step in 0..400 {
         for call in 0..8 {
@@ -190,12 +200,12 @@
     let served = served.count();
     assert!(
         served * 100 >= modest.len() * 95,
-        "{served} of {} served",
+        "{served} of {} calls served",
         modest.len()
     );
 }
 
-fn ask_within(world: &mut World, place: usize, tenant: &str, deadline_ms: u64) -> usize {
+fn ask_within(world: &mut World, node: usize, tenant: &str, deadline_ms: u64) -> usize {
     let id = smol_str::format_smolstr!("r{}", world.calls.len());
     let target = fireflywheel::request::Target::Model {
         model: SmolStr::new_static("m0"),
@@ -203,5 +213,5 @@
     };
     let mut arrival = world::arrival(id, target, deadline_ms);
     arrival.tenant = SmolStr::new(tenant);
-    world.call(place, arrival)
+    world.call(node, arrival)
 }
