--- a/crates/fireflywheel/src/bootstrap.rs
+++ b/crates/fireflywheel/src/bootstrap.rs
@@ -1,13 +1,15 @@
-//! How an instance comes to a ledger: from the log's first record, or from a checkpoint and the tail.
+//! Construction of an instance's ledger, from the first record of the log or from a checkpoint and the records
+//! after it.
 //!
-//! The log keeps records for a limited time. Once it has dropped the first one, an instance reads what is
-//! retained, gathers the checkpoints in it, and goes on from the newest whole one that the retained records
-//! join without a gap. Peers hand over checkpoints too, in the same parts. Only parts are kept while it
-//! reads: the records after the checkpoint are read once more, so the memory taken doesn't grow with the log.
+//! The log retains records for a limited time. Once it has dropped the first record, an instance reads the
+//! retained ones, collects the checkpoints in them, and starts from the newest complete checkpoint that the
+//! retained records continue without a gap. Peers send checkpoints too, in the same parts. Only parts are kept
+//! while the log is read, and the records after the checkpoint are read a second time, so the memory use does
+//! not grow with the log.
 //!
-//! An instance that already holds a ledger and lost its place in the log starts with [`Bootstrap::resume_from`], and
-//! takes only a checkpoint that goes further. One that goes less far would bring back an older document,
-//! and rights that were given up.
+//! An instance that already holds a ledger, and whose next record the log has dropped, starts with
+//! [`Bootstrap::resume_from`] and accepts only a checkpoint that covers more than its ledger. A checkpoint that
+//! covers less would restore an older document and rights that were removed.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -18,42 +20,43 @@
     record,
 };
 
-/// Checkpoints gathered at once at most. Instances may append several at the same time; of one that was
-/// abandoned halfway the parts stay incomplete, and are dropped for newer ones.
-const SETS_LIMIT: usize = 4;
+/// Maximum number of checkpoints whose parts are collected at once. Instances may append several checkpoints at
+/// the same time. A checkpoint that was abandoned halfway stays incomplete, and is dropped for newer ones.
+const MAX_CHECKPOINTS: usize = 4;
 
-/// What an instance does until it has a ledger.
+/// The state of an instance until it has a ledger.
 #[derive(Debug, Default)]
 pub struct Bootstrap {
-    /// Only a checkpoint that covers more than this is of use.
-    above: u64,
-    /// The oldest offset that the log retains, once it was read.
+    /// A checkpoint is usable only if it covers more than the records below this offset.
+    floor: u64,
+    /// The oldest offset that the log retains; `None` until the log was read.
     first: Option<u64>,
     /// The next offset to read.
     from: u64,
-    /// The log's end when it was read first.
+    /// The end of the log at the first read.
     until: u64,
-    /// The rule of a newer record.
-    newer: Option<u32>,
-    gathered: BTreeMap<Name, Set>,
+    /// The version of the rules of a record that this build does not support.
+    unsupported_rules: Option<u32>,
+    checkpoints: BTreeMap<CheckpointId, Checkpoint>,
 }
 
-/// Names a checkpoint.
+/// Identifies a checkpoint.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Name {
+struct CheckpointId {
     next: u64,
     hash: SmolStr,
 }
 
-/// The parts of a checkpoint so far.
+/// The parts of a checkpoint that were collected so far.
 #[derive(Debug, Default)]
-struct Set {
+struct Checkpoint {
     parts: BTreeMap<u32, record::Part>,
-    by_peer: bool,
+    /// Whether a peer sent any of the parts.
+    from_peer: bool,
 }
 
-impl Set {
-    fn is_whole(&self) -> bool {
+impl Checkpoint {
+    fn is_complete(&self) -> bool {
         let part = self.parts.values().next();
         part.is_some_and(|part| usize::try_from(part.parts) == Ok(self.parts.len()))
     }
@@ -71,7 +74,8 @@
         /// The offset to read up to.
         until: u64,
     },
-    /// The log no longer holds its first record, and no whole checkpoint that the rest joins.
+    /// The log no longer holds its first record, and there is no complete checkpoint that the retained records
+    /// continue.
     NoCheckpoint {
         /// The oldest offset that the log retains.
         first: u64,
@@ -95,33 +99,34 @@
 }
 
 impl Bootstrap {
-    /// The start of an instance that holds nothing.
+    /// Creates the state of an instance that holds no ledger.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The start of an instance that holds a ledger up to `next`, whose successor the log has dropped.
+    /// Creates the state of an instance whose ledger covers the records before `next`, when the log has dropped the
+    /// record at `next`.
     #[must_use]
     pub fn resume_from(next: u64) -> Self {
         Self {
-            above: next,
+            floor: next,
             ..Self::default()
         }
     }
 
-    /// Only a checkpoint that covers more than this is of use.
+    /// The offset that a checkpoint must exceed to be usable.
     #[must_use]
     pub fn floor(&self) -> u64 {
-        self.above
+        self.floor
     }
 
-    /// The next offset to read, while the log is read for checkpoints; `None` once its end was reached.
-    /// Records that come later are still looked at.
+    /// The next offset to read, while the log is read for checkpoints; `None` once its end was reached. Records that
+    /// are added later are still searched.
     #[must_use]
     pub fn read_from(&self) -> Option<u64> {
-        let scanning = self.first.is_none() || self.from < self.until;
-        scanning.then_some(self.from)
+        let is_reading = self.first.is_none() || self.from < self.until;
+        is_reading.then_some(self.from)
     }
 
     /// Why there is no ledger yet.
@@ -137,8 +142,8 @@
         }
     }
 
-    /// Takes in what the log answered to a read from [`Self::read_from`]: the oldest offset that it retains,
-    /// the offset of its next record, and records in order.
+    /// Adds the log's answer to a read from [`Self::read_from`]: the oldest offset that the log retains, the offset
+    /// of its next record, and records in order.
     pub fn add_records(&mut self, first: u64, next: u64, records: Vec<record::Stored>) {
         if self.first.is_none() {
             self.until = next;
@@ -148,107 +153,119 @@
         for stored in records {
             if stored.offset >= self.from {
                 self.from = stored.offset + 1;
-                self.look(&stored.body);
+                self.collect_parts(&stored.body);
             }
         }
-        self.gathered.retain(|name, _| name.next >= first);
+        self.checkpoints.retain(|id, _| id.next >= first);
     }
 
-    /// Takes in a part that a peer sent.
+    /// Adds a part that a peer sent.
     pub fn add_part(&mut self, part: record::Part) {
-        self.gather(part, true);
+        self.collect_part(part, true);
     }
 
-    /// The ledger to go on from, once there is one; each is handed out once. What comes next is to be read
-    /// from its [`ledger::Ledger::next`].
+    /// Builds the ledger to start from, once that is possible. Each checkpoint is used once. The log is then to be
+    /// read from the ledger's [`ledger::Ledger::next`].
     ///
     /// # Errors
     ///
-    /// [`ledger::FoldError::UnsupportedRules`] when the log or a peer follows rules that this build doesn't know.
+    /// Returns [`ledger::FoldError::UnsupportedRules`] when the log or a peer uses rules that this build does not
+    /// support.
     pub fn build_ledger(&mut self) -> Result<Option<ledger::Ledger>, ledger::FoldError> {
-        if let Some(rule) = self.newer {
-            return Err(ledger::FoldError::UnsupportedRules(rule));
+        if let Some(rules) = self.unsupported_rules {
+            return Err(ledger::FoldError::UnsupportedRules(rules));
         }
-        if self.first == Some(0) && self.above == 0 {
+        if self.first == Some(0) && self.floor == 0 {
             return Ok(Some(ledger::Ledger::new()));
         }
-        while let Some(name) = self.newest() {
-            let set = self.gathered.remove(&name).unwrap_or_default();
-            let parts: Vec<record::Part> = set.parts.into_values().collect();
+        while let Some(id) = self.newest_usable() {
+            let checkpoint = self.checkpoints.remove(&id).unwrap_or_default();
+            let parts: Vec<record::Part> = checkpoint.parts.into_values().collect();
             match ledger::Ledger::restore(&parts) {
                 Ok(ledger) => {
-                    self.gathered.retain(|other, _| other.next > name.next);
+                    self.checkpoints.retain(|other, _| other.next > id.next);
                     return Ok(Some(ledger));
                 }
-                Err(checkpoint::Fault::Rule(rule)) => {
-                    return Err(ledger::FoldError::UnsupportedRules(rule));
+                Err(checkpoint::Error::UnsupportedRules(rules)) => {
+                    return Err(ledger::FoldError::UnsupportedRules(rules));
                 }
-                // Damaged or forged: the next best may do.
+                // The checkpoint is damaged or forged; the next newest one may be usable.
                 Err(_) => {}
             }
         }
         Ok(None)
     }
 
-    /// The newest whole checkpoint that may be used. One out of the log waits for the scan's end, since a
-    /// newer one may follow; a peer's is as new as the peer.
-    fn newest(&self) -> Option<Name> {
-        let scanned = self.read_from().is_none();
+    /// The newest complete checkpoint that is usable. A checkpoint from the log is usable only after the log was
+    /// read to its end, since a newer one may follow; a checkpoint from a peer is as new as the peer.
+    fn newest_usable(&self) -> Option<CheckpointId> {
+        let is_read = self.read_from().is_none();
         let first = self.first.unwrap_or(0);
-        let fit = self.gathered.iter().filter(|(name, set)| {
-            let joins = name.next >= first && name.next > self.above;
-            joins && (scanned || set.by_peer) && set.is_whole()
+        let usable = self.checkpoints.iter().filter(|(id, checkpoint)| {
+            let can_continue = id.next >= first && id.next > self.floor;
+            can_continue && (is_read || checkpoint.from_peer) && checkpoint.is_complete()
         });
-        fit.map(|(name, _)| name.clone()).next_back()
+        usable.map(|(id, _)| id.clone()).next_back()
     }
 
-    fn look(&mut self, body: &str) {
+    fn collect_parts(&mut self, body: &str) {
         match record::Record::decode(body) {
             Ok(Some(record)) => {
                 for entry in record.entries {
                     if let record::Entry::Checkpoint(part) = entry {
-                        self.gather(part, false);
+                        self.collect_part(part, false);
                     }
                 }
             }
             Ok(None) => {}
-            Err(record::UnsupportedRules(rule)) => self.newer = Some(rule),
+            Err(record::UnsupportedRules(rules)) => self.unsupported_rules = Some(rules),
         }
     }
 
-    fn gather(&mut self, part: record::Part, by_peer: bool) {
-        let sized = part.text.len() <= checkpoint::MAX_PART_BYTES;
-        let counted = part.part < part.parts && part.parts <= checkpoint::MAX_PARTS;
-        let useful = part.next > self.above && part.next >= self.first.unwrap_or(0);
-        if !sized || !counted || !useful {
+    fn collect_part(&mut self, part: record::Part, from_peer: bool) {
+        let has_valid_size = part.text.len() <= checkpoint::MAX_PART_BYTES;
+        let has_valid_index = part.part < part.parts && part.parts <= checkpoint::MAX_PARTS;
+        let is_useful = part.next > self.floor && part.next >= self.first.unwrap_or(0);
+        if !has_valid_size || !has_valid_index || !is_useful {
             return;
         }
-        let name = Name {
+        let id = CheckpointId {
             next: part.next,
             hash: part.hash.clone(),
         };
-        let set = self.gathered.entry(name.clone()).or_default();
-        if set.parts.values().any(|other| other.parts != part.parts) {
+        let checkpoint = self.checkpoints.entry(id.clone()).or_default();
+        if checkpoint
+            .parts
+            .values()
+            .any(|other| other.parts != part.parts)
+        {
             return;
         }
-        set.by_peer |= by_peer;
-        set.parts.insert(part.part, part);
-        self.drop_older(&name);
+        checkpoint.from_peer |= from_peer;
+        checkpoint.parts.insert(part.part, part);
+        self.drop_older(&id);
     }
 
-    /// Keeps the sets few: a whole one makes the older ones useless, and of too many the oldest that is
-    /// incomplete goes.
-    fn drop_older(&mut self, changed: &Name) {
-        if self.gathered.get(changed).is_some_and(Set::is_whole) {
-            self.gathered.retain(|name, _| name.next >= changed.next);
+    /// Limits the number of collected checkpoints: a complete one makes all older ones useless, and of too many,
+    /// the oldest incomplete one is dropped.
+    fn drop_older(&mut self, changed: &CheckpointId) {
+        if self
+            .checkpoints
+            .get(changed)
+            .is_some_and(Checkpoint::is_complete)
+        {
+            self.checkpoints.retain(|id, _| id.next >= changed.next);
         }
-        while self.gathered.len() > SETS_LIMIT {
-            let incomplete = self.gathered.iter().find(|(_, set)| !set.is_whole());
-            let oldest = incomplete.or_else(|| self.gathered.iter().next());
-            let Some(name) = oldest.map(|(name, _)| name.clone()) else {
+        while self.checkpoints.len() > MAX_CHECKPOINTS {
+            let incomplete = self
+                .checkpoints
+                .iter()
+                .find(|(_, checkpoint)| !checkpoint.is_complete());
+            let oldest = incomplete.or_else(|| self.checkpoints.iter().next());
+            let Some(id) = oldest.map(|(id, _)| id.clone()) else {
                 return;
             };
-            self.gathered.remove(&name);
+            self.checkpoints.remove(&id);
         }
     }
 }
--- a/crates/fireflywheel/src/item.rs
+++ b/crates/fireflywheel/src/item.rs
@@ -1,11 +1,11 @@
-//! What can be loaded on a backend server: a version of a model, or an adapter on top of one.
+//! Items that can be loaded on a backend server: a version of a model, or an adapter on one.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// A version of a model, or an adapter on a version of a model. Written `MODEL@VERSION` or
+/// A version of a model, or an adapter on a version of a model. It is written as `MODEL@VERSION` or
 /// `MODEL@VERSION:ADAPTER` in records, orders and logs.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
@@ -14,16 +14,16 @@
     pub model: SmolStr,
     /// The version of the model's weights.
     pub version: u32,
-    /// The adapter's name, when this is an adapter.
+    /// The adapter's name; `None` for the model itself.
     pub adapter: Option<SmolStr>,
 }
 
-/// A text that is not an item.
+/// The text that cannot be parsed as an item.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Malformed(pub SmolStr);
 
 impl Item {
-    /// A version of a model.
+    /// Creates the item for a version of a model.
     #[must_use]
     pub fn new(model: impl Into<SmolStr>, version: u32) -> Self {
         Self {
@@ -33,14 +33,14 @@
         }
     }
 
-    /// The same version of the model with an adapter on it.
+    /// Returns the item for an adapter on this version of the model.
     #[must_use]
     pub fn with_adapter(mut self, adapter: impl Into<SmolStr>) -> Self {
         self.adapter = Some(adapter.into());
         self
     }
 
-    /// The model version that an adapter needs loaded on the same backend server.
+    /// The model version that must be loaded on the same backend server for an adapter to be usable.
     #[must_use]
     pub fn base(&self) -> Self {
         Self::new(self.model.clone(), self.version)
--- a/crates/fireflywheel/src/ledger/checkpoint.rs
+++ b/crates/fireflywheel/src/ledger/checkpoint.rs
@@ -1,6 +1,6 @@
-//! Checkpoints: a ledger as text, in parts that fit the log's records.
+//! Checkpoints: a ledger serialized as text, split into parts that fit into records of the log.
 //!
-//! The text is the same on every instance that folded the same records, and so is its hash.
+//! Every instance that folded the same records produces the same text, and therefore the same hash.
 
 use std::{borrow::Cow, collections::BTreeMap, fmt, sync::Arc};
 
@@ -11,43 +11,45 @@
 use super::{Ledger, Stewardship, claims, rights, sequences};
 use crate::{document, record};
 
-/// Bytes of text in one part at most.
+/// Maximum number of bytes of text in one part.
 pub const MAX_PART_BYTES: usize = 256 << 10;
 
-/// Parts of a checkpoint that is taken at most. More than any ledger has; a forged count must not make an
-/// instance gather parts without end.
+/// Maximum number of parts of a checkpoint that an instance accepts. No ledger needs as many. The limit keeps
+/// a forged count from making an instance collect parts without end.
 pub const MAX_PARTS: u32 = 256;
 
-/// Why parts are no checkpoint.
+/// Why a ledger cannot be restored from parts.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Fault {
-    /// A part is missing, or they are of several checkpoints.
-    Parts,
-    /// The text has another hash.
-    Hash,
-    /// The text is no ledger.
-    Text(String),
-    /// It was written under newer rules than this build knows.
-    Rule(u32),
-    /// Its document is not one by the rules of this build.
-    Document,
+pub enum Error {
+    /// A part is missing or duplicated, or the parts belong to different checkpoints.
+    Incomplete,
+    /// The hash of the text differs from the hash in the parts.
+    HashMismatch,
+    /// The text cannot be parsed as a ledger.
+    Malformed(String),
+    /// The checkpoint was written under newer rules than this build supports.
+    UnsupportedRules(u32),
+    /// The document in the checkpoint is invalid under the rules of this build.
+    InvalidDocument,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Parts => f.write_str("parts of the checkpoint are missing"),
-            Self::Hash => f.write_str("the checkpoint's text has another hash"),
-            Self::Text(error) => write!(f, "the checkpoint's text is no ledger: {error}"),
-            Self::Rule(rule) => write!(f, "the checkpoint follows the newer rule {rule}"),
-            Self::Document => f.write_str("the checkpoint's document has faults"),
+            Self::Incomplete => f.write_str("the parts do not form one complete checkpoint"),
+            Self::HashMismatch => f.write_str("the hash of the checkpoint's text does not match"),
+            Self::Malformed(error) => write!(f, "cannot parse the checkpoint's text: {error}"),
+            Self::UnsupportedRules(rule) => {
+                write!(f, "the checkpoint uses unsupported rules {rule}")
+            }
+            Self::InvalidDocument => f.write_str("the checkpoint's document is invalid"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Error {}
 
-/// The text's content.
+/// The serialized form of a ledger.
 #[derive(Deserialize, Serialize)]
 struct Content<'a> {
     rule: u32,
@@ -61,14 +63,14 @@
     claims: Cow<'a, claims::Claims>,
 }
 
-/// The start of the text, whatever its rule.
+/// The part of the text that every version of the rules can read.
 #[derive(Deserialize)]
-struct Head {
+struct Header {
     rule: u32,
 }
 
 impl Ledger {
-    /// The whole ledger, in parts in their order.
+    /// Serializes the whole ledger into parts, in order.
     #[must_use]
     pub fn checkpoint(&self) -> Vec<record::Part> {
         let content = Content {
@@ -83,28 +85,28 @@
             claims: Cow::Borrowed(&self.claims),
         };
         let text = serde_json::to_string(&content).expect("a ledger always has a JSON form");
-        parts(self.next, &text)
+        split_into_parts(self.next, &text)
     }
 
-    /// A ledger from the parts of one checkpoint, in any order.
+    /// Restores a ledger from the parts of one checkpoint, given in any order.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when they are not whole or not a ledger of this build.
-    pub fn restore(parts: &[record::Part]) -> Result<Self, Fault> {
-        let next = parts.first().ok_or(Fault::Parts)?.next;
-        let text = join(parts)?;
-        let head: Head = read(&text)?;
-        if head.rule > record::RULES_VERSION {
-            return Err(Fault::Rule(head.rule));
+    /// Returns [`Error`] when the parts are incomplete or damaged, or hold no ledger that this build can read.
+    pub fn restore(parts: &[record::Part]) -> Result<Self, Error> {
+        let next = parts.first().ok_or(Error::Incomplete)?.next;
+        let text = join_parts(parts)?;
+        let header: Header = parse(&text)?;
+        if header.rule > record::RULES_VERSION {
+            return Err(Error::UnsupportedRules(header.rule));
         }
-        let content: Content<'_> = read(&text)?;
+        let content: Content<'_> = parse(&text)?;
         if content.next != next {
-            return Err(Fault::Parts);
+            return Err(Error::Incomplete);
         }
         let document = match content.version {
             0 => document::Document::default(),
-            _ => document::Document::parse(&content.text).map_err(|_| Fault::Document)?,
+            _ => document::Document::parse(&content.text).map_err(|_| Error::InvalidDocument)?,
         };
         Ok(Self {
             next: content.next,
@@ -120,23 +122,23 @@
     }
 }
 
-fn read<'a, T>(text: &'a str) -> Result<T, Fault>
+fn parse<'a, T>(text: &'a str) -> Result<T, Error>
 where
     T: Deserialize<'a>,
 {
-    serde_json::from_str(text).map_err(|error| Fault::Text(error.to_string()))
+    serde_json::from_str(text).map_err(|error| Error::Malformed(error.to_string()))
 }
 
-/// The hash that names a text: SHA-256 in hexadecimal.
-fn hash(text: &str) -> SmolStr {
+/// Returns the SHA-256 hash of a text in hexadecimal, which identifies the checkpoint.
+fn hash_text(text: &str) -> SmolStr {
     let digest = Sha256::digest(text.as_bytes());
     let digits: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
     digits.into()
 }
 
-fn parts(next: u64, text: &str) -> Vec<record::Part> {
-    let hash = hash(text);
-    let pieces = cut(text);
+fn split_into_parts(next: u64, text: &str) -> Vec<record::Part> {
+    let hash = hash_text(text);
+    let pieces = split_text(text);
     let count = u32::try_from(pieces.len()).expect("a ledger has fewer parts than u32 counts");
     let numbered = (0..).zip(pieces);
     let parts = numbered.map(|(part, text)| record::Part {
@@ -149,11 +151,11 @@
     parts.collect()
 }
 
-/// Cuts a text between characters.
-fn cut(mut text: &str) -> Vec<&str> {
+/// Splits a text into pieces of at most [`MAX_PART_BYTES`] bytes, at character boundaries.
+fn split_text(mut text: &str) -> Vec<&str> {
     let mut pieces = Vec::new();
     while text.len() > MAX_PART_BYTES {
-        let (piece, rest) = text.split_at(boundary(text));
+        let (piece, rest) = text.split_at(last_boundary(text));
         pieces.push(piece);
         text = rest;
     }
@@ -161,27 +163,27 @@
     pieces
 }
 
-/// The last place between two characters within [`MAX_PART_BYTES`].
-fn boundary(text: &str) -> usize {
-    let places = (0..=MAX_PART_BYTES).rev();
-    let mut places = places.filter(|place| text.is_char_boundary(*place));
-    places.next().unwrap_or(0)
+/// Returns the last character boundary within the first [`MAX_PART_BYTES`] bytes.
+fn last_boundary(text: &str) -> usize {
+    let offsets = (0..=MAX_PART_BYTES).rev();
+    let mut boundaries = offsets.filter(|offset| text.is_char_boundary(*offset));
+    boundaries.next().unwrap_or(0)
 }
 
-fn join(parts: &[record::Part]) -> Result<String, Fault> {
-    let first = parts.first().ok_or(Fault::Parts)?;
+fn join_parts(parts: &[record::Part]) -> Result<String, Error> {
+    let first = parts.first().ok_or(Error::Incomplete)?;
     let mut sorted: Vec<&record::Part> = parts.iter().collect();
     sorted.sort_by_key(|part| part.part);
-    let whole = (0..first.parts).eq(sorted.iter().map(|part| part.part));
-    let same = sorted
+    let is_complete = (0..first.parts).eq(sorted.iter().map(|part| part.part));
+    let is_consistent = sorted
         .iter()
         .all(|part| (part.next, part.parts, &part.hash) == (first.next, first.parts, &first.hash));
-    if !whole || !same {
-        return Err(Fault::Parts);
+    if !is_complete || !is_consistent {
+        return Err(Error::Incomplete);
     }
     let text: String = sorted.iter().map(|part| part.text.as_str()).collect();
-    if hash(&text) != first.hash {
-        return Err(Fault::Hash);
+    if hash_text(&text) != first.hash {
+        return Err(Error::HashMismatch);
     }
     Ok(text)
 }
--- a/crates/fireflywheel/src/ledger/claims.rs
+++ b/crates/fireflywheel/src/ledger/claims.rs
@@ -2,15 +2,15 @@
 //!
 //! The first claim of a key wins, and only its holder may run the request and settle the claim.
 //!
-//! * An open claim never expires. Its holder may only be paused between the read-back and the sending; if
-//!   the key were forgotten meanwhile, another instance would run the request, and the holder as well when
-//!   it wakes: a deposit taken twice. The price is that the claims of a process that died stay, each
-//!   answering "may have run", until the limit `keys` refuses new ones.
-//! * A closed claim expires. Its holder has the outcome, so it sends nothing under it any more, and a copy
-//!   of the claim's record that lands after that is told by its id.
-//! * A claim whose append was lost may land long after its caller was refused, and even after another
-//!   instance's claim of the same key came and went. It then stands open in the name of its writer, who
-//!   looks at the deadline before sending, finds it passed, and settles with "not run".
+//! * An open claim never expires. Its holder may merely be paused after it read the claim back and before it
+//!   sends the request. If the key expired in the meantime, another instance would run the request, and the
+//!   holder would run it again after the pause: a deposit would be taken twice. The cost is that the claims of
+//!   a process that died remain, each answering "may have run", until the limit `keys` rejects new ones.
+//! * A closed claim expires. Its holder has the outcome and sends nothing more under the claim. A copy of the
+//!   claim's record that reaches the log later is recognized by its id.
+//! * A claim whose append got no answer may reach the log long after its caller was refused, and even after
+//!   another instance's claim of the same key was opened and removed. It is then an open claim of its writer,
+//!   which checks the deadline before it sends, finds that it has passed, and settles with "not run".
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,24 +19,25 @@
 use super::{Ledger, fold::Reason, pairs};
 use crate::{claim, record, verdict};
 
-/// Bytes of kept answers over all claims. Beyond it the oldest answers are dropped, and a repeat of theirs
-/// hears that the request ran; without it, `keys` answers of [`claim::MAX_BODY_BYTES`] would outgrow the memory.
+/// Maximum number of bytes of stored response bodies over all claims. Above it, the oldest bodies are dropped,
+/// and a repeated request is told only that the original ran. Without the limit, `keys` bodies of
+/// [`claim::MAX_BODY_BYTES`] each would exceed the memory.
 pub const MAX_BODIES_BYTES: usize = 8 << 20;
 
-/// Every key that is remembered.
+/// All claimed keys that have not expired.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(from = "Pairs", into = "Pairs")]
 pub struct Claims {
     all: BTreeMap<claim::Key, claim::Claim>,
-    /// Closed claims by log time.
+    /// Closed claims, ordered by the log time at which they were closed.
     closed: BTreeSet<(u64, claim::Key)>,
-    /// Those of them with a body.
+    /// The closed claims that hold a response body.
     bodies: BTreeSet<(u64, claim::Key)>,
-    /// Bytes of those bodies.
-    bytes: usize,
+    /// The total size of these bodies, in bytes.
+    body_bytes: usize,
 }
 
-/// What of it goes into a checkpoint.
+/// The form of [`Claims`] in a checkpoint; the indexes are rebuilt from it.
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
 struct Pairs(#[serde(with = "pairs")] BTreeMap<claim::Key, claim::Claim>);
@@ -75,11 +76,11 @@
         let bytes = body_len(outcome);
         if bytes > 0 {
             self.bodies.insert((*time_ms, key.clone()));
-            self.bytes += bytes;
+            self.body_bytes += bytes;
         }
     }
 
-    /// Forgets the claims that were closed at or before a log time.
+    /// Removes the claims that were closed at or before a log time.
     fn expire(&mut self, until_ms: u64) {
         while let Some((time_ms, key)) = self.closed.first().cloned()
             && time_ms <= until_ms
@@ -97,7 +98,7 @@
         claim.closed = Some((outcome, time_ms));
         let claim = claim.clone();
         self.index(key, &claim);
-        while self.bytes > MAX_BODIES_BYTES
+        while self.body_bytes > MAX_BODIES_BYTES
             && let Some((time_ms, key)) = self.bodies.first().cloned()
         {
             self.drop_body(time_ms, &key);
@@ -115,7 +116,7 @@
         else {
             return;
         };
-        self.bytes -= body_len(outcome);
+        self.body_bytes -= body_len(outcome);
         if let claim::Outcome::Answered { body, .. } = outcome {
             *body = None;
         }
@@ -129,11 +130,11 @@
     }
 }
 
-/// The outcome without a body that is too long to be kept.
-fn kept(outcome: &claim::Outcome) -> claim::Outcome {
+/// Returns the outcome, without its body when that exceeds [`claim::MAX_BODY_BYTES`].
+fn without_oversized_body(outcome: &claim::Outcome) -> claim::Outcome {
     let mut outcome = outcome.clone();
-    let long = body_len(&outcome) > claim::MAX_BODY_BYTES;
-    if long && let claim::Outcome::Answered { body, .. } = &mut outcome {
+    let is_oversized = body_len(&outcome) > claim::MAX_BODY_BYTES;
+    if is_oversized && let claim::Outcome::Answered { body, .. } = &mut outcome {
         *body = None;
     }
     outcome
@@ -141,9 +142,9 @@
 
 impl Ledger {
     pub(super) fn expire_claims(&mut self) {
-        let memory = self.document.serving.key_memory.as_millis();
-        let memory = u64::try_from(memory).unwrap_or(u64::MAX);
-        if let Some(until_ms) = self.time_ms.checked_sub(memory) {
+        let retention_ms = self.document.serving.key_memory.as_millis();
+        let retention_ms = u64::try_from(retention_ms).unwrap_or(u64::MAX);
+        if let Some(until_ms) = self.time_ms.checked_sub(retention_ms) {
             self.claims.expire(until_ms);
         }
     }
@@ -183,7 +184,8 @@
             self.claims.all.remove(key);
             return Ok(());
         }
-        self.claims.close(key, kept(outcome), self.time_ms);
+        self.claims
+            .close(key, without_oversized_body(outcome), self.time_ms);
         Ok(())
     }
 }
--- a/crates/fireflywheel/src/ledger/fold.rs
+++ b/crates/fireflywheel/src/ledger/fold.rs
@@ -1,76 +1,76 @@
-//! The fold: how a record is judged.
+//! The fold: how the entries of a record are evaluated.
 
 use std::{fmt, sync::Arc};
 
 use super::{Ledger, sequences};
 use crate::{document, record};
 
-/// How an entry was judged.
+/// The result of evaluating an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// In force from here on.
+    /// The entry is in force from its offset on.
     Accepted,
-    /// Without effect, and why.
+    /// The entry has no effect, for this reason.
     Rejected(Reason),
 }
 
-/// Why an entry is without effect.
+/// Why an entry was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// Made from a version that is not the newest.
+    /// The document was made from a version that is not the newest.
     Base,
-    /// The document has faults.
+    /// The document is invalid.
     Document,
-    /// Not the epoch after the newest, or not the holder's.
+    /// The epoch is not the one after the newest, or the writer is not the steward of the newest epoch.
     Epoch,
-    /// The order's number does not rise.
+    /// The order's number is not above the highest number of the epoch.
     Number,
-    /// The document does not name the item, the group or the version.
+    /// The document does not define the item, the group or the version.
     Unknown,
-    /// The replica cap.
+    /// The entry would exceed the replica cap.
     Cap,
-    /// The backend server's memory.
+    /// The entry would exceed the memory of the backend server.
     Memory,
-    /// An adapter without its model, or a model with adapters on it.
-    Dependence,
-    /// The placement is not in the state that the entry needs.
+    /// The adapter's model is not loaded there, or the model to unload still has adapters.
+    Dependency,
+    /// The placement is not in the state that the entry requires.
     State,
-    /// The key is claimed already, or the writer does not hold it.
+    /// The key is already claimed, or the writer does not hold its open claim.
     Claim,
-    /// No more keys are remembered.
+    /// The ledger already holds the maximum number of keys.
     Full,
-    /// The pins may not be released yet.
+    /// The pins may not be released, or not yet.
     Pinned,
-    /// The writer was silent for [`sequences::INCARNATION_TTL_MS`]; it must go on as a new incarnation.
+    /// The writer appended nothing for [`sequences::INCARNATION_TTL_MS`]; it must continue as a new incarnation.
     Expired,
-    /// A command line of an operator may only publish.
+    /// The writer is an operator's command line, which may only publish.
     Writer,
 }
 
-/// What folding one record brought.
+/// The result of folding one record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Folded {
-    /// The record's place in the log.
+    /// The record's offset in the log.
     pub offset: u64,
-    /// Who wrote it.
+    /// The record's id, which names its writer.
     pub id: record::Id,
-    /// Each entry with its judgement; empty when the id had been taken before.
+    /// Each entry with its decision; empty when a record with this id was already folded.
     pub entries: Vec<(record::Entry, Decision)>,
 }
 
-/// Why a ledger can't go on.
+/// Why a record cannot be folded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FoldError {
-    /// The record is not the next one. When it is a later one, the log dropped those between, and only a
-    /// checkpoint helps; see [`crate::bootstrap`].
+    /// The record is not the next one. If it is a later one, the log has dropped the records in between, and
+    /// the ledger can only be restored from a checkpoint; see [`crate::bootstrap`].
     Gap {
-        /// The offset that was due.
+        /// The expected offset.
         next: u64,
-        /// The offset that came.
+        /// The offset of the record.
         offset: u64,
     },
-    /// The record was written under rules that this build doesn't know. Going on would judge it in another
-    /// way than newer instances do, so this instance must stop until it is replaced.
+    /// The record was written under rules that this build does not support. It might evaluate the record
+    /// differently from newer instances, so this instance must stop until it is replaced.
     UnsupportedRules(u32),
 }
 
@@ -92,11 +92,12 @@
 impl std::error::Error for FoldError {}
 
 impl Ledger {
-    /// Folds the log's next record. A body that is no record of ours is passed over.
+    /// Folds the next record of the log. Returns `None` for a body that is not a fireflywheel record, which is
+    /// skipped.
     ///
     /// # Errors
     ///
-    /// [`FoldError`]; the ledger is as it was.
+    /// Returns [`FoldError`] when the record cannot be folded; the ledger is then unchanged.
     pub fn fold(&mut self, stored: &record::Stored) -> Result<Option<Folded>, FoldError> {
         if stored.offset != self.next {
             return Err(FoldError::Gap {
@@ -112,10 +113,12 @@
         let Some(record) = record else {
             return Ok(None);
         };
-        let entries = match self.sequences.take(&record.id, self.time_ms) {
-            sequences::Place::New => self.judge_all(stored.offset, &record.id.by, record.entries),
-            sequences::Place::Taken => Vec::new(),
-            sequences::Place::Expired => void_all(record.entries, Reason::Expired),
+        let entries = match self.sequences.check_and_record(&record.id, self.time_ms) {
+            sequences::Freshness::New => {
+                self.evaluate_all(stored.offset, &record.id.by, record.entries)
+            }
+            sequences::Freshness::Duplicate => Vec::new(),
+            sequences::Freshness::Expired => reject_all(record.entries, Reason::Expired),
         };
         Ok(Some(Folded {
             offset: stored.offset,
@@ -124,23 +127,23 @@
         }))
     }
 
-    fn judge_all(
+    fn evaluate_all(
         &mut self,
         offset: u64,
         by: &record::Incarnation,
         entries: Vec<record::Entry>,
     ) -> Vec<(record::Entry, Decision)> {
-        let judged = entries.into_iter().map(|entry| {
-            let judgement = match self.judge(offset, by, &entry) {
+        let evaluated = entries.into_iter().map(|entry| {
+            let decision = match self.evaluate(offset, by, &entry) {
                 Ok(()) => Decision::Accepted,
                 Err(reason) => Decision::Rejected(reason),
             };
-            (entry, judgement)
+            (entry, decision)
         });
-        judged.collect()
+        evaluated.collect()
     }
 
-    fn judge(
+    fn evaluate(
         &mut self,
         offset: u64,
         by: &record::Incarnation,
@@ -152,7 +155,7 @@
         }
         match entry {
             Entry::Publish { base, text } => self.publish(offset, *base, text),
-            Entry::Steward { group, epoch } => self.take_group(offset, by, group, *epoch),
+            Entry::Steward { group, epoch } => self.accept_steward(offset, by, group, *epoch),
             Entry::Grant(order) => self.grant(offset, by, order),
             Entry::Withdraw(order) => self.withdraw(offset, by, order),
             Entry::Close {
@@ -177,15 +180,15 @@
                 epoch,
                 server,
                 seen,
-            } => self.gone(offset, by, group, *epoch, server, *seen),
+            } => self.remove_gone_server(offset, by, group, *epoch, server, *seen),
             Entry::Claim { key, fingerprint } => self.claim_key(by, key, *fingerprint),
             Entry::Settle { key, outcome } => self.settle(by, key, outcome),
             Entry::Checkpoint(_) => Ok(()),
         }
     }
 
-    /// Puts a document in force. It never voids a right: what is loaded under an older document stays
-    /// counted, and only new rights are held against the new one.
+    /// Puts a document in force. It never revokes a right: what is loaded under an older document stays
+    /// counted, and only new rights are checked against the new document.
     fn publish(&mut self, offset: u64, base: u64, text: &str) -> Result<(), Reason> {
         if base != self.version {
             return Err(Reason::Base);
@@ -198,7 +201,7 @@
     }
 }
 
-fn void_all(entries: Vec<record::Entry>, reason: Reason) -> Vec<(record::Entry, Decision)> {
+fn reject_all(entries: Vec<record::Entry>, reason: Reason) -> Vec<(record::Entry, Decision)> {
     let entries = entries.into_iter();
     entries
         .map(|entry| (entry, Decision::Rejected(reason)))
--- a/crates/fireflywheel/src/ledger/mod.rs
+++ b/crates/fireflywheel/src/ledger/mod.rs
@@ -1,16 +1,16 @@
 //! The ledger: the deterministic fold of the platform's log.
 //!
-//! Every instance folds the same records in the same order and so holds the same ledger. Nothing else
-//! decides: an entry is in force only where the fold accepted it, at its offset, by what stands before it.
-//! The fold looks at the content of records, their offsets and the log's time, and at nothing of the
-//! instance that runs it.
+//! Every instance folds the same records in the same order and therefore holds the same ledger. Nothing else
+//! decides: an entry is in force only if the fold accepted it at its offset, given the records before it. The
+//! fold depends on the content of records, their offsets and the log's time, and on nothing of the instance
+//! that runs it.
 //!
-//! * [`Ledger::fold`] judges a record.
-//! * [`rights`] holds placements against the caps, the memory and late orders.
-//! * [`claims`] keeps a request that isn't idempotent from running twice.
-//! * [`sequences`] keeps a record that lands twice from being judged twice.
-//! * [`checkpoint`] turns a ledger into text and back.
-//! * [`invariant`] says what must hold after every step.
+//! * [`Ledger::fold`] evaluates the entries of a record.
+//! * [`rights`] checks placements against the caps, the memory and late orders.
+//! * [`claims`] keeps a non-idempotent request from running twice.
+//! * [`sequences`] keeps a record that is in the log twice from being evaluated twice.
+//! * [`checkpoint`] serializes a ledger as text and restores it.
+//! * [`invariant`] checks what must hold after every step.
 
 pub mod checkpoint;
 pub mod claims;
@@ -31,18 +31,18 @@
 
 pub use fold::{Decision, FoldError, Folded, Reason};
 
-/// Who serves a group.
+/// The steward of a group in one epoch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Stewardship {
-    /// The process.
+    /// The process that is the steward.
     pub by: record::Incarnation,
-    /// The epoch: the high half of every fencing number.
+    /// The epoch, which is the high half of every fencing number.
     pub epoch: u64,
-    /// The highest number of an order in this epoch.
+    /// The highest order number in this epoch.
     pub number: u64,
 }
 
-/// The state that the log's records add up to.
+/// The state that results from folding the records of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ledger {
     next: u64,
@@ -73,25 +73,25 @@
 }
 
 impl Ledger {
-    /// The ledger before the log's first record.
+    /// Creates the ledger before the first record of the log.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The first offset that isn't folded.
+    /// The first offset that has not been folded.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The latest log time folded, in unix milliseconds. It never goes back, even if the log's does.
+    /// The latest log time folded, in Unix milliseconds. It never decreases, even if the log's time does.
     #[must_use]
     pub fn time_ms(&self) -> u64 {
         self.time_ms
     }
 
-    /// The version of the document in force, 0 while there is none.
+    /// The version of the document in force; 0 while there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -109,55 +109,56 @@
         &self.document
     }
 
-    /// Who serves a group.
+    /// The newest steward of a group.
     #[must_use]
     pub fn steward(&self, group: &str) -> Option<&Stewardship> {
         self.stewards.get(group)
     }
 
-    /// Who serves each group that ever had a steward.
+    /// The newest steward of each group that ever had one.
     #[must_use]
     pub fn stewards(&self) -> &BTreeMap<SmolStr, Stewardship> {
         &self.stewards
     }
 
-    /// Every placement that is counted against memory and cap.
+    /// All placements that are counted against memory limits and replica caps.
     #[must_use]
     pub fn rights(&self) -> &BTreeMap<right::Key, right::Right> {
         self.rights.all()
     }
 
-    /// One placement.
+    /// The right for one placement, if it is counted.
     #[must_use]
     pub fn right(&self, key: &right::Key) -> Option<&right::Right> {
         self.rights.all().get(key)
     }
 
-    /// A claimed key.
+    /// The claim on a key, if there is one.
     #[must_use]
     pub fn claim(&self, key: &claim::Key) -> Option<&claim::Claim> {
         self.claims.get(key)
     }
 
-    /// How many keys are remembered.
+    /// The number of claimed keys.
     #[must_use]
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// The highest sequence taken from an incarnation, 0 for none.
+    /// The highest sequence folded from an incarnation; 0 if there is none.
     #[must_use]
     pub fn sequence(&self, by: &record::Incarnation) -> u64 {
         self.sequences.highest(by)
     }
 
-    /// Puts a ledger that folded further in place of this one: what an instance does that was cut off until
-    /// the log no longer held the next record. A ledger that folded no further is refused, so neither
-    /// [`Self::next`] nor [`Self::version`] ever goes back, whatever a peer or an old checkpoint offers.
+    /// Replaces this ledger by one that covers more of the log. An instance does this after it was cut off for
+    /// so long that the log no longer holds its next record. A ledger that covers no more is rejected, so
+    /// neither [`Self::next`] nor [`Self::version`] ever decreases, whatever a peer or an old checkpoint offers.
     ///
     /// # Errors
     ///
-    /// [`Stale`] when `newer` did not fold further; this ledger stays as it is.
+    /// Returns [`Stale`] when `newer` covers no more of the log or has an older version; this ledger is then
+    /// unchanged.
     pub fn replace(&mut self, newer: Self) -> Result<(), Stale> {
         if newer.next <= self.next || newer.version < self.version {
             return Err(Stale {
@@ -170,12 +171,12 @@
     }
 }
 
-/// A ledger was offered that did not fold further than the one held.
+/// The offered ledger does not cover more of the log than the current one, or has an older version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Stale {
-    /// The first offset that the ledger held doesn't cover.
+    /// The first offset that the current ledger does not cover.
     pub held: u64,
-    /// The first offset that the one offered doesn't cover.
+    /// The first offset that the offered ledger does not cover.
     pub offered: u64,
 }
 
@@ -183,7 +184,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "the ledger offered covers the log up to {}, the one held up to {}",
+            "the offered ledger covers the log up to {}, the current one up to {}",
             self.offered, self.held
         )
     }
--- a/crates/fireflywheel/src/ledger/pairs.rs
+++ b/crates/fireflywheel/src/ledger/pairs.rs
@@ -1,4 +1,4 @@
-//! Serde for ordered maps with keys that are no text, which JSON can't name members by: a list of pairs.
+//! Serde for ordered maps as lists of pairs, since JSON objects cannot have keys that are not strings.
 
 use std::{collections::BTreeMap, fmt, marker::PhantomData};
 
@@ -7,7 +7,7 @@
     de::{SeqAccess, Visitor},
 };
 
-/// Writes the pairs in the order of their keys.
+/// Serializes the entries as pairs, in the order of their keys.
 pub(super) fn serialize<S, K, V>(map: &BTreeMap<K, V>, serializer: S) -> Result<S::Ok, S::Error>
 where
     S: Serializer,
@@ -17,7 +17,7 @@
     serializer.collect_seq(map)
 }
 
-/// Reads them back.
+/// Deserializes a map from a list of pairs.
 pub(super) fn deserialize<'de, D, K, V>(deserializer: D) -> Result<BTreeMap<K, V>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/fireflywheel/src/ledger/rights.rs
+++ b/crates/fireflywheel/src/ledger/rights.rs
@@ -1,20 +1,22 @@
-//! Rights: which placements are counted, and how orders that may still arrive are held against them.
+//! Rights: which placements are counted, and how orders that may still arrive affect them.
 //!
-//! A placement is counted from the record that grants it until a record says that nothing is loaded there
-//! and nothing can be any more. In between the fold never trusts that an order was lost or carried out.
+//! A placement is counted from the record that grants it until a record states that nothing is loaded there
+//! and that nothing can be loaded there any more. In between, the fold never assumes that an order was lost or
+//! carried out.
 //!
-//! * A steward that is replaced may only be paused, and send an order for its open intent at any time. So a
-//!   new epoch puts a **pin** on each open intent to load: the placement stays counted until the old steward
-//!   says that it sends no more of that epoch ([`crate::record::Entry::Acknowledge`]).
+//! * A steward that was replaced may merely be paused, and may send an order for its open intent at any later
+//!   time. A new epoch therefore sets a **pin** on each open intent to load: the placement stays counted until
+//!   the old steward states that it sends no more orders of that epoch
+//!   ([`crate::record::Entry::Acknowledge`]).
 //! * Where engines check fencing numbers, the first answer to an order of the new epoch proves that the
-//!   engine refuses all older ones. A [`crate::record::Entry::Close`] rests on such an answer, so it ends the pins
-//!   of older epochs on that backend server.
-//! * A pin that ends leaves a doubt: the late order may have been carried out unseen, after the engine was
-//!   last asked. An [`right::State::Empty`] placement therefore stays counted when its last pin ends, until
+//!   engine refuses all older orders. A [`crate::record::Entry::Close`] is based on such an answer, so it ends
+//!   the pins of older epochs on that backend server.
+//! * A pin that ends leaves a doubt: the late order may have been carried out unnoticed, after the engine's
+//!   last answer. A [`right::State::Empty`] placement therefore stays counted when its last pin ends, until
 //!   an intent that was opened after that is closed with nothing loaded.
-//! * An order to unload that arrives late can't exceed anything, so it is never pinned. It may take away a
-//!   replica that the ledger holds for loaded, as a restart of the engine does; the engine then refuses
-//!   requests with "not run", and the steward sees it.
+//! * A late order to unload cannot exceed any limit, so it is never pinned. It may remove a replica that the
+//!   ledger counts as loaded, as a restart of the engine does. The engine then refuses requests with "not run",
+//!   and the steward notices the loss.
 
 use std::collections::BTreeMap;
 
@@ -24,23 +26,23 @@
 use super::pairs;
 use crate::{item, right};
 
-/// Every placement that is counted.
+/// All placements that are counted.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(from = "Pairs", into = "Pairs")]
 pub struct Rights {
     pub(super) all: BTreeMap<right::Key, right::Right>,
-    /// How many there are of each model and of each adapter, over all versions.
-    replicas: BTreeMap<Name, u32>,
+    /// The number of placements of each model and of each adapter, over all versions.
+    replicas: BTreeMap<ReplicaKey, u32>,
 }
 
-/// What a cap is for: a model, or an adapter of a model.
+/// The subject of a replica cap: a model, or an adapter of a model.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Name {
+struct ReplicaKey {
     model: SmolStr,
     adapter: Option<SmolStr>,
 }
 
-/// What of it goes into a checkpoint.
+/// The form of [`Rights`] in a checkpoint; the counts are rebuilt from it.
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
 struct Pairs(#[serde(with = "pairs")] BTreeMap<right::Key, right::Right>);
@@ -61,7 +63,7 @@
     }
 }
 
-impl From<&item::Item> for Name {
+impl From<&item::Item> for ReplicaKey {
     fn from(item: &item::Item) -> Self {
         Self {
             model: item.model.clone(),
@@ -75,32 +77,35 @@
         &self.all
     }
 
-    /// Placements of an item's model or adapter, over all versions and servers.
+    /// The number of placements of an item's model or adapter, over all versions and servers.
     pub(super) fn replicas(&self, item: &item::Item) -> u32 {
-        self.replicas.get(&Name::from(item)).copied().unwrap_or(0)
+        self.replicas
+            .get(&ReplicaKey::from(item))
+            .copied()
+            .unwrap_or(0)
     }
 
     /// The placements on one backend server.
-    pub(super) fn on(
+    pub(super) fn on_server(
         &self,
         server: &SmolStr,
     ) -> impl Iterator<Item = (&right::Key, &right::Right)> {
-        let rights = self.all.range(first_on(server)..);
+        let rights = self.all.range(lower_bound(server)..);
         rights.take_while(move |(key, _)| key.server == *server)
     }
 
-    pub(super) fn on_mut(
+    pub(super) fn on_server_mut(
         &mut self,
         server: &SmolStr,
     ) -> impl Iterator<Item = (&right::Key, &mut right::Right)> {
-        let rights = self.all.range_mut(first_on(server)..);
+        let rights = self.all.range_mut(lower_bound(server)..);
         rights.take_while(move |(key, _)| key.server == *server)
     }
 
     pub(super) fn insert(&mut self, key: right::Key, right: right::Right) {
-        let name = Name::from(&key.item);
+        let replica_key = ReplicaKey::from(&key.item);
         if self.all.insert(key, right).is_none() {
-            *self.replicas.entry(name).or_default() += 1;
+            *self.replicas.entry(replica_key).or_default() += 1;
         }
     }
 
@@ -108,18 +113,18 @@
         if self.all.remove(key).is_none() {
             return;
         }
-        let name = Name::from(&key.item);
-        let left = self.replicas(&key.item) - 1;
-        if left == 0 {
-            self.replicas.remove(&name);
+        let replica_key = ReplicaKey::from(&key.item);
+        let remaining = self.replicas(&key.item) - 1;
+        if remaining == 0 {
+            self.replicas.remove(&replica_key);
         } else {
-            self.replicas.insert(name, left);
+            self.replicas.insert(replica_key, remaining);
         }
     }
 }
 
-/// Not above any placement of a backend server.
-fn first_on(server: &SmolStr) -> right::Key {
+/// Returns a key that is not above the key of any placement on a backend server.
+fn lower_bound(server: &SmolStr) -> right::Key {
     right::Key {
         server: server.clone(),
         item: item::Item::new("", 0),
--- a/crates/fireflywheel/src/ledger/sequences.rs
+++ b/crates/fireflywheel/src/ledger/sequences.rs
@@ -1,8 +1,9 @@
-//! Which records were taken: a record is judged once, wherever its copies land.
+//! Deduplication of records: a record is evaluated once, wherever its copies are in the log.
 //!
-//! What goes wrong without it: an append whose answer was lost is sent again, both copies are in the log,
-//! and the second is judged as if it were meant anew, perhaps days later. An instance has one append in
-//! flight and numbers its records upwards, so the highest sequence of each incarnation tells every copy.
+//! Without it, an append whose answer was lost would be sent again, both copies would be in the log, and the
+//! second copy would be evaluated as a new record, perhaps days later. An instance has one append in flight
+//! and numbers its records in ascending order, so the highest sequence of each incarnation is enough to
+//! recognize every copy.
 
 use std::collections::BTreeMap;
 
@@ -11,87 +12,90 @@
 use super::pairs;
 use crate::record;
 
-/// How long an incarnation may be silent, and how old it must be, until it is forgotten: 30 days of log time.
+/// The age that an incarnation and its last record must both exceed before the incarnation is removed: 30 days
+/// of log time.
 pub const INCARNATION_TTL_MS: u64 = 30 * 24 * 60 * 60 * 1000;
 
-/// The start of the instance names of operators' command lines.
+/// The prefix of the instance names of operators' command lines.
 pub const OPERATOR_PREFIX: &str = "operator/";
 
-/// The highest sequence of each incarnation that is remembered.
+/// The highest sequence of each known incarnation.
 ///
-/// An incarnation is forgotten when its number and its last record are both older than [`INCARNATION_TTL_MS`]. A copy
-/// of one of its records that lands later still finds it unknown, and an unknown incarnation with a number
-/// that old is refused for ever: it can't be new. So forgetting never lets a copy in, and a process that
-/// appends at least once in that time lives on.
+/// An incarnation is removed when its number and its last record are both older than [`INCARNATION_TTL_MS`]. If
+/// a copy of one of its records appears in the log later, the incarnation is unknown, and an unknown
+/// incarnation with such an old number is always rejected, since it cannot be new. Removal therefore never
+/// lets a copy through, and a process that appends at least once in that time stays known.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Sequences {
     #[serde(with = "pairs")]
-    taken: BTreeMap<record::Incarnation, Taken>,
+    newest: BTreeMap<record::Incarnation, Newest>,
 }
 
-/// What was taken from one incarnation.
+/// The newest record of one incarnation.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-struct Taken {
+struct Newest {
     sequence: u64,
+    /// Log time of the record in Unix milliseconds.
     time_ms: u64,
 }
 
-/// Whether a record is to be judged.
+/// Whether a record is to be evaluated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Place {
-    /// It is.
+pub(super) enum Freshness {
+    /// The record is new and is evaluated.
     New,
-    /// A copy of it, or a later record of its incarnation, was judged before.
-    Taken,
-    /// Its incarnation is over, since it was silent for so long.
+    /// A copy of the record, or a later record of its incarnation, was already evaluated.
+    Duplicate,
+    /// The incarnation has expired, since it appended nothing for [`INCARNATION_TTL_MS`].
     Expired,
 }
 
-/// Whether a command line of an operator wrote it. These keep no sequence, since each is a process of its
-/// own and thousands a day would fill the table. Only their publications count, and a copy of one is made
-/// from a version that its first landing replaced.
+/// Whether the writer is an operator's command line. No sequence is stored for these, since each is a process
+/// of its own and thousands a day would fill the table. Only their publications are accepted, and a copy of a
+/// publication is rejected because its base version was replaced by the first copy.
 pub(super) fn is_operator(by: &record::Incarnation) -> bool {
     by.instance.starts_with(OPERATOR_PREFIX)
 }
 
 impl Sequences {
-    /// The highest sequence taken from an incarnation, 0 for none.
+    /// The highest sequence folded from an incarnation; 0 if there is none.
     pub(super) fn highest(&self, by: &record::Incarnation) -> u64 {
-        self.taken.get(by).map_or(0, |taken| taken.sequence)
+        self.newest.get(by).map_or(0, |newest| newest.sequence)
     }
 
-    /// Takes a record's place, if it is still free.
-    pub(super) fn take(&mut self, id: &record::Id, time_ms: u64) -> Place {
+    /// Checks whether a record is new, and stores its sequence if so.
+    pub(super) fn check_and_record(&mut self, id: &record::Id, time_ms: u64) -> Freshness {
         if is_operator(&id.by) {
-            return Place::New;
+            return Freshness::New;
         }
-        let new = Taken {
+        let new = Newest {
             sequence: id.sequence,
             time_ms,
         };
-        if let Some(taken) = self.taken.get_mut(&id.by) {
-            if id.sequence <= taken.sequence {
-                return Place::Taken;
+        if let Some(newest) = self.newest.get_mut(&id.by) {
+            if id.sequence <= newest.sequence {
+                return Freshness::Duplicate;
             }
-            *taken = new;
-            return Place::New;
+            *newest = new;
+            return Freshness::New;
         }
         if is_old(id.by.number, time_ms) {
-            return Place::Expired;
+            return Freshness::Expired;
         }
         if id.sequence == 0 {
-            return Place::Taken;
+            return Freshness::Duplicate;
         }
-        self.forget(time_ms);
-        self.taken.insert(id.by.clone(), new);
-        Place::New
+        self.remove_expired(time_ms);
+        self.newest.insert(id.by.clone(), new);
+        Freshness::New
     }
 
-    /// Called where the table grows, so that it holds the incarnations of one life at most.
-    fn forget(&mut self, time_ms: u64) {
-        self.taken
-            .retain(|by, taken| !is_old(by.number, time_ms) || !is_old(taken.time_ms, time_ms));
+    /// Removes expired incarnations. It runs whenever the table grows, so that the table holds at most the
+    /// incarnations of one [`INCARNATION_TTL_MS`].
+    fn remove_expired(&mut self, time_ms: u64) {
+        self.newest
+            .retain(|by, newest| !is_old(by.number, time_ms) || !is_old(newest.time_ms, time_ms));
     }
 }
 
--- a/crates/fireflywheel/src/order.rs
+++ b/crates/fireflywheel/src/order.rs
@@ -1,62 +1,64 @@
-//! Orders to a model engine, and what came of them.
+//! Orders to a model engine, and their answers.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
 use crate::item;
 
-/// Names one sending of an order at the instance that sent it, so that its answer finds its way back.
+/// Identifies one attempt to send an order at the sending instance, so that the answer can be assigned to it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct AttemptId(pub u64);
 
-/// What an engine is told to do.
+/// The operation that an order requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Load the item; done already when it is loaded.
+    /// Load the item; no effect when it is already loaded.
     Load,
-    /// Finish what runs on the item, then unload it; done already when it isn't loaded.
+    /// Finish the requests that run on the item, then unload it; no effect when it is not loaded.
     Unload,
-    /// Say what is loaded. On an engine that fences, it also shuts out every order with a lower number.
+    /// Report what is loaded. An engine that checks fencing numbers then also refuses every order with a lower
+    /// number.
     Query,
 }
 
-/// One order, as it goes over the wire to the engine.
+/// An order as it is sent to the engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Command {
-    /// Unique text for the engine's log.
+    /// A unique identifier of the order for the engine's log.
     pub order: SmolStr,
-    /// What to do.
+    /// The requested operation.
     pub kind: Kind,
-    /// With what.
+    /// The item that the operation applies to.
     pub item: item::Item,
-    /// Memory that the item takes.
+    /// The memory that the item takes, in MB.
     pub memory_mb: u64,
-    /// The epoch in the high half, a count of sendings in the low one: every sending has a number of its
-    /// own, so that a repeat shuts out the copy whose answer was lost.
+    /// The fencing number: the epoch in the high half, and the number of the send attempt in the low half. Every
+    /// attempt has a number of its own, so that after a retry the engine refuses the earlier copy whose answer
+    /// was lost.
     pub fencing: u64,
 }
 
-/// What is known after a sending.
+/// The result of an attempt to send an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// The engine's own answer to this sending.
+    /// The engine carried out the order, and this is its answer to the attempt.
     Done(Loaded),
-    /// The engine refused, and did nothing: an old fencing number.
+    /// The engine refused the order because of an old fencing number, and did nothing.
     Stale,
-    /// The engine says that the order had no effect (the weight store failed, say).
+    /// The engine answered that the order had no effect, for example because the weight store failed.
     Failed(SmolStr),
-    /// No byte left this instance.
+    /// No byte of the order left this instance.
     Unsent,
-    /// No answer: it may take effect at any later moment.
+    /// No answer was received, and the order may take effect at any later time.
     Lost,
 }
 
-/// What an engine has loaded just after an order.
+/// The items that an engine has loaded just after it carried out an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Loaded {
-    /// Items, each in full.
+    /// The items, each completely loaded.
     pub loaded: Vec<item::Item>,
-    /// Changes when the engine restarts.
+    /// The identifier of the engine's process, which changes when the engine restarts.
     pub boot: SmolStr,
 }
--- a/crates/fireflywheel/src/right.rs
+++ b/crates/fireflywheel/src/right.rs
@@ -1,4 +1,5 @@
-//! Rights: a replica exists only under one, so no burst and no pause can exceed a cap.
+//! Rights to load replicas. A replica exists only under a right, so no burst of requests and no paused process can
+//! exceed a replica cap.
 
 use std::collections::BTreeSet;
 
@@ -7,72 +8,73 @@
 
 use crate::{item, record};
 
-/// Which placement a right is for.
+/// The placement that a right is for.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Key {
     /// The backend server's address.
     pub server: SmolStr,
-    /// The item.
+    /// The item that is placed on the server.
     pub item: item::Item,
 }
 
-/// Where a placement stands.
+/// The state of a placement.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum State {
-    /// The intent to load is open.
+    /// An intent to load is open.
     Loading {
-        /// Of its order.
+        /// The epoch of the intent's order.
         epoch: u64,
-        /// Of its order.
+        /// The number of the intent's order.
         number: u64,
     },
-    /// Loaded, as the order's own answer said.
+    /// The item is loaded, by the answer to the order.
     Loaded,
-    /// The intent to unload is open: not trusted for new work, and still counted.
+    /// An intent to unload is open. The replica gets no new requests and is still counted.
     Unloading {
-        /// Of its order.
+        /// The epoch of the intent's order.
         epoch: u64,
-        /// Of its order.
+        /// The number of the intent's order.
         number: u64,
     },
-    /// Not loaded when last asked, but a late order could still load it, or may have: it stays counted. With
-    /// pins until they end; without, until an unload or a load is granted and closed.
+    /// The item was not loaded at the last answer, but a late order may load it or may have loaded it since. The
+    /// placement stays counted: as long as it has pins, and after that until a load or an unload is opened and
+    /// closed.
     Empty,
 }
 
-/// An order to load that may still arrive.
+/// A pin on an order to load that may still arrive.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Pin {
-    /// Whose order it is.
+    /// The incarnation that may have sent the order.
     pub by: record::Incarnation,
-    /// Its epoch.
+    /// The epoch of the order.
     pub epoch: u64,
-    /// Its number.
+    /// The number of the order.
     pub number: u64,
-    /// Log time in unix milliseconds at which the pin was set, or at which its epoch ended, if that was later.
+    /// The log time in Unix milliseconds at which the pin was set, or at which its epoch ended, if that was later.
     pub since_ms: u64,
 }
 
-/// A placement that is counted against memory and cap.
+/// The right for a placement, which is counted against the memory limit and the replica cap.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Right {
-    /// The group.
+    /// The group that the backend server belongs to.
     pub group: SmolStr,
-    /// Memory held, as the document said when it was granted.
+    /// The memory held in MB, as the document specified when the right was granted.
     pub memory_mb: u64,
-    /// Where it stands.
+    /// The state of the placement.
     pub state: State,
-    /// Orders to load that may still arrive.
+    /// Pins on orders to load that may still arrive.
     pub pins: BTreeSet<Pin>,
-    /// Whether a pin ended since the newest intent was opened, or might: the late order may have been carried
-    /// out after the engine answered.
+    /// Whether a pin has ended or may end after the newest intent was opened: the late order may then have been
+    /// carried out after the engine answered.
     pub unsure: bool,
-    /// Offset of the record that changed it last.
+    /// The offset of the record that last changed the right.
     pub changed: u64,
 }
 
 impl Right {
-    /// A right without pins, to be given an intent.
+    /// Creates a right without pins, on which an intent is to be opened.
     #[must_use]
     pub fn new(group: SmolStr, memory_mb: u64) -> Self {
         Self {
@@ -87,7 +89,7 @@
 }
 
 impl State {
-    /// One word for operators.
+    /// The name of the state as operators see it.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/fireflywheel/src/steward/mod.rs
+++ b/crates/fireflywheel/src/steward/mod.rs
@@ -1,14 +1,15 @@
 //! The steward of a group: the one instance that loads and unloads on the group's engines.
 //!
-//! It acts in three steps, and each can be the last that a process ever takes. It appends an intent; once
-//! the ledger accepted it, it sends the order; once the engine answered, it appends the outcome. What is in
-//! flight is worked out from the ledger's open intents, so a successor goes on from the same place.
+//! It acts in three steps, and the process may die after any of them: it appends an intent, it sends the order
+//! once the ledger has accepted the intent, and it appends the outcome once the engine has answered. The orders
+//! in flight are derived from the open intents in the ledger, so a successor continues from the same state.
 //!
-//! A pause can come between any two instructions, also between the last look at the ledger and the sending
-//! of an order. No check here prevents that; the ledger's pins and the engines' fencing numbers do.
+//! The process can be paused between any two instructions, including between its last check of the ledger and
+//! the sending of an order. No check here can rule that out; the pins in the ledger and the fencing numbers at
+//! the engines keep such an order from doing harm.
 
 mod demand;
-mod flight;
+mod in_flight;
 mod plan;
 mod surplus;
 
@@ -17,51 +18,51 @@
 use smol_str::SmolStr;
 
 pub use demand::Demand;
-pub use flight::Retired;
+pub use in_flight::Retired;
 
 use crate::{clock, document, item, ledger, order, record, report, right, wire};
 
-/// A backend server of the group, as the list and its reports tell of it.
+/// A backend server of the group, as known from the platform's list and its own reports.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
-    /// Its failure domain.
+    /// The server's failure domain.
     pub failure_domain: SmolStr,
-    /// The list, its report or its own refusal says that it goes.
+    /// Whether the server is shutting down, by the list, its report or its refusal of a request.
     pub leaving: bool,
-    /// The list has not named it since then.
+    /// The time since which the list has not contained the server; `None` while the list contains it.
     pub absent_since: Option<clock::Instant>,
-    /// The first offset that wasn't folded here then. A right that changed since may tell of a new process at
-    /// the address, which the list, being late, doesn't name yet.
+    /// The first offset that was not folded here at `absent_since`. A right that changed since then may be about a
+    /// new process at the address that the list, which lags, does not contain yet.
     pub absent_offset: u64,
-    /// Its newest report, and when it came in.
+    /// The server's newest report, and the time at which it was received.
     pub report: Option<(clock::Instant, report::Report)>,
 }
 
 impl Server {
-    /// Whether new replicas may go there.
+    /// Whether new replicas may be placed on the server.
     #[must_use]
     pub fn takes_replicas(&self) -> bool {
         !self.leaving && self.absent_since.is_none()
     }
 }
 
-/// What a steward sees when it decides.
+/// The inputs of a steward's decision.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// The time.
+    /// The current time.
     pub now: clock::Instant,
-    /// What has been read back from the log.
+    /// The ledger as far as the log has been read.
     pub ledger: &'a ledger::Ledger,
-    /// The group's backend servers by address.
+    /// The group's backend servers, by address.
     pub servers: &'a BTreeMap<SmolStr, Server>,
-    /// Whether the log is read at present; without it no new intent can come into force.
+    /// Whether the log can be read at present; without it, no new intent can come into force.
     pub log_readable: bool,
-    /// How long a backend server is absent from the list until it counts as gone.
+    /// How long a backend server must be absent from the list before it counts as gone.
     pub gone_after: std::time::Duration,
 }
 
 impl View<'_> {
-    /// The rights of a group, in order.
+    /// The rights of a group, in the order of their keys.
     fn rights<'b>(
         &'b self,
         group: &'b str,
@@ -70,37 +71,37 @@
         rights.filter(move |(_, right)| right.group == group)
     }
 
-    /// What the document in force at the ledger says of the group.
+    /// The group's section in the document in force.
     fn group(&self, name: &str) -> Option<&document::Group> {
         self.ledger.document().groups.get(name)
     }
 
-    /// Whether the group's engines refuse old fencing numbers, also after a restart.
+    /// Whether the group's engines refuse old fencing numbers, even after a restart.
     fn fenced(&self, name: &str) -> bool {
         let fencing = self.group(name).map(|group| group.fencing);
         fencing == Some(document::Fencing::Checked)
     }
 }
 
-/// What a steward wants done.
+/// An action that a steward requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Append this entry.
+    /// Append this entry to the log.
     Append(record::Entry),
-    /// Send this order, and say what came of it under the same sending.
+    /// Send this order, and report its answer under the same attempt number.
     SendOrder {
-        /// The low half of the fencing number.
+        /// The attempt number: the low half of the fencing number.
         sending: u32,
         /// The engine's address.
         server: SmolStr,
         /// The order.
         command: order::Command,
     },
-    /// Tell an instance, perhaps this one.
+    /// Send a frame to an instance, which may be this one.
     SendFrame {
-        /// Its name.
+        /// The instance's name.
         to: SmolStr,
-        /// What.
+        /// The frame.
         frame: wire::Frame,
     },
 }
@@ -110,87 +111,91 @@
 pub struct Steward {
     group: SmolStr,
     epoch: u64,
+    /// The number of the last intent of this epoch.
     number: u64,
-    sending: u32,
-    flights: BTreeMap<flight::Key, flight::Flight>,
-    /// Numbers of this epoch's orders of which an answer was lost, and a copy may still arrive.
-    lost: BTreeSet<u64>,
-    /// Intents appended and not yet judged.
+    /// The number of the last attempt to send an order in this epoch.
+    attempt: u32,
+    in_flight: BTreeMap<in_flight::IntentId, in_flight::Order>,
+    /// Numbers of this epoch's orders for which an answer was lost, so that a copy may still arrive.
+    unanswered: BTreeSet<u64>,
+    /// Numbers of the intents that were appended and not yet decided, by placement.
     proposed: BTreeMap<right::Key, u64>,
-    /// Items that failed to load, and until when they are left alone.
-    resting: BTreeMap<item::Item, clock::Instant>,
+    /// Items that failed to load, with the time until which they are not loaded again.
+    load_backoff: BTreeMap<item::Item, clock::Instant>,
     demand: Demand,
-    /// When a placement changed last, as far as this epoch saw it.
-    changed: BTreeMap<right::Key, clock::Instant>,
-    /// The newest pin of a placement in log time, and when it was seen first here.
-    pinned: BTreeMap<right::Key, (u64, clock::Instant)>,
-    /// When the next load is due at the store's rate, if all its burst is used up.
+    /// The time of the last change of each placement that this epoch observed.
+    last_changes: BTreeMap<right::Key, clock::Instant>,
+    /// For each pinned placement: the log time of its newest pin in milliseconds, and when this steward first saw
+    /// that pin or last tried to release it.
+    newest_pins: BTreeMap<right::Key, (u64, clock::Instant)>,
+    /// The time at which the next load is due under the store's rate limit once the burst is used up.
     store_due: clock::Instant,
-    /// Backend servers that were given up: when last, and the first offset not folded then.
-    gone: BTreeMap<SmolStr, (clock::Instant, u64)>,
-    retiring: bool,
-    since: clock::Instant,
+    /// Backend servers whose replicas were released: the time of the last release, and the first offset that was
+    /// not folded then.
+    released_servers: BTreeMap<SmolStr, (clock::Instant, u64)>,
+    is_retiring: bool,
+    started_at: clock::Instant,
 }
 
 impl Steward {
-    /// The steward of a group from the moment at which its epoch was read back.
+    /// Creates the steward of a group, at the time at which its epoch was read back.
     #[must_use]
     pub fn new(now: clock::Instant, group: SmolStr, epoch: u64) -> Self {
         Self {
             group,
             epoch,
             number: 0,
-            sending: 0,
-            flights: BTreeMap::new(),
-            lost: BTreeSet::new(),
+            attempt: 0,
+            in_flight: BTreeMap::new(),
+            unanswered: BTreeSet::new(),
             proposed: BTreeMap::new(),
-            resting: BTreeMap::new(),
+            load_backoff: BTreeMap::new(),
             demand: Demand::default(),
-            changed: BTreeMap::new(),
-            pinned: BTreeMap::new(),
+            last_changes: BTreeMap::new(),
+            newest_pins: BTreeMap::new(),
             store_due: clock::Instant::default(),
-            gone: BTreeMap::new(),
-            retiring: false,
-            since: now,
+            released_servers: BTreeMap::new(),
+            is_retiring: false,
+            started_at: now,
         }
     }
 
-    /// The epoch.
+    /// The epoch that this steward holds.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The group.
+    /// The group that this steward serves.
     #[must_use]
     pub fn group(&self) -> &SmolStr {
         &self.group
     }
 
-    /// Callers of an instance wait for an item.
+    /// Handles the report that callers at an instance wait for an item.
     pub fn handle_want(&mut self, now: clock::Instant, from: &SmolStr, want: &wire::Want) {
         self.demand.handle_want(now, from, want);
     }
 
-    /// What an instance ran.
+    /// Handles the usage that an instance reports.
     pub fn handle_usage(&mut self, now: clock::Instant, from: &SmolStr, usages: &[wire::Usage]) {
         self.demand.handle_usage(now, from, usages);
     }
 
-    /// Begins a planned stop: nothing new is ordered, what is open is brought to its end.
+    /// Begins a planned stop: no new intent is opened, and open intents are completed.
     pub fn retire(&mut self) {
-        self.retiring = true;
+        self.is_retiring = true;
     }
 
-    /// Whether a successor inherits nothing that is open.
+    /// Whether a successor would inherit no open intent.
     #[must_use]
     pub fn is_settled(&self, ledger: &ledger::Ledger) -> bool {
         let mut rights = ledger.rights().values();
-        let open = rights.any(|right| right.group == self.group && is_open(right));
-        self.proposed.is_empty() && !open
+        let has_open = rights.any(|right| right.group == self.group && is_open(right));
+        self.proposed.is_empty() && !has_open
     }
 
-    /// One of this incarnation's entries was read back and judged.
+    /// Handles an entry of this incarnation that was read back and decided.
     pub fn handle_decision(&mut self, now: clock::Instant, entry: &record::Entry) {
         if let record::Entry::Close { order, .. } = entry
             && order.group == self.group
@@ -199,7 +204,7 @@
                 server: order.server.clone(),
                 item: order.item.clone(),
             };
-            self.changed.insert(key, now);
+            self.last_changes.insert(key, now);
         }
         if let record::Entry::Grant(order) | record::Entry::Withdraw(order) = entry
             && order.group == self.group
@@ -209,16 +214,16 @@
         }
     }
 
-    /// Does what is due: sends orders of open intents, appends outcomes, opens new intents.
+    /// Performs what is due: sends the orders of open intents, and opens new intents.
     pub fn step(&mut self, view: &View<'_>, out: &mut Vec<Action>) {
-        self.follow(view, out);
-        if !self.retiring {
+        self.send_due_orders(view, out);
+        if !self.is_retiring {
             self.plan(view, out);
         }
     }
 
-    /// A new intent, unless one for the placement waits to be judged.
-    fn propose(&mut self, key: right::Key, load: bool, out: &mut Vec<Action>) {
+    /// Appends a new intent, unless one for the placement is not decided yet.
+    fn propose(&mut self, key: right::Key, is_load: bool, out: &mut Vec<Action>) {
         if self.proposed.contains_key(&key) {
             return;
         }
@@ -231,7 +236,7 @@
             server: key.server,
             item: key.item,
         };
-        let entry = if load {
+        let entry = if is_load {
             record::Entry::Grant(order)
         } else {
             record::Entry::Withdraw(order)
--- a/crates/fireflywheel/src/steward/plan/mod.rs
+++ b/crates/fireflywheel/src/steward/plan/mod.rs
@@ -1,59 +1,60 @@
-//! What a steward orders next: loads for those who wait, unloads for what is over its limit or idle.
+//! Planning of a steward's next orders: loads for waiting callers, and unloads of replicas that are over a
+//! limit or idle.
 
-mod bounds;
-mod place;
+mod load_limits;
+mod server_choice;
 
 use std::{collections::BTreeSet, time::Duration};
 
 use smol_str::SmolStr;
 
-use super::{Action, Server, Steward, View, demand::Wanted};
+use super::{Action, Server, Steward, View, demand::ItemDemand};
 use crate::{clock, document, item, placement, right, wire};
 
-/// When it is worth asking again for something that can't be loaded now.
-const BUSY_RETRY: Duration = Duration::from_secs(1);
+/// How long an instance should wait before it asks again for an item that cannot be loaded now.
+const BUSY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A new steward leaves idle replicas alone until the other instances have told it what they use, which they
-/// do as soon as they read of it. What an instance uses that was not heard isn't cut off: its engine finishes
-/// what runs before it unloads.
-const LEARNING: Duration = Duration::from_millis(1500);
+/// How long a new steward treats no replica as idle, so that the other instances can report what they use. They
+/// do so as soon as they read its epoch from the log. Requests of an instance whose report did not arrive are
+/// not cut off, since an engine finishes its running requests before it unloads.
+const LEARNING_PERIOD: Duration = Duration::from_millis(1500);
 
-/// What a wanted item comes to.
+/// The next step towards loading a wanted item.
 enum Step {
-    /// Loaded, being loaded, or proposed already.
-    Underway,
-    /// A load on this backend server.
+    /// Nothing to do: the item is loaded, being loaded, proposed, or delayed.
+    NoAction,
+    /// Load the item on this backend server.
     Load(SmolStr),
-    /// These placements have to make room first.
+    /// Unload these placements first, to make room.
     Unload(Vec<right::Key>),
-    /// The model has to be loaded before its adapter.
-    First(item::Item),
-    /// Not now, and why.
+    /// Load this model first, since the wanted adapter needs it.
+    LoadBase(item::Item),
+    /// The item cannot be loaded now, for this reason.
     Busy(&'static str),
 }
 
 impl Steward {
-    /// Decides by this policy in place of the document's setting, to compare policies on one trace.
+    /// Overrides the policy that the document sets, to compare policies on one trace.
     #[must_use]
     pub fn with_policy(mut self, policy: placement::Policy) -> Self {
         self.demand.policy = Some(policy);
         self
     }
 
-    /// Decides what to order, from what the ledger holds and what callers want.
+    /// Proposes intents, based on the state of the ledger and the demand.
     pub(super) fn plan(&mut self, view: &View<'_>, out: &mut Vec<Action>) {
-        self.demand.expire(view.now);
-        self.resting.retain(|_, until| *until > view.now);
+        self.demand.remove_expired(view.now);
+        self.load_backoff.retain(|_, until| *until > view.now);
         self.release_pins(view, out);
-        self.give_up_gone(view, out);
+        self.release_gone_servers(view, out);
         self.unload_surplus(view, out);
         self.load_wanted(view, out);
         self.unload_idle(view, out);
     }
 
-    /// Loads what is wanted, the most pressing first, as far as the store's limits go.
+    /// Loads the wanted items, the most urgent first, as far as the store's limits permit.
     fn load_wanted(&mut self, view: &View<'_>, out: &mut Vec<Action>) {
-        let mut queue = self.by_urgency(view);
+        let mut queue = self.wants_by_urgency(view);
         queue.reverse();
         let mut seen = BTreeSet::new();
         while let Some(want) = queue.pop() {
@@ -61,108 +62,109 @@
                 continue;
             }
             match self.next_step(view, &want) {
-                Step::Underway => {}
+                Step::NoAction => {}
                 Step::Load(server) => self.load(view, &want.item, server, out),
                 Step::Unload(victims) => self.unload(victims, out),
-                Step::First(base) => queue.push(Wanted { item: base, ..want }),
-                Step::Busy(reason) => self.tell_busy(&want.item, reason, out),
+                Step::LoadBase(base) => queue.push(ItemDemand { item: base, ..want }),
+                Step::Busy(reason) => self.notify_busy(&want.item, reason, out),
             }
         }
     }
 
-    fn by_urgency(&self, view: &View<'_>) -> Vec<Wanted> {
-        let mut wanted = self.demand.wanted();
-        wanted.extend(self.crowded(view));
-        wanted.extend(self.successors(view));
+    fn wants_by_urgency(&self, view: &View<'_>) -> Vec<ItemDemand> {
+        let mut wants = self.demand.pending();
+        wants.extend(self.overloaded(view));
+        wants.extend(self.outdated_successors(view));
         let document = view.ledger.document();
-        let wants = wanted.iter().enumerate().map(|(place, want)| {
+        let cold_items = wants.iter().enumerate().map(|(index, want)| {
             let model = document.models.get(&want.item.model);
             placement::ColdItem {
-                key: place,
+                key: index,
                 deadline: want.deadline,
                 waiting: want.callers,
                 load: model.map_or(Duration::ZERO, |model| model.load),
             }
         });
-        let wants: Vec<_> = wants.collect();
-        let order = self.policy(view).load_order(view.now, &wants);
+        let cold_items: Vec<_> = cold_items.collect();
+        let order = self.policy(view).load_order(view.now, &cold_items);
         order
             .into_iter()
-            .map(|place| wanted[place].clone())
+            .map(|index| wants[index].clone())
             .collect()
     }
 
-    fn next_step(&self, view: &View<'_>, want: &Wanted) -> Step {
+    fn next_step(&self, view: &View<'_>, want: &ItemDemand) -> Step {
         let document = view.ledger.document();
-        let Some(size) = Size::of(document, &want.item) else {
+        let Some(spec) = ItemSpec::of(document, &want.item) else {
             return Step::Busy("the configuration doesn't name it");
         };
         if !view.log_readable {
             return Step::Busy("the platform's log can't be reached");
         }
-        if self.resting.contains_key(&want.item) {
-            return Step::Underway;
+        if self.load_backoff.contains_key(&want.item) {
+            return Step::NoAction;
         }
-        let proposed = |key: &right::Key| key.item == want.item;
-        if self.proposed.keys().any(proposed) {
-            return Step::Underway;
+        let is_wanted = |key: &right::Key| key.item == want.item;
+        if self.proposed.keys().any(is_wanted) {
+            return Step::NoAction;
         }
         let held: Vec<_> = self.replicas(view, &want.item);
         let mut own = held.iter().filter(|(key, _)| key.item == want.item);
         if own.any(|(_, right)| matches!(right.state, right::State::Loading { .. })) {
-            return Step::Underway;
+            return Step::NoAction;
         }
-        if !self.needs_another(view, want, &held) {
-            return Step::Underway;
+        if !self.needs_replica(view, want, &held) {
+            return Step::NoAction;
         }
         if want.item.adapter.is_some() && self.hosts(view, &want.item.base()).is_empty() {
-            return Step::First(want.item.base());
+            return Step::LoadBase(want.item.base());
         }
-        if want.item.adapter.is_some() && !self.permitted(view, &want.item) {
-            return Step::Underway;
+        if want.item.adapter.is_some() && !self.is_load_permitted(view, &want.item) {
+            return Step::NoAction;
         }
         if let Some((key, _)) = held.iter().find(|(key, right)| {
-            key.item == want.item && right.state == right::State::Empty && self.usable(view, key)
+            key.item == want.item && right.state == right::State::Empty && self.is_usable(view, key)
         }) {
             return Step::Load(key.server.clone());
         }
-        if held.len() >= size.replicas as usize {
-            return self.make_place(view, want, &held);
+        if held.len() >= spec.replicas as usize {
+            return self.make_room_under_cap(view, want, &held);
         }
-        let room_mb = self.room_mb(view, want, size.memory_mb);
-        self.place(view, want, room_mb)
+        let required_mb = self.required_mb(view, want, spec.memory_mb);
+        self.choose_placement(view, want, required_mb)
     }
 
-    /// A cap that is taken up by replicas nobody can use gives way, idle ones of an old version too.
-    fn make_place(
+    /// Makes room under a cap that is used up by replicas of another version or on a server that takes no new
+    /// replicas.
+    fn make_room_under_cap(
         &self,
         view: &View<'_>,
-        want: &Wanted,
+        want: &ItemDemand,
         held: &[(&right::Key, &right::Right)],
     ) -> Step {
-        let useless = held.iter().filter(|(key, right)| {
+        let replaceable = held.iter().filter(|(key, right)| {
             right.state == right::State::Loaded
-                && (key.item != want.item || !self.usable(view, key))
+                && (key.item != want.item || !self.is_usable(view, key))
         });
-        let victims: Vec<_> = useless.take(1).map(|(key, _)| (*key).clone()).collect();
+        let victims: Vec<_> = replaceable.take(1).map(|(key, _)| (*key).clone()).collect();
         if !victims.is_empty() {
             return Step::Unload(victims);
         }
-        let unloading =
+        let is_unloading =
             |right: &right::Right| matches!(right.state, right::State::Unloading { .. });
-        if held.iter().any(|(_, right)| unloading(right)) {
-            return Step::Underway;
+        if held.iter().any(|(_, right)| is_unloading(right)) {
+            return Step::NoAction;
         }
         Step::Busy("as many replicas as allowed are loaded or pinned")
     }
 
     pub(super) fn policy(&self, view: &View<'_>) -> placement::Policy {
         let weight = view.ledger.document().serving.cold_start_weight;
-        let given = self.demand.policy;
-        given.unwrap_or_else(|| placement::Policy::new(weight))
+        let configured = self.demand.policy;
+        configured.unwrap_or_else(|| placement::Policy::new(weight))
     }
 
-    /// A loaded replica as the policy sees it.
+    /// The policy's view of a loaded replica.
     pub(super) fn replica<'b>(
         &self,
         view: &View<'_>,
@@ -171,8 +173,8 @@
     ) -> placement::Replica<&'b right::Key> {
         let usage = self.demand.usage(&key.item);
         let model = view.ledger.document().models.get(&key.item.model);
-        let last = usage.and_then(|usage| usage.last);
-        let last = last.unwrap_or(self.since).max(self.since);
+        let last_used = usage.and_then(|usage| usage.last_used);
+        let last_used = last_used.unwrap_or(self.started_at).max(self.started_at);
         placement::Replica {
             key,
             memory_mb: right.memory_mb,
@@ -182,12 +184,12 @@
             rate: usage
                 .map(|usage| usage.rate)
                 .unwrap_or_default()
-                .with_shared(&self.demand.gaps),
-            idle_since: self.is_idle(view, &key.item).then_some(last),
+                .with_shared(&self.demand.idle_times),
+            idle_since: self.is_idle(view, &key.item).then_some(last_used),
         }
     }
 
-    /// Where the checkpoint of an item lies for a backend server, by its newest report.
+    /// The source from which a backend server would load an item, by its newest report.
     fn source(&self, view: &View<'_>, server: &SmolStr, item: &item::Item) -> placement::Source {
         let server = view.servers.get(server);
         let report = server.and_then(|server| server.report.as_ref());
@@ -195,16 +197,17 @@
         source.unwrap_or(placement::Source::Remote)
     }
 
-    /// Whether nobody uses or wants an item. A new steward can't tell until the others have spoken.
+    /// Whether an item is neither in use nor wanted. A new steward cannot tell until the other instances have
+    /// reported; see [`LEARNING_PERIOD`].
     pub(super) fn is_idle(&self, view: &View<'_>, item: &item::Item) -> bool {
-        let learned = self.epoch == 1 || view.now.since(self.since) >= LEARNING;
-        learned && !self.demand.is_wanted(item) && self.demand.active(view.now, item) == 0
+        let has_reports = self.epoch == 1 || view.now.since(self.started_at) >= LEARNING_PERIOD;
+        has_reports && !self.demand.is_wanted(item) && self.demand.active(view.now, item) == 0
     }
 
-    /// What has to go first so that a model can be unloaded: the adapters on it, then itself.
+    /// Replaces each model that still has adapters by those adapters, which have to be unloaded before the model.
     ///
-    /// The ledger refuses to unload a model under its adapters. If such models were left out, memory would
-    /// fill up with models that have adapters, and callers of all others would be refused.
+    /// The ledger refuses to unload a model that has adapters. If such models were left out, memory would fill up
+    /// with models that have adapters, and callers of all other models would be refused.
     pub(super) fn with_adapters(
         &self,
         view: &View<'_>,
@@ -225,7 +228,7 @@
         victims
     }
 
-    /// Whether neither a model nor an adapter on it is in use, and none is being loaded.
+    /// Whether neither a model nor any of its adapters is in use, and no adapter is being loaded.
     pub(super) fn is_idle_with_adapters(&self, view: &View<'_>, key: &right::Key) -> bool {
         let mut adapters = adapters_on(view, key);
         self.is_idle(view, &key.item)
@@ -235,9 +238,9 @@
             })
     }
 
-    /// Whether a loaded replica may make room: a model that is idle with its adapters, or an idle adapter on
-    /// a model that is not.
-    fn may_go(&self, view: &View<'_>, key: &right::Key) -> bool {
+    /// Whether a loaded replica may be evicted: a model that is idle together with its adapters, or an idle adapter
+    /// on a model that is not.
+    fn is_evictable(&self, view: &View<'_>, key: &right::Key) -> bool {
         if key.item.adapter.is_none() {
             return self.is_idle_with_adapters(view, key);
         }
@@ -248,7 +251,7 @@
         self.is_idle(view, &key.item) && !self.is_idle_with_adapters(view, &base)
     }
 
-    /// Proposes unloads.
+    /// Proposes to unload these placements.
     pub(super) fn unload(&mut self, victims: Vec<right::Key>, out: &mut Vec<Action>) {
         for key in victims {
             self.propose(key, false, out);
@@ -265,9 +268,9 @@
         self.propose(key, true, out);
     }
 
-    fn tell_busy(&self, item: &item::Item, reason: &'static str, out: &mut Vec<Action>) {
-        let retry_ms = clock::millis(BUSY_RETRY);
-        for to in self.demand.waiting(item) {
+    fn notify_busy(&self, item: &item::Item, reason: &'static str, out: &mut Vec<Action>) {
+        let retry_ms = clock::millis(BUSY_RETRY_DELAY);
+        for to in self.demand.waiting_instances(item) {
             let frame = wire::Frame::Busy {
                 group: self.group.clone(),
                 item: item.clone(),
@@ -278,7 +281,7 @@
         }
     }
 
-    /// All rights that count against the item's cap: of the model over all versions, or of the adapter.
+    /// All rights that count against the item's cap: those of the same model or adapter, over all versions.
     pub(super) fn replicas<'b>(
         &self,
         view: &'b View<'_>,
@@ -290,17 +293,17 @@
         same.collect()
     }
 
-    /// Backend servers on which an item is loaded and may be used.
+    /// The backend servers on which an item is loaded and may be used.
     pub(super) fn hosts(&self, view: &View<'_>, item: &item::Item) -> Vec<SmolStr> {
         let rights = view.rights(&self.group);
         let loaded = rights.filter(|(key, right)| {
-            key.item == *item && right.state == right::State::Loaded && self.usable(view, key)
+            key.item == *item && right.state == right::State::Loaded && self.is_usable(view, key)
         });
         loaded.map(|(key, _)| key.server.clone()).collect()
     }
 
-    /// Backend servers on which an item may be loaded: for an adapter those that have its model.
-    fn candidates(&self, view: &View<'_>, item: &item::Item) -> Vec<SmolStr> {
+    /// The backend servers on which an item may be loaded; for an adapter, those on which its model is loaded.
+    fn candidate_servers(&self, view: &View<'_>, item: &item::Item) -> Vec<SmolStr> {
         let holds = |server: &SmolStr| {
             let key = right::Key {
                 server: server.clone(),
@@ -314,22 +317,23 @@
             return hosts;
         }
         let servers = view.servers.iter();
-        let taking = servers.filter(|(address, server)| server.takes_replicas() && !holds(address));
-        taking.map(|(address, _)| address.clone()).collect()
+        let available =
+            servers.filter(|(address, server)| server.takes_replicas() && !holds(address));
+        available.map(|(address, _)| address.clone()).collect()
     }
 
-    pub(super) fn usable(&self, view: &View<'_>, key: &right::Key) -> bool {
+    pub(super) fn is_usable(&self, view: &View<'_>, key: &right::Key) -> bool {
         let server = view.servers.get(&key.server);
         server.is_some_and(Server::takes_replicas)
     }
 
-    /// Memory of a backend server that neither a right nor a proposed one takes.
-    fn free(&self, view: &View<'_>, server: &SmolStr) -> u64 {
+    /// The memory of a backend server, in MB, that no right and no proposed load takes.
+    fn free_mb(&self, view: &View<'_>, server: &SmolStr) -> u64 {
         let memory_mb = view.group(&self.group).map_or(0, |group| group.memory_mb);
-        memory_mb.saturating_sub(self.memory_held(view, server))
+        memory_mb.saturating_sub(self.held_mb(view, server))
     }
 
-    fn memory_held(&self, view: &View<'_>, server: &SmolStr) -> u64 {
+    fn held_mb(&self, view: &View<'_>, server: &SmolStr) -> u64 {
         let rights = view.ledger.rights().iter();
         let here = rights.filter(|(key, _)| key.server == *server);
         let held: u64 = here.map(|(_, right)| right.memory_mb).sum();
@@ -339,21 +343,21 @@
             .keys()
             .filter(|key| key.server == *server && view.ledger.right(key).is_none());
         let proposed: u64 = proposed
-            .filter_map(|key| Size::of(document, &key.item))
-            .map(|size| size.memory_mb)
+            .filter_map(|key| ItemSpec::of(document, &key.item))
+            .map(|spec| spec.memory_mb)
             .sum();
         held + proposed
     }
 }
 
-/// What a replica of an item takes, as the document says.
-pub(super) struct Size {
+/// The memory of a replica of an item, and the item's replica cap, as the document sets them.
+pub(super) struct ItemSpec {
     memory_mb: u64,
     replicas: u32,
 }
 
-impl Size {
-    /// `None` when the document doesn't name the item in this version.
+impl ItemSpec {
+    /// Returns `None` when the document does not define the item in this version.
     pub(super) fn of(document: &document::Document, item: &item::Item) -> Option<Self> {
         let model = document.models.get(&item.model)?;
         if model.version != item.version {
@@ -373,8 +377,8 @@
     }
 }
 
-/// How many replicas of a model or adapter the document allows, over all versions.
-pub(super) fn cap(document: &document::Document, item: &item::Item) -> u32 {
+/// The number of replicas of a model or adapter, over all versions, that the document allows.
+pub(super) fn replica_cap(document: &document::Document, item: &item::Item) -> u32 {
     match &item.adapter {
         None => document
             .models
@@ -388,7 +392,7 @@
     }
 }
 
-/// The adapters on a model at its server.
+/// The rights for adapters of a model on the model's server, except empty ones.
 fn adapters_on<'a>(
     view: &'a View<'_>,
     model: &'a right::Key,
--- a/crates/fireflywheel/src/steward/plan/place.rs
+++ b/crates/fireflywheel/src/steward/plan/server_choice.rs
@@ -1,11 +1,11 @@
-//! Where an item is loaded, and what makes room for it there.
+//! The choice of the backend server that loads an item, and of the replicas that it evicts for it.
 
 use smol_str::SmolStr;
 
-use super::{Step, Steward, View, Wanted};
+use super::{ItemDemand, Step, Steward, View};
 use crate::{item, placement, right};
 
-/// Where checkpoints lie, the nearest first.
+/// The sources of checkpoints, the fastest first.
 const SOURCES: [placement::Source; 3] = [
     placement::Source::Memory,
     placement::Source::Disk,
@@ -13,44 +13,50 @@
 ];
 
 impl Steward {
-    /// Room that a replica needs: for a model also that of an adapter beside it.
+    /// The free memory, in MB, that a load requires: for a model, this includes its largest adapter.
     ///
-    /// Two models that fill a backend server, each with callers for an adapter, would otherwise wait for each
+    /// Otherwise, two models that fill a backend server and that both have callers for an adapter would block each
     /// other until the callers of one are refused: neither adapter fits, and neither model is idle.
-    pub(super) fn room_mb(&self, view: &View<'_>, want: &Wanted, memory_mb: u64) -> u64 {
+    pub(super) fn required_mb(&self, view: &View<'_>, want: &ItemDemand, memory_mb: u64) -> u64 {
         if want.item.adapter.is_some() {
             return memory_mb;
         }
         let adapters = view.ledger.document().adapters.get(&want.item.model);
         let adapters = adapters.into_iter().flat_map(|adapters| adapters.values());
         let largest = adapters.map(|adapter| adapter.memory_mb).max();
-        let room_mb = memory_mb + largest.unwrap_or(0);
-        let all = view.group(&self.group).map_or(0, |group| group.memory_mb);
-        room_mb.min(all.max(memory_mb))
+        let required_mb = memory_mb + largest.unwrap_or(0);
+        let server_mb = view.group(&self.group).map_or(0, |group| group.memory_mb);
+        required_mb.min(server_mb.max(memory_mb))
     }
 
-    /// Finds the backend server where callers wait least, theirs and those of what has to go there.
+    /// Chooses the backend server with the lowest total wait, counting both the callers of the item and the callers
+    /// of the replicas that have to be evicted.
     ///
-    /// A nearer checkpoint may be worth more than free room elsewhere, most of all while the store is busy:
-    /// only loads from there need one of its permits.
-    pub(super) fn place(&self, view: &View<'_>, want: &Wanted, memory_mb: u64) -> Step {
-        let hosts = self.candidates(view, &want.item);
-        if hosts.is_empty() {
+    /// A faster checkpoint source may outweigh free memory on another server, above all while the store is busy:
+    /// only loads from the store are subject to its limits.
+    pub(super) fn choose_placement(
+        &self,
+        view: &View<'_>,
+        want: &ItemDemand,
+        memory_mb: u64,
+    ) -> Step {
+        let servers = self.candidate_servers(view, &want.item);
+        if servers.is_empty() {
             return Step::Busy("no backend server takes replicas");
         }
-        let candidates: Vec<_> = hosts
+        let candidates: Vec<_> = servers
             .iter()
             .map(|server| self.candidate(view, &want.item, server))
             .collect();
-        let permitted = want.item.adapter.is_some() || self.permitted(view, &want.item);
+        let is_permitted = want.item.adapter.is_some() || self.is_load_permitted(view, &want.item);
         let mut best: Option<(f64, Step)> = None;
         for source in SOURCES {
-            if source == placement::Source::Remote && !permitted {
+            if source == placement::Source::Remote && !is_permitted {
                 continue;
             }
-            let mut near = candidates.clone();
-            near.retain(|candidate| candidate.source == source);
-            let Some((cost, step)) = self.place_among(view, want, memory_mb, &near) else {
+            let mut same_source = candidates.clone();
+            same_source.retain(|candidate| candidate.source == source);
+            let Some((cost, step)) = self.choose_among(view, want, memory_mb, &same_source) else {
                 continue;
             };
             if best.as_ref().is_none_or(|(least, _)| cost < *least) {
@@ -59,16 +65,17 @@
         }
         match best {
             Some((_, step)) => step,
-            None if permitted => Step::Busy("everything loaded is in use"),
-            None => Step::Underway,
+            None if is_permitted => Step::Busy("everything loaded is in use"),
+            None => Step::NoAction,
         }
     }
 
-    /// The best of backend servers that have the checkpoint equally near, and what a load there costs.
-    fn place_among(
+    /// Chooses among backend servers with the same checkpoint source, and returns the cost of the load with the
+    /// step.
+    fn choose_among(
         &self,
         view: &View<'_>,
-        want: &Wanted,
+        want: &ItemDemand,
         memory_mb: u64,
         candidates: &[placement::Candidate<&SmolStr>],
     ) -> Option<(f64, Step)> {
@@ -81,16 +88,16 @@
             let cost = policy.cost(load, want.callers, 0.0);
             return Some((cost, Step::Load(server.clone())));
         }
-        let tenancies: Vec<_> = candidates
+        let servers: Vec<_> = candidates
             .iter()
-            .map(|candidate| self.tenancy(view, &want.item, candidate.key))
+            .map(|candidate| self.server_replicas(view, &want.item, candidate.key))
             .collect();
-        let room = policy.plan_eviction(view.now, memory_mb, &tenancies)?;
-        let cost = policy.cost(load, want.callers, room.loss);
-        if room.victims.is_empty() {
-            return Some((cost, Step::Underway));
+        let eviction = policy.plan_eviction(view.now, memory_mb, &servers)?;
+        let cost = policy.cost(load, want.callers, eviction.loss);
+        if eviction.victims.is_empty() {
+            return Some((cost, Step::NoAction));
         }
-        let victims = room.victims.into_iter().cloned().collect();
+        let victims = eviction.victims.into_iter().cloned().collect();
         Some((cost, Step::Unload(self.with_adapters(view, victims))))
     }
 
@@ -109,7 +116,7 @@
             .and_then(|known| known.report.as_ref());
         placement::Candidate {
             key: server,
-            free_mb: self.free(view, server),
+            free_mb: self.free_mb(view, server),
             holds: false,
             source: self.source(view, server, wanted),
             loading: u32::try_from(loading.count()).unwrap_or(u32::MAX),
@@ -117,8 +124,9 @@
         }
     }
 
-    /// A backend server with what may be unloaded there. What is being unloaded already is room to come.
-    fn tenancy<'b>(
+    /// A backend server with the replicas that may be evicted there. The memory of replicas that are already being
+    /// unloaded counts as free.
+    fn server_replicas<'b>(
         &self,
         view: &'b View<'b>,
         wanted: &item::Item,
@@ -126,19 +134,19 @@
     ) -> placement::ServerReplicas<&'b SmolStr, &'b right::Key> {
         let here = view.ledger.rights().iter();
         let here: Vec<_> = here.filter(|(key, _)| key.server == *server).collect();
-        let leaving = here
+        let unloading = here
             .iter()
             .filter(|(_, right)| matches!(right.state, right::State::Unloading { .. }));
-        let coming: u64 = leaving.map(|(_, right)| right.memory_mb).sum();
+        let unloading_mb: u64 = unloading.map(|(_, right)| right.memory_mb).sum();
         let replicas = here.iter().filter(|(key, right)| {
             right.state == right::State::Loaded
                 && (right.pins.is_empty() || view.fenced(&self.group))
                 && key.item != wanted.base()
-                && self.may_go(view, key)
+                && self.is_evictable(view, key)
         });
         placement::ServerReplicas {
             server,
-            free_mb: self.free(view, server) + coming,
+            free_mb: self.free_mb(view, server) + unloading_mb,
             replicas: replicas
                 .map(|(key, right)| self.replica(view, key, right))
                 .collect(),
--- a/crates/fireflywheel/src/writer.rs
+++ b/crates/fireflywheel/src/writer.rs
@@ -1,54 +1,54 @@
-//! Appends to the log, one in flight.
+//! Appends to the log, with one append in flight at a time.
 //!
-//! Entries that are pushed while an append is in flight wait and go out together in the next one, so the
-//! slower the log, the larger the batches, and the fewer the appends of a large fleet.
+//! Entries that are pushed while an append is in flight wait and are sent together in the next one. The slower
+//! the log, the larger the batches and the fewer the appends of a large fleet.
 //!
 //! An append whose answer was lost may be in the log, now or later. The same text under the same id is then
-//! sent again until one copy is known to be there: stored, or read back. Only then does the next batch go
-//! out. Would it go out earlier, a copy of the lost one that lands behind it would be taken for an old
-//! record, and its entries were lost without a word.
+//! sent again until one copy is known to be in the log, because it was stored or read back. Only then is the
+//! next batch sent. If it were sent earlier, a copy of the lost append that is stored after it would be treated
+//! as an old record, and its entries would be lost silently.
 
 use std::{collections::VecDeque, fmt};
 
 use crate::record;
 
-/// Bytes of entries in one batch at most, well below what the log takes. A longer entry goes alone.
+/// Maximum number of bytes of entries in one batch, well below the log's limit. A longer entry is sent alone.
 pub const MAX_BATCH_BYTES: usize = 512 << 10;
 
-/// Bytes of one entry as JSON at most: what the log takes, less the frame of a record.
+/// Maximum number of bytes of one entry as JSON: the log's limit, less the rest of a record.
 pub const MAX_ENTRY_BYTES: usize = (1 << 20) - (4 << 10);
 
-/// Bytes of entries that wait at most.
+/// Maximum number of bytes of waiting entries.
 pub const MAX_WAITING_BYTES: usize = 8 << 20;
 
-/// What came of an append.
+/// The result of an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// It is in the log at this offset.
+    /// The record is in the log at this offset.
     Stored(u64),
-    /// Nothing was appended.
+    /// The record was not appended.
     Refused,
-    /// No answer: it may be in the log, now or later.
+    /// No answer was received, so the record may be in the log, now or later.
     Lost,
 }
 
-/// Why an entry was not taken; it is not in the log and won't be.
+/// Why an entry was refused. A refused entry is not in the log and will not be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// [`MAX_WAITING_BYTES`] bytes wait already.
+    /// The waiting entries would exceed [`MAX_WAITING_BYTES`].
     Full,
-    /// The entry has so many bytes, more than [`MAX_ENTRY_BYTES`].
+    /// The entry has this many bytes, more than [`MAX_ENTRY_BYTES`].
     TooLong(usize),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Full => f.write_str("too many entries wait for the log"),
+            Self::Full => f.write_str("too many entries are waiting for the log"),
             Self::TooLong(bytes) => {
                 write!(
                     f,
-                    "an entry of {bytes} bytes, the log takes {MAX_ENTRY_BYTES}"
+                    "the entry has {bytes} bytes, the limit is {MAX_ENTRY_BYTES}"
                 )
             }
         }
@@ -61,53 +61,53 @@
 #[derive(Debug)]
 pub struct Writer {
     by: record::Incarnation,
-    /// Of the newest record that may be in the log.
+    /// The sequence number of the newest record that is known to be in the log.
     sequence: u64,
     waiting: VecDeque<Entry>,
-    /// Bytes of `waiting`.
-    bytes: usize,
-    flight: Option<Flight>,
+    /// The total size of the entries in `waiting`, in bytes.
+    waiting_bytes: usize,
+    in_flight: Option<InFlight>,
 }
 
-/// An entry that waits, with its length as JSON.
+/// An entry with its size as JSON, in bytes.
 #[derive(Debug)]
 struct Entry {
     entry: record::Entry,
     bytes: usize,
 }
 
-/// The record that was handed out last and isn't known to be in the log.
+/// The newest record that was handed out, which is not known to be in the log yet.
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     sequence: u64,
     entries: Vec<Entry>,
     body: String,
-    /// Whether an answer is due.
-    sent: bool,
-    /// Whether an answer was lost, so that a copy may be on its way.
-    lost: bool,
-    /// Whether it was read back before it was answered.
-    landed: bool,
+    /// Whether an append of the record awaits its answer.
+    awaits_answer: bool,
+    /// Whether an answer was lost, so that a copy of the record may be on its way.
+    answer_lost: bool,
+    /// Whether the record was read back before its append was answered.
+    read_back: bool,
 }
 
 impl Writer {
-    /// A writer of an incarnation that has appended nothing yet.
+    /// Creates the writer of an incarnation that has appended nothing yet.
     #[must_use]
     pub fn new(by: record::Incarnation) -> Self {
         Self {
             by,
             sequence: 0,
             waiting: VecDeque::new(),
-            bytes: 0,
-            flight: None,
+            waiting_bytes: 0,
+            in_flight: None,
         }
     }
 
-    /// Lets an entry wait for the next batch.
+    /// Queues an entry for the next batch.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when it can't wait.
+    /// Returns [`Refusal`] when the entry is too long or too many entries are waiting.
     pub fn push(&mut self, entry: record::Entry) -> Result<(), Refusal> {
         let bytes = serde_json::to_vec(&entry)
             .expect("an entry always has a JSON form")
@@ -115,106 +115,106 @@
         if bytes > MAX_ENTRY_BYTES {
             return Err(Refusal::TooLong(bytes));
         }
-        if self.bytes + bytes > MAX_WAITING_BYTES {
+        if self.waiting_bytes + bytes > MAX_WAITING_BYTES {
             return Err(Refusal::Full);
         }
-        self.bytes += bytes;
+        self.waiting_bytes += bytes;
         self.waiting.push_back(Entry { entry, bytes });
         Ok(())
     }
 
-    /// The text to append now; `None` while an answer is due, or when nothing waits. Each one handed out is
-    /// to be followed by one call of [`Self::handle_answer`]. The writer is no iterator: an iterator would invite
-    /// loops, and each text needs its answer before the next one goes out.
+    /// Returns the text to append now; `None` while an answer is outstanding, or when no entry is waiting. Each
+    /// returned text must be followed by one call of [`Self::handle_answer`]. The writer is not an iterator, which
+    /// would invite loops, because each text needs its answer before the next one is sent.
     pub fn next_append(&mut self) -> Option<String> {
-        if let Some(flight) = &mut self.flight {
-            if flight.sent {
+        if let Some(in_flight) = &mut self.in_flight {
+            if in_flight.awaits_answer {
                 return None;
             }
-            flight.sent = true;
-            return Some(flight.body.clone());
+            in_flight.awaits_answer = true;
+            return Some(in_flight.body.clone());
         }
-        let entries = self.batch();
+        let entries = self.take_batch();
         if entries.is_empty() {
             return None;
         }
         let sequence = self.sequence + 1;
-        let body = self.body(sequence, &entries);
-        self.flight = Some(Flight {
+        let body = self.encode(sequence, &entries);
+        self.in_flight = Some(InFlight {
             sequence,
             entries,
             body: body.clone(),
-            sent: true,
-            lost: false,
-            landed: false,
+            awaits_answer: true,
+            answer_lost: false,
+            read_back: false,
         });
         Some(body)
     }
 
-    /// What came of the append that [`Self::next_append`] handed out last.
+    /// Handles the result of the append that [`Self::next_append`] returned last.
     pub fn handle_answer(&mut self, answer: Answer) {
-        let Some(mut flight) = self.flight.take() else {
+        let Some(mut in_flight) = self.in_flight.take() else {
             return;
         };
-        flight.sent = false;
-        if flight.landed || matches!(answer, Answer::Stored(_)) {
-            self.sequence = flight.sequence;
+        in_flight.awaits_answer = false;
+        if in_flight.read_back || matches!(answer, Answer::Stored(_)) {
+            self.sequence = in_flight.sequence;
             return;
         }
-        flight.lost |= answer == Answer::Lost;
-        if flight.lost {
-            self.flight = Some(flight);
+        in_flight.answer_lost |= answer == Answer::Lost;
+        if in_flight.answer_lost {
+            self.in_flight = Some(in_flight);
         } else {
-            self.put_back(flight.entries);
+            self.requeue(in_flight.entries);
         }
     }
 
-    /// A record was read back from the log. Ends the wait for a lost answer, if it is the one.
+    /// Handles a record that was read back from the log. If it is the record in flight, it need not be sent again.
     pub fn record_read(&mut self, id: &record::Id) {
-        let Some(flight) = &mut self.flight else {
+        let Some(in_flight) = &mut self.in_flight else {
             return;
         };
-        if id.by != self.by || id.sequence != flight.sequence {
+        if id.by != self.by || id.sequence != in_flight.sequence {
             return;
         }
-        if flight.sent {
-            flight.landed = true;
+        if in_flight.awaits_answer {
+            in_flight.read_back = true;
             return;
         }
-        self.sequence = flight.sequence;
-        self.flight = None;
+        self.sequence = in_flight.sequence;
+        self.in_flight = None;
     }
 
-    /// Takes back entries that no append has held yet and that `keep` doesn't want any more, such as a claim
-    /// whose request is past its deadline. What an append holds, or held when its answer was lost, stays: it
-    /// may be in the log.
+    /// Removes and returns the waiting entries for which `keep` does not hold, such as a claim whose request is past
+    /// its deadline. Entries of an append that is in flight, or whose answer was lost, stay, since they may be in
+    /// the log.
     pub fn retain<F>(&mut self, mut keep: F) -> Vec<record::Entry>
     where
         F: FnMut(&record::Entry) -> bool,
     {
         let waiting = std::mem::take(&mut self.waiting);
-        let (kept, dropped): (Vec<Entry>, Vec<Entry>) = waiting
+        let (kept, removed): (Vec<Entry>, Vec<Entry>) = waiting
             .into_iter()
             .partition(|waiting| keep(&waiting.entry));
-        self.bytes = kept.iter().map(|waiting| waiting.bytes).sum();
+        self.waiting_bytes = kept.iter().map(|waiting| waiting.bytes).sum();
         self.waiting = kept.into();
-        dropped.into_iter().map(|dropped| dropped.entry).collect()
+        removed.into_iter().map(|removed| removed.entry).collect()
     }
 
-    /// Entries that wait for the next batch.
+    /// The number of entries that wait for the next batch.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Entries that may be in the log and are not known to be.
+    /// The entries that may be in the log but are not known to be.
     pub fn in_flight(&self) -> impl Iterator<Item = &record::Entry> {
-        let flight = self.flight.iter();
-        flight.flat_map(|flight| flight.entries.iter().map(|entry| &entry.entry))
+        let in_flight = self.in_flight.iter();
+        in_flight.flat_map(|in_flight| in_flight.entries.iter().map(|entry| &entry.entry))
     }
 
-    /// Takes as many entries as fit into one record, and at least one.
-    fn batch(&mut self) -> Vec<Entry> {
+    /// Takes as many waiting entries as fit into one batch, but at least one if there is any.
+    fn take_batch(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
         while let Some(entry) = self.waiting.pop_front() {
@@ -223,21 +223,22 @@
                 break;
             }
             bytes += entry.bytes;
-            self.bytes -= entry.bytes;
+            self.waiting_bytes -= entry.bytes;
             entries.push(entry);
         }
         entries
     }
 
-    /// Nothing was appended: the entries wait again, in their order, and the sequence is still free.
-    fn put_back(&mut self, entries: Vec<Entry>) {
+    /// Returns the entries of a refused append to the front of the queue, in their order. The sequence number is
+    /// still unused, since nothing was appended.
+    fn requeue(&mut self, entries: Vec<Entry>) {
         for entry in entries.into_iter().rev() {
-            self.bytes += entry.bytes;
+            self.waiting_bytes += entry.bytes;
             self.waiting.push_front(entry);
         }
     }
 
-    fn body(&self, sequence: u64, entries: &[Entry]) -> String {
+    fn encode(&self, sequence: u64, entries: &[Entry]) -> String {
         let record = record::Record {
             rule: record::RULES_VERSION,
             id: record::Id {
--- a/crates/fireflywheel/tests/ledger/checkpoints.rs
+++ b/crates/fireflywheel/tests/ledger/checkpoints.rs
@@ -123,17 +123,17 @@
 fn a_damaged_checkpoint_is_refused() {
     let parts = large().checkpoint();
     let restore = ledger::Ledger::restore;
-    assert_eq!(restore(&[]), Err(checkpoint::Fault::Parts));
-    assert_eq!(restore(&parts[1..]), Err(checkpoint::Fault::Parts));
+    assert_eq!(restore(&[]), Err(checkpoint::Error::Incomplete));
+    assert_eq!(restore(&parts[1..]), Err(checkpoint::Error::Incomplete));
     let mut twice = parts.clone();
     twice[1] = parts[0].clone();
-    assert_eq!(restore(&twice), Err(checkpoint::Fault::Parts));
+    assert_eq!(restore(&twice), Err(checkpoint::Error::Incomplete));
     let mut later = parts.clone();
     later.iter_mut().for_each(|part| part.next += 1);
-    assert_eq!(restore(&later), Err(checkpoint::Fault::Parts));
+    assert_eq!(restore(&later), Err(checkpoint::Error::Incomplete));
     let mut damaged = parts;
     damaged[0].text = damaged[0].text.replacen("plain", "plane", 1);
-    assert_eq!(restore(&damaged), Err(checkpoint::Fault::Hash));
+    assert_eq!(restore(&damaged), Err(checkpoint::Error::HashMismatch));
 }
 
 /// Reads the log from `first` on in batches, as an instance that starts would.
--- a/crates/fireflywheel/tests/ledger/main.rs
+++ b/crates/fireflywheel/tests/ledger/main.rs
@@ -295,12 +295,12 @@
         log.grant("a", &order(2, "t/m@2"))
     } => Err(Reason::Cap);
     adapter_on_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "s/m@1:t")) } => Ok(());
-    adapter_without_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "t/m@1:t")) } => Err(Reason::Dependence);
+    adapter_without_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "t/m@1:t")) } => Err(Reason::Dependency);
     model_under_an_adapter: |log| {
         log.load(&order(1, "s/m@1"));
         log.load(&order(2, "s/m@1:t"));
         log.withdraw("a", &order(3, "s/m@1"))
-    } => Err(Reason::Dependence);
+    } => Err(Reason::Dependency);
     withdrawal_of_nothing: |log| log.withdraw("a", &order(1, "s/m@1")) => Err(Reason::State);
     withdrawal_of_an_open_intent: |log| {
         log.grant("a", &order(1, "s/m@1")).unwrap();
