--- a/crates/fireflywheel/tests/ledger/checkpoints.rs
+++ b/crates/fireflywheel/tests/ledger/checkpoints.rs
@@ -1,20 +1,20 @@
-//! Checkpoints of the ledger, and how an instance starts from one, from the log or from a peer.
+//! Checkpoints of the ledger, and the start of an instance from a checkpoint, from the log or from a peer.
 
 use super::*;
 
-/// A log of arbitrary entries, most of which mean something, with checkpoints in between.
+/// A log of random entries, most of which are accepted, with checkpoints in between.
 fn arbitrary_log(seed: u64, steps: usize) -> Log {
     let mut bytes = vec![0; steps * 24];
     rngs::StdRng::seed_from_u64(seed).fill_bytes(&mut bytes);
     let mut u = Unstructured::new(&bytes);
     let mut log = Log::new();
     for _ in 0..steps {
-        step(&mut log, &mut u).unwrap();
+        append_random(&mut log, &mut u).unwrap();
     }
     log
 }
 
-fn step(log: &mut Log, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+fn append_random(log: &mut Log, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let instance = *u.choose(&["a", "b"])?;
     let placements = ["s/m@1", "s/n@1", "t/n@1", "s/m@1:t", "t/m@1", "s/f@1"];
     let placement = order(0, u.choose(&placements)?);
@@ -65,7 +65,7 @@
         10 => log.publish(log.ledger.version(), &format!("{DOCUMENT}# {key}\n")),
         _ => {
             for part in log.ledger.checkpoint() {
-                let _ = log.say(instance, Entry::Checkpoint(part));
+                let _ = log.append_entry(instance, Entry::Checkpoint(part));
             }
             Ok(())
         }
@@ -73,10 +73,10 @@
     Ok(())
 }
 
-/// An instance that starts from a checkpoint must judge as all others do. A difference in a single field
-/// would show later, as two instances that both hold the one right to load.
+/// An instance that starts from a checkpoint must evaluate records as all others do. A difference in a single
+/// field would show only later, for example when two instances both hold the single right to load a model.
 #[test]
-fn a_checkpoint_and_the_tail_give_the_same_ledger() {
+fn a_restored_ledger_folds_the_rest_of_the_log_identically() {
     for seed in 0..60 {
         let log = arbitrary_log(seed, 60);
         let mut ledger = ledger::Ledger::new();
@@ -92,8 +92,8 @@
     }
 }
 
-/// A ledger of more than one part.
-fn large() -> ledger::Ledger {
+/// A ledger whose checkpoint has more than one part.
+fn large_ledger() -> ledger::Ledger {
     let mut log = Log::new();
     let note = format!("# {}\n", "ä\"\\".repeat(150));
     let text = format!("{DOCUMENT}{}", note.repeat(900));
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_checkpoint_has_parts_that_the_log_takes() {
-    let ledger = large();
+fn checkpoint_parts_fit_into_records() {
+    let ledger = large_ledger();
     let mut parts = ledger.checkpoint();
     assert!(parts.len() > 1);
     for part in &parts {
@@ -117,84 +117,87 @@
     assert_eq!(ledger::Ledger::restore(&parts).unwrap(), ledger);
 }
 
-/// A checkpoint that was cut off halfway, or of which a part was damaged, must not pass for the ledger: an
-/// instance would start with rights that are not there.
+/// A checkpoint that is incomplete or has a damaged part must not be restored: an instance would start with rights
+/// that were never granted.
 #[test]
-fn a_damaged_checkpoint_is_refused() {
-    let parts = large().checkpoint();
+fn an_incomplete_or_damaged_checkpoint_is_rejected() {
+    let parts = large_ledger().checkpoint();
     let restore = ledger::Ledger::restore;
     assert_eq!(restore(&[]), Err(checkpoint::Error::Incomplete));
     assert_eq!(restore(&parts[1..]), Err(checkpoint::Error::Incomplete));
-    let mut twice = parts.clone();
-    twice[1] = parts[0].clone();
-    assert_eq!(restore(&twice), Err(checkpoint::Error::Incomplete));
-    let mut later = parts.clone();
-    later.iter_mut().for_each(|part| part.next += 1);
-    assert_eq!(restore(&later), Err(checkpoint::Error::Incomplete));
+    let mut duplicated = parts.clone();
+    duplicated[1] = parts[0].clone();
+    assert_eq!(restore(&duplicated), Err(checkpoint::Error::Incomplete));
+    let mut shifted = parts.clone();
+    shifted.iter_mut().for_each(|part| part.next += 1);
+    assert_eq!(restore(&shifted), Err(checkpoint::Error::Incomplete));
     let mut damaged = parts;
     damaged[0].text = damaged[0].text.replacen("plain", "plane", 1);
     assert_eq!(restore(&damaged), Err(checkpoint::Error::HashMismatch));
 }
 
-/// Reads the log from `first` on in batches, as an instance that starts would.
-fn start(
+/// Reads the log in batches, as a starting instance does. The log retains the records from `first` on.
+fn run_bootstrap(
     log: &Log,
     first: usize,
-    mut start: bootstrap::Bootstrap,
+    mut bootstrap: bootstrap::Bootstrap,
 ) -> (bootstrap::Bootstrap, Option<ledger::Ledger>) {
     let end = log.stored.len();
     loop {
-        if let Some(ledger) = start.build_ledger().unwrap() {
-            return (start, Some(ledger));
+        if let Some(ledger) = bootstrap.build_ledger().unwrap() {
+            return (bootstrap, Some(ledger));
         }
-        let Some(from) = start.read_from() else {
-            return (start, None);
+        let Some(from) = bootstrap.read_from() else {
+            return (bootstrap, None);
         };
         let from = first.max(usize::try_from(from).unwrap());
         let records = log.stored[from..end.min(from + 7)].to_vec();
-        start.add_records(first as u64, end as u64, records);
+        bootstrap.add_records(first as u64, end as u64, records);
     }
 }
 
-fn follow(log: &Log, ledger: &mut ledger::Ledger) {
+fn fold_rest(log: &Log, ledger: &mut ledger::Ledger) {
     let from = usize::try_from(ledger.next()).unwrap();
     for stored in &log.stored[from..] {
         ledger.fold(stored).unwrap();
     }
 }
 
-/// The log drops old records, and instances are replaced all the time. Whatever is still retained, one that
-/// starts either ends with the very ledger of the others, or says that it can't: never with an older
-/// configuration, and never with one made from a part of the records.
+/// The log drops old records, and instances are replaced all the time. Whatever the log still retains, a starting
+/// instance either reaches the same ledger as the others or reports that it cannot. It never starts with an older
+/// configuration or with a ledger built from a part of the records.
 #[test]
-fn a_start_finds_the_newest_checkpoint_that_joins() {
+fn bootstrap_finds_the_newest_checkpoint_that_the_log_continues() {
     let (mut started, mut waiting) = (0, 0);
     for seed in 0..40 {
         let log = arbitrary_log(seed, 60);
         for first in [0, 1, log.stored.len() / 2, log.stored.len()] {
-            let (start, ledger) = start(&log, first, bootstrap::Bootstrap::new());
+            let (bootstrap, ledger) = run_bootstrap(&log, first, bootstrap::Bootstrap::new());
             let Some(mut ledger) = ledger else {
                 let first = first as u64;
-                assert_eq!(start.waiting(), bootstrap::Waiting::NoCheckpoint { first });
+                assert_eq!(
+                    bootstrap.waiting(),
+                    bootstrap::Waiting::NoCheckpoint { first }
+                );
                 waiting += 1;
                 continue;
             };
             assert!(first == 0 || ledger.next() >= first as u64, "seed {seed}");
-            follow(&log, &mut ledger);
+            fold_rest(&log, &mut ledger);
             assert_eq!(ledger, log.ledger, "seed {seed}");
             started += 1;
         }
     }
     assert!(
         started > 60 && waiting > 40,
-        "{started} started, {waiting} wait"
+        "{started} instances started, {waiting} have no checkpoint"
     );
 }
 
-/// An instance was cut off until the log no longer held its next record. It goes on from a checkpoint, but
-/// only from one that goes further: an older one would bring back a configuration that operators replaced.
+/// An instance is cut off until the log no longer holds its next record. It continues from a checkpoint, but only
+/// from one that covers more: an older one would restore a configuration that operators replaced.
 #[test]
-fn a_ledger_held_is_never_replaced_by_an_older_one() {
+fn a_ledger_is_never_replaced_by_an_older_one() {
     for seed in 0..40 {
         let log = arbitrary_log(seed, 60);
         let mut held = ledger::Ledger::new();
@@ -206,58 +209,61 @@
             }
         }
         let (next, version) = (held.next(), held.version());
-        let mut ended = bootstrap::Bootstrap::resume_from(next);
+        let mut bootstrap = bootstrap::Bootstrap::resume_from(next);
         for part in older.checkpoint() {
-            ended.add_part(part);
+            bootstrap.add_part(part);
         }
-        assert_eq!(ended.build_ledger(), Ok(None));
+        assert_eq!(bootstrap.build_ledger(), Ok(None));
         assert!(held.replace(older).is_err());
         assert_eq!((held.next(), held.version()), (next, version));
         let first = usize::try_from(next).unwrap() + 1;
-        if let (_, Some(newer)) = start(&log, first, ended) {
+        if let (_, Some(newer)) = run_bootstrap(&log, first, bootstrap) {
             held.replace(newer).unwrap();
             assert!(
                 held.next() > next && held.version() >= version,
                 "seed {seed}"
             );
-            follow(&log, &mut held);
+            fold_rest(&log, &mut held);
             assert_eq!(held, log.ledger, "seed {seed}");
         }
     }
 }
 
-/// The log is down when an instance starts. A peer hands over its ledger, so callers are served with the
-/// newest configuration at once.
+/// The log is down when an instance starts. A peer sends its ledger, so callers are served with the newest
+/// configuration at once.
 #[test]
-fn a_start_from_a_peer_needs_no_log() {
-    let ledger = large();
-    let mut start = bootstrap::Bootstrap::new();
-    assert_eq!(start.waiting(), bootstrap::Waiting::NoResponse);
+fn bootstrap_from_a_peer_needs_no_log() {
+    let ledger = large_ledger();
+    let mut bootstrap = bootstrap::Bootstrap::new();
+    assert_eq!(bootstrap.waiting(), bootstrap::Waiting::NoResponse);
     for part in ledger.checkpoint() {
-        assert_eq!(start.build_ledger(), Ok(None));
-        start.add_part(part);
+        assert_eq!(bootstrap.build_ledger(), Ok(None));
+        bootstrap.add_part(part);
     }
-    assert_eq!(start.build_ledger(), Ok(Some(ledger)));
+    assert_eq!(bootstrap.build_ledger(), Ok(Some(ledger)));
 }
 
-/// Instances die halfway through a checkpoint, over and over. What they left must not fill the memory of
-/// one that reads the log, nor hide the whole checkpoint among it.
+/// Instances repeatedly die halfway through writing a checkpoint. The parts they leave behind must neither fill the
+/// memory of an instance that reads the log nor displace a checkpoint that becomes complete.
 #[test]
 fn abandoned_checkpoints_are_dropped() {
-    let whole = large().checkpoint();
-    let mut start = bootstrap::Bootstrap::new();
-    start.add_part(whole[0].clone());
+    let complete = large_ledger().checkpoint();
+    let mut bootstrap = bootstrap::Bootstrap::new();
+    bootstrap.add_part(complete[0].clone());
     for next in 0..1000 {
-        let mut abandoned = whole[0].clone();
+        let mut abandoned = complete[0].clone();
         abandoned.next = next % 2;
         abandoned.hash = SmolStr::new(next.to_string());
-        start.add_part(abandoned);
+        bootstrap.add_part(abandoned);
     }
-    for part in &whole[1..] {
-        start.add_part(part.clone());
+    for part in &complete[1..] {
+        bootstrap.add_part(part.clone());
     }
     assert_eq!(
-        start.build_ledger().unwrap().map(|ledger| ledger.next()),
-        Some(whole[0].next)
+        bootstrap
+            .build_ledger()
+            .unwrap()
+            .map(|ledger| ledger.next()),
+        Some(complete[0].next)
     );
 }
--- a/crates/fireflywheel/tests/ledger/main.rs
+++ b/crates/fireflywheel/tests/ledger/main.rs
@@ -1,8 +1,8 @@
-//! The fold, case by case; rules that show over several records; checkpoints, and how an instance starts.
+//! The fold of single entries, rules that span several records, checkpoints, and the start of an instance.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests, which the linter does not know as such"
+    reason = "test helpers, which the linter does not recognize as test code"
 )]
 
 mod checkpoints;
@@ -23,7 +23,7 @@
 
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Two groups of engines, one that fences and one that doesn't, and two keys at most.
+/// Two groups of engines, of which one checks fencing numbers, and at most two idempotency keys.
 const DOCUMENT: &str = "\
 [serving]
 keys = 2
@@ -84,7 +84,7 @@
         }
     }
 
-    /// With the document, and `a` as the steward of both groups.
+    /// Creates a log with the document and with `a` as the steward of both groups.
     fn new() -> Self {
         let mut log = Self::empty();
         log.publish(0, DOCUMENT).unwrap();
@@ -96,10 +96,10 @@
 
     fn append(&mut self, id: record::Id, entries: Vec<Entry>) -> Vec<ledger::Decision> {
         let rule = record::RULES_VERSION;
-        self.land(record::Record { rule, id, entries }.encode())
+        self.append_body(record::Record { rule, id, entries }.encode())
     }
 
-    fn land(&mut self, body: String) -> Vec<ledger::Decision> {
+    fn append_body(&mut self, body: String) -> Vec<ledger::Decision> {
         let before = self.ledger.clone();
         let stored = record::Stored {
             offset: self.ledger.next(),
@@ -110,10 +110,10 @@
         invariant::check_step(&before, &self.ledger).unwrap();
         self.stored.push(stored);
         let entries = folded.into_iter().flat_map(|folded| folded.entries);
-        entries.map(|(_, judgement)| judgement).collect()
+        entries.map(|(_, decision)| decision).collect()
     }
 
-    fn say(&mut self, instance: &str, entry: Entry) -> Result<(), Reason> {
+    fn append_entry(&mut self, instance: &str, entry: Entry) -> Result<(), Reason> {
         self.sequence += 1;
         match self.append(id(instance, self.sequence), vec![entry])[..] {
             [ledger::Decision::Accepted] => Ok(()),
@@ -124,20 +124,20 @@
 
     fn publish(&mut self, base: u64, text: &str) -> Result<(), Reason> {
         let text = text.to_owned();
-        self.say("operator/desk", Entry::Publish { base, text })
+        self.append_entry("operator/desk", Entry::Publish { base, text })
     }
 
     fn steward(&mut self, instance: &str, group: &str, epoch: u64) -> Result<(), Reason> {
         let group = SmolStr::new(group);
-        self.say(instance, Entry::Steward { group, epoch })
+        self.append_entry(instance, Entry::Steward { group, epoch })
     }
 
     fn grant(&mut self, instance: &str, order: &record::Order) -> Result<(), Reason> {
-        self.say(instance, Entry::Grant(order.clone()))
+        self.append_entry(instance, Entry::Grant(order.clone()))
     }
 
     fn withdraw(&mut self, instance: &str, order: &record::Order) -> Result<(), Reason> {
-        self.say(instance, Entry::Withdraw(order.clone()))
+        self.append_entry(instance, Entry::Withdraw(order.clone()))
     }
 
     fn close(
@@ -149,7 +149,7 @@
         stray: bool,
     ) -> Result<(), Reason> {
         let order = order.clone();
-        self.say(
+        self.append_entry(
             instance,
             Entry::Close {
                 order,
@@ -166,7 +166,7 @@
     }
 
     fn acknowledge(&mut self, instance: &str, epoch: u64, stray: &[u64]) -> Result<(), Reason> {
-        self.say(
+        self.append_entry(
             instance,
             Entry::Acknowledge {
                 group: SmolStr::new("plain"),
@@ -177,7 +177,7 @@
     }
 
     fn gone(&mut self, instance: &str, epoch: u64, server: &str, seen: u64) -> Result<(), Reason> {
-        self.say(
+        self.append_entry(
             instance,
             Entry::Gone {
                 group: SmolStr::new("plain"),
@@ -191,12 +191,12 @@
     fn claim(&mut self, instance: &str, key: &str) -> Result<(), Reason> {
         let key = claim_key(key);
         let fingerprint = 1;
-        self.say(instance, Entry::Claim { key, fingerprint })
+        self.append_entry(instance, Entry::Claim { key, fingerprint })
     }
 
     fn settle(&mut self, instance: &str, key: &str, outcome: claim::Outcome) -> Result<(), Reason> {
         let key = claim_key(key);
-        self.say(instance, Entry::Settle { key, outcome })
+        self.append_entry(instance, Entry::Settle { key, outcome })
     }
 
     fn state(&self, order: &record::Order) -> Option<right::State> {
@@ -228,7 +228,7 @@
     }
 }
 
-/// An order of epoch 1 in the group of its model, on `SERVER/ITEM`.
+/// An order of epoch 1 in the group of its model, for the placement `SERVER/ITEM`.
 fn order(number: u64, placement: &str) -> record::Order {
     order_of(1, number, placement)
 }
@@ -250,33 +250,33 @@
 
 const NOT_RUN: claim::Outcome = claim::Outcome::Failed(verdict::Verdict::NotRun);
 
-/// Each case takes a log with a document and a steward, and ends with what a last entry is judged to be.
-macro_rules! judged {
-    ($($name:ident: |$log:ident| $last:expr => $judgement:expr;)+) => {
-        mod judged {
+/// Each case starts with a log that has a document and a steward, and states the decision on its last entry.
+macro_rules! decisions {
+    ($($name:ident: |$log:ident| $last:expr => $expected:expr;)+) => {
+        mod decisions {
             use super::*;
             $(
                 #[test]
                 fn $name() {
                     let mut $log = Log::new();
-                    let judgement = $last;
-                    assert_eq!(judgement, $judgement);
+                    let decision = $last;
+                    assert_eq!(decision, $expected);
                 }
             )+
         }
     };
 }
 
-judged! {
-    publication_on_the_newest: |log| log.publish(1, DOCUMENT) => Ok(());
-    publication_on_an_older_one: |log| { log.publish(1, DOCUMENT).unwrap(); log.publish(1, DOCUMENT) } => Err(Reason::Base);
-    publication_with_faults: |log| log.publish(1, "[serving]\nkeys = lots\n") => Err(Reason::Document);
-    operators_do_nothing_else: |log| log.claim("operator/desk", "k") => Err(Reason::Writer);
+decisions! {
+    publication_on_the_newest_version: |log| log.publish(1, DOCUMENT) => Ok(());
+    publication_on_an_older_version: |log| { log.publish(1, DOCUMENT).unwrap(); log.publish(1, DOCUMENT) } => Err(Reason::Base);
+    publication_of_an_invalid_document: |log| log.publish(1, "[serving]\nkeys = lots\n") => Err(Reason::Document);
+    operators_may_only_publish: |log| log.claim("operator/desk", "k") => Err(Reason::Writer);
     epoch_after_the_newest: |log| log.steward("b", "plain", 2) => Ok(());
-    epoch_that_is_taken: |log| { log.steward("b", "plain", 2).unwrap(); log.steward("c", "plain", 2) } => Err(Reason::Epoch);
+    epoch_that_is_already_held: |log| { log.steward("b", "plain", 2).unwrap(); log.steward("c", "plain", 2) } => Err(Reason::Epoch);
     epoch_of_an_unknown_group: |log| log.steward("a", "other", 1) => Err(Reason::Unknown);
     grant: |log| log.grant("a", &order(1, "s/m@1")) => Ok(());
-    grant_by_another: |log| log.grant("b", &order(1, "s/m@1")) => Err(Reason::Epoch);
+    grant_by_another_instance: |log| log.grant("b", &order(1, "s/m@1")) => Err(Reason::Epoch);
     grant_of_an_old_epoch: |log| { log.steward("a", "plain", 2).unwrap(); log.grant("a", &order(1, "s/m@1")) } => Err(Reason::Epoch);
     grant_with_an_old_number: |log| { log.load(&order(2, "s/m@1")); log.grant("a", &order(2, "t/n@1")) } => Err(Reason::Number);
     grant_of_another_version: |log| log.grant("a", &order(1, "s/m@2")) => Err(Reason::Unknown);
@@ -294,24 +294,24 @@
         log.publish(1, &next).unwrap();
         log.grant("a", &order(2, "t/m@2"))
     } => Err(Reason::Cap);
-    adapter_on_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "s/m@1:t")) } => Ok(());
-    adapter_without_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "t/m@1:t")) } => Err(Reason::Dependency);
-    model_under_an_adapter: |log| {
+    grant_of_an_adapter_on_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "s/m@1:t")) } => Ok(());
+    grant_of_an_adapter_without_its_model: |log| { log.load(&order(1, "s/m@1")); log.grant("a", &order(2, "t/m@1:t")) } => Err(Reason::Dependency);
+    withdrawal_of_a_model_with_an_adapter: |log| {
         log.load(&order(1, "s/m@1"));
         log.load(&order(2, "s/m@1:t"));
         log.withdraw("a", &order(3, "s/m@1"))
     } => Err(Reason::Dependency);
-    withdrawal_of_nothing: |log| log.withdraw("a", &order(1, "s/m@1")) => Err(Reason::State);
+    withdrawal_of_an_empty_placement: |log| log.withdraw("a", &order(1, "s/m@1")) => Err(Reason::State);
     withdrawal_of_an_open_intent: |log| {
         log.grant("a", &order(1, "s/m@1")).unwrap();
         log.withdraw("a", &order(2, "s/m@1"))
     } => Err(Reason::State);
-    unloading_is_still_counted: |log| {
+    unloading_replica_is_still_counted: |log| {
         log.load(&order(1, "s/m@1"));
         log.withdraw("a", &order(2, "s/m@1")).unwrap();
         log.grant("a", &order(3, "t/m@1"))
     } => Err(Reason::Cap);
-    unloaded_is_not: |log| {
+    unloaded_replica_is_not_counted: |log| {
         log.load(&order(1, "s/m@1"));
         log.withdraw("a", &order(2, "s/m@1")).unwrap();
         log.close("a", &order(2, "s/m@1"), 1, false, false).unwrap();
@@ -326,45 +326,45 @@
         log.steward("b", "plain", 2).unwrap();
         log.close("a", &order(1, "s/m@1"), 1, true, false)
     } => Err(Reason::Epoch);
-    close_by_the_heir: |log| {
+    close_by_the_successor: |log| {
         log.grant("a", &order(1, "s/m@1")).unwrap();
         log.steward("b", "plain", 2).unwrap();
         log.close("b", &order(1, "s/m@1"), 2, true, false)
     } => Ok(());
     acknowledgement_of_the_newest_epoch: |log| log.acknowledge("a", 1, &[]) => Err(Reason::Epoch);
-    release_without_leave: |log| {
+    release_that_the_document_does_not_allow: |log| {
         log.grant("a", &order(1, "s/m@1")).unwrap();
         log.steward("b", "plain", 2).unwrap();
         let key = order(1, "s/m@1");
-        log.say("b", Entry::Release { group: key.group, epoch: 2, server: key.server, item: key.item })
+        log.append_entry("b", Entry::Release { group: key.group, epoch: 2, server: key.server, item: key.item })
     } => Err(Reason::Pinned);
     claim: |log| log.claim("a", "k") => Ok(());
-    claim_that_is_taken: |log| { log.claim("a", "k").unwrap(); log.claim("b", "k") } => Err(Reason::Claim);
-    claim_of_ones_own: |log| { log.claim("a", "k").unwrap(); log.claim("a", "k") } => Err(Reason::Claim);
+    claim_of_a_key_held_by_another: |log| { log.claim("a", "k").unwrap(); log.claim("b", "k") } => Err(Reason::Claim);
+    claim_of_a_key_held_by_the_writer: |log| { log.claim("a", "k").unwrap(); log.claim("a", "k") } => Err(Reason::Claim);
     claim_after_not_run: |log| {
         log.claim("a", "k").unwrap();
         log.settle("a", "k", NOT_RUN).unwrap();
         log.claim("b", "k")
     } => Ok(());
-    claim_after_its_time: |log| {
+    claim_after_expiry: |log| {
         log.claim("a", "k").unwrap();
         log.settle("a", "k", RAN).unwrap();
         log.time_ms += 3_600_000;
         log.claim("b", "k")
     } => Ok(());
-    claim_just_before: |log| {
+    claim_just_before_expiry: |log| {
         log.claim("a", "k").unwrap();
         log.settle("a", "k", RAN).unwrap();
         log.time_ms += 3_599_999;
         log.claim("b", "k")
     } => Err(Reason::Claim);
-    claim_beyond_the_limit: |log| {
+    claim_beyond_the_key_limit: |log| {
         log.claim("a", "k").unwrap();
         log.claim("a", "l").unwrap();
         log.claim("a", "m")
     } => Err(Reason::Full);
-    settling_for_another: |log| { log.claim("a", "k").unwrap(); log.settle("b", "k", RAN) } => Err(Reason::Claim);
-    settling_twice: |log| {
+    settlement_of_another_instances_claim: |log| { log.claim("a", "k").unwrap(); log.settle("b", "k", RAN) } => Err(Reason::Claim);
+    second_settlement: |log| {
         log.claim("a", "k").unwrap();
         log.settle("a", "k", RAN).unwrap();
         log.settle("a", "k", NOT_RUN)
--- a/crates/fireflywheel/tests/ledger/rules.rs
+++ b/crates/fireflywheel/tests/ledger/rules.rs
@@ -1,9 +1,10 @@
-//! Rules that show over several records: claims, late copies, pins, and what is gone.
+//! Rules that span several records: claims, late copies, pins, and servers that are gone.
 
 use super::*;
 
-/// An instance claims a booking's key and is paused before it sends. Days later its caller tries again at
-/// another instance. Were the key forgotten by then, both would book, and the deposit be taken twice.
+/// An instance claims the key of a booking and is paused before it sends the request. Days later, the caller retries
+/// at another instance. If the key had expired by then, both instances would book, and the deposit would be taken
+/// twice.
 #[test]
 fn an_open_claim_never_expires() {
     let mut log = Log::new();
@@ -13,10 +14,11 @@
     assert_eq!(log.settle("a", "k", RAN), Ok(()));
 }
 
-/// A claim's append is lost, its caller is refused, and the same key is claimed and settled elsewhere. The
-/// lost copy lands after that, twice. It must not free or replace what is known of the key.
+/// The answer to the append of a claim is lost, and copies of the record are stored later: one after the claim was
+/// settled, and one after another instance claimed the key. The copies must neither open the claim again nor replace
+/// the other instance's claim.
 #[test]
-fn a_late_copy_is_judged_once() {
+fn a_late_copy_is_not_evaluated_again() {
     let mut log = Log::new();
     let key = claim_key("k");
     let fingerprint = 1;
@@ -35,10 +37,10 @@
     assert_eq!(log.ledger.sequence(&by("c")), 2);
 }
 
-/// A copy of a record lands months after its process ended and was forgotten. Nothing tells the ledger any
-/// more that it took the record, but the process is too old to be new.
+/// A copy of a record is appended a month after its process ended and was removed from the ledger. The ledger no
+/// longer knows that it folded the record, but the incarnation is too old to be new.
 #[test]
-fn a_forgotten_incarnation_stays_void() {
+fn a_removed_incarnation_stays_rejected() {
     let mut log = Log::new();
     log.claim("c", "k").unwrap();
     log.settle("c", "k", NOT_RUN).unwrap();
@@ -55,15 +57,19 @@
         },
         Vec::new(),
     );
-    assert_eq!(log.ledger.sequence(&by("c")), 0, "forgotten");
+    assert_eq!(
+        log.ledger.sequence(&by("c")),
+        0,
+        "the incarnation was removed"
+    );
     assert_eq!(log.claim("c", "k"), Err(Reason::Expired));
     assert_eq!(log.ledger.claim_count(), 0);
 }
 
-/// Operators publish thousands of times a day, each time from a process of its own. If each left a line in
-/// the ledger, checkpoints would grow until they no longer fit.
+/// Operators publish thousands of times a day, each time from a new process. If the ledger kept an entry for each
+/// process, checkpoints would grow until they exceeded their size limit.
 #[test]
-fn publications_leave_no_trace_but_the_newest() {
+fn publications_do_not_grow_the_checkpoint() {
     let mut log = Log::new();
     let length = |log: &Log| log.ledger.checkpoint()[0].text.len();
     let before = length(&log);
@@ -73,12 +79,12 @@
     assert!(length(&log) <= before + 4);
 }
 
-/// A steward is paused with an order to load in hand, and replaced. Its successor finds nothing loaded and
-/// gives the room away; then the order is sent after all, and two replicas are loaded where one is allowed.
-/// The placement stays counted until the old steward says that it has stopped, and then until the engine was
-/// asked once more, since the order may have come through just before.
+/// A steward is paused before it sends a load order, and is replaced. If its successor, which finds nothing loaded,
+/// could grant the replica elsewhere, the old order would still be sent, and two replicas would be loaded where one
+/// is allowed. The placement therefore stays counted until the old steward states that it sends no more orders, and
+/// then until the engine has answered once more, since the order may have arrived just before.
 #[test]
-fn a_pinned_placement_is_counted_until_it_was_looked_at() {
+fn a_pinned_placement_is_counted_until_it_is_verified() {
     let mut log = Log::new();
     let (late, elsewhere) = (order(1, "s/m@1"), order_of(2, 1, "t/m@1"));
     log.grant("a", &late).unwrap();
@@ -91,23 +97,23 @@
     assert_eq!(
         log.pins(&late).len(),
         1,
-        "it says that the order may still arrive"
+        "the acknowledgement names the order as one that may still arrive"
     );
     log.acknowledge("b", 1, &[]).unwrap();
-    assert_eq!(log.pins(&late).len(), 1, "it was not b's order");
+    assert_eq!(log.pins(&late).len(), 1, "the order is not b's");
     log.acknowledge("a", 1, &[]).unwrap();
     assert_eq!(log.grant("b", &elsewhere), Err(Reason::Cap));
-    let look = order_of(2, 2, "s/m@1");
-    log.withdraw("b", &look).unwrap();
-    log.close("b", &look, 2, false, false).unwrap();
+    let verification = order_of(2, 2, "s/m@1");
+    log.withdraw("b", &verification).unwrap();
+    log.close("b", &verification, 2, false, false).unwrap();
     assert_eq!(log.state(&late), None);
     assert_eq!(log.grant("b", &order_of(2, 3, "t/m@1")), Ok(()));
 }
 
-/// A pin ends while an order is on its way to look. The engine may have answered before the late order came
-/// through, so that answer gives nothing free.
+/// A pin ends while a query is on its way. The engine may have answered the query before the late order arrived, so
+/// that answer does not free the placement.
 #[test]
-fn an_answer_from_before_the_pins_end_frees_nothing() {
+fn an_answer_from_before_the_pins_end_does_not_free_the_placement() {
     let mut log = Log::new();
     let late = order(1, "s/m@1");
     log.grant("a", &late).unwrap();
@@ -117,10 +123,11 @@
     assert_eq!(log.state(&late), Some(right::State::Empty));
 }
 
-/// A steward takes its own group anew, and says that the newer of its epochs left nothing behind. The older
-/// one may have: found by the search, where this freed a placement that a late order then loaded.
+/// A steward becomes the steward of its group again in two newer epochs, and acknowledges that the first of these
+/// left no order behind. The oldest epoch may have left one. If the acknowledgement ended its pin, a placement would
+/// be freed that a late order then loads. The random search found this fault.
 #[test]
-fn an_acknowledgement_is_for_one_epoch() {
+fn an_acknowledgement_ends_pins_of_its_epoch_only() {
     let mut log = Log::new();
     let late = order(1, "s/m@1");
     log.grant("a", &late).unwrap();
@@ -131,10 +138,10 @@
     assert_eq!(log.pins(&late), [(SmolStr::new("a"), 1, 1)]);
 }
 
-/// An order's answer is lost, and its repeat answered. The first copy may still wait in a frozen engine, and
+/// The answer to an order is lost, and the retry is answered. The first copy may still wait in a frozen engine and
 /// load the model again after it was unloaded and loaded elsewhere.
 #[test]
-fn a_stray_order_leaves_a_pin() {
+fn a_load_order_with_a_lost_answer_leaves_a_pin() {
     let mut log = Log::new();
     let stray = order(1, "s/m@1");
     log.grant("a", &stray).unwrap();
@@ -145,20 +152,20 @@
     assert_eq!(
         log.pins(&stray),
         [(SmolStr::new("a"), 1, 1)],
-        "an unload needs none"
+        "an unload order needs no pin"
     );
     assert_eq!(log.grant("a", &order(3, "t/m@1")), Err(Reason::Cap));
     assert_eq!(
         log.grant("a", &order(4, "s/m@1")),
         Ok(()),
-        "the same placement may be used"
+        "the model may be loaded again on the same server"
     );
 }
 
-/// Engines that check refuse the paused steward's order once they have answered its successor, so the
-/// successor's first answer frees the room, and nobody waits for a process that may be dead.
+/// An engine that checks fencing numbers refuses the paused steward's order once it has answered the successor. The
+/// first answer therefore frees the placement, without waiting for a process that may be dead.
 #[test]
-fn an_answer_of_a_newer_epoch_shuts_out_older_orders() {
+fn an_answer_to_a_newer_epoch_ends_older_pins() {
     let mut log = Log::new();
     let late = order(1, "s/f@1");
     log.grant("a", &late).unwrap();
@@ -168,10 +175,10 @@
     assert_eq!(log.grant("b", &order_of(2, 1, "t/f@1")), Ok(()));
 }
 
-/// A backend server is reclaimed, and another starts at its address. A steward that saw the first one gone
-/// says so late, after the second has loaded a model; that replica must stay counted.
+/// A backend server is reclaimed, and another starts at its address. The steward that saw that the first one was gone
+/// reports it late, after the second one has loaded a model. That replica must stay counted.
 #[test]
-fn gone_takes_along_only_what_was_seen() {
+fn gone_does_not_affect_rights_that_changed_later() {
     let mut log = Log::new();
     log.load(&order(1, "s/n@1"));
     let seen = log.ledger.next();
@@ -182,8 +189,8 @@
     assert_eq!(log.state(&order(1, "s/n@1")), None);
 }
 
-/// A backend server is reclaimed while an order to load is on its way. The order may reach whatever starts
-/// at the address next.
+/// A backend server is reclaimed while a load order is on its way. The order may reach the next process at the
+/// address.
 #[test]
 fn gone_pins_an_open_intent() {
     let mut log = Log::new();
@@ -194,10 +201,10 @@
     assert_eq!(log.pins(&open), [(SmolStr::new("a"), 1, 1)]);
 }
 
-/// An operator decides that a pin ends after a minute of log time, and takes the risk of a later order. The
-/// minute runs from the end of the epoch, and no instance's clock is asked.
+/// An operator configures that pins may be released after one minute of log time, and accepts the risk that an order
+/// arrives later. The minute starts at the end of the epoch, and no instance's clock is used.
 #[test]
-fn release_goes_by_log_time() {
+fn pins_are_released_by_log_time() {
     let mut log = Log::new();
     let text = DOCUMENT.replace("[group plain]\n", "[group plain]\npin_release = 60\n");
     log.publish(1, &text).unwrap();
@@ -211,16 +218,16 @@
         item: late.item.clone(),
     };
     log.time_ms += 59_999;
-    assert_eq!(log.say("b", release.clone()), Err(Reason::Pinned));
+    assert_eq!(log.append_entry("b", release.clone()), Err(Reason::Pinned));
     log.time_ms += 1;
-    assert_eq!(log.say("b", release), Ok(()));
+    assert_eq!(log.append_entry("b", release), Ok(()));
     assert_eq!(log.pins(&late), []);
 }
 
-/// Operators lower a cap and drop a model while replicas are loaded. These go on answering until they are
-/// unloaded; the ledger must not lose count of them.
+/// Operators lower a cap while replicas are loaded. The replicas keep serving until they are unloaded, so the ledger
+/// must keep counting them.
 #[test]
-fn a_document_voids_no_right() {
+fn a_new_document_does_not_revoke_rights() {
     let mut log = Log::new();
     log.load(&order(1, "s/n@1"));
     let text = DOCUMENT.replace("replicas = 2", "replicas = 0");
@@ -230,10 +237,10 @@
 }
 
 #[test]
-fn foreign_bodies_are_passed_over_and_gaps_are_not() {
+fn foreign_bodies_are_skipped_and_gaps_are_rejected() {
     let mut log = Log::new();
     for body in ["", "{}", "hello", "{\"rule\":99}", "[1]"] {
-        assert_eq!(log.land(body.to_owned()), []);
+        assert_eq!(log.append_body(body.to_owned()), []);
     }
     let next = log.ledger.next();
     let stored = record::Stored {
@@ -247,10 +254,10 @@
     assert_eq!(log.ledger.next(), next);
 }
 
-/// During an upgrade a newer instance appends an entry that this build can't read. Passing it over would
-/// leave the two with different ledgers, and both sure of themselves.
+/// During an upgrade, a newer instance appends an entry that this build cannot read. If this build skipped it, the two
+/// instances would hold different ledgers without noticing.
 #[test]
-fn a_newer_rule_halts_the_ledger() {
+fn newer_rules_stop_the_fold() {
     let mut log = Log::new();
     let newer = r#"{"rule":2,"id":{"by":{"instance":"z","number":1},"sequence":1},"entries":[{"Teleport":{}}]}"#;
     let stored = record::Stored {
@@ -262,10 +269,10 @@
         log.ledger.fold(&stored),
         Err(ledger::FoldError::UnsupportedRules(2))
     );
-    let mut start = bootstrap::Bootstrap::new();
-    start.add_records(stored.offset, stored.offset + 1, vec![stored]);
+    let mut bootstrap = bootstrap::Bootstrap::new();
+    bootstrap.add_records(stored.offset, stored.offset + 1, vec![stored]);
     assert_eq!(
-        start.build_ledger(),
+        bootstrap.build_ledger(),
         Err(ledger::FoldError::UnsupportedRules(2))
     );
 }
--- a/crates/fireflywheel/tests/search/actor.rs
+++ b/crates/fireflywheel/tests/search/actor.rs
@@ -1,4 +1,4 @@
-//! An instance of a search run, by the rules for stewards. It acts on what it has read, however old that is.
+//! An instance of a search run, which follows the rules for stewards. It acts on what it has read, however old.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,42 +8,45 @@
 use fireflywheel::{document, item, ledger, order, record, right, writer};
 use smol_str::SmolStr;
 
-use super::world::{Copy, Outcome, Rule, Source, World};
+use super::world::{Outcome, Random, Rule, SentOrder, World};
 
 /// An instance.
 pub struct Actor {
     by: record::Incarnation,
-    /// Records read.
-    read: usize,
+    /// The number of records that the instance has read.
+    read_count: usize,
     writer: writer::Writer,
-    roles: BTreeMap<SmolStr, Role>,
+    stewards: BTreeMap<SmolStr, Steward>,
     retired: Vec<Retired>,
-    /// Servers seen gone, and the first offset not read then; until that is read back.
+    /// Servers that were seen to be gone, with the first offset that was not read then, until the entry that releases
+    /// their replicas is read back.
     gone: BTreeMap<SmolStr, u64>,
 }
 
 /// The steward of a group in one epoch.
-struct Role {
+struct Steward {
     epoch: u64,
     number: u64,
-    sending: u32,
-    flights: BTreeMap<Intent, Flight>,
+    attempt: u32,
+    in_flight: BTreeMap<Intent, InFlight>,
+    /// Intents of the load orders without an answer, by attempt number.
     unanswered: BTreeMap<u32, Intent>,
-    /// Intents of which an answer was late or lost, so that a later order overtook it.
-    lost: BTreeSet<Intent>,
+    /// Intents with an order whose answer was late or lost, so that a later attempt may have overtaken it.
+    timed_out: BTreeSet<Intent>,
 }
 
-/// Epoch and number of an intent.
+/// The epoch and number of an intent.
 type Intent = (u64, u64);
 
-/// How far the order of an open intent is.
+/// The state of the order of an open intent.
 #[derive(Default)]
-struct Flight {
+struct InFlight {
+    /// The number of the newest attempt, while its answer is awaited.
     newest: Option<u32>,
-    closing: bool,
+    is_closing: bool,
 }
 
-/// An epoch that is over.
+/// A steward whose epoch has ended.
 struct Retired {
     group: SmolStr,
     epoch: u64,
@@ -57,7 +60,7 @@
         record::Entry::Acknowledge {
             group: self.group.clone(),
             epoch: self.epoch,
-            stray: if world.has(Rule::NameStrays) {
+            stray: if world.has(Rule::AcknowledgeStrays) {
                 stray
             } else {
                 Vec::new()
@@ -75,25 +78,25 @@
         Self {
             writer: writer::Writer::new(by.clone()),
             by,
-            read: world.folded.len(),
-            roles: BTreeMap::new(),
+            read_count: world.folded.len(),
+            stewards: BTreeMap::new(),
             retired: Vec::new(),
             gone: BTreeMap::new(),
         }
     }
 
-    /// Whether it believes to serve a group.
+    /// Whether the instance believes to be the steward of a group.
     pub fn is_steward(&self) -> bool {
-        !self.roles.is_empty()
+        !self.stewards.is_empty()
     }
 
-    /// The process dies, and another starts under the same name.
+    /// Replaces the process by another one with the same name.
     pub fn restart(&mut self, world: &World) {
         *self = Self::new(&self.by.instance.clone(), self.by.number + 1, world);
     }
 
-    fn view(&self, world: &World) -> Rc<ledger::Ledger> {
-        Rc::clone(&world.ledgers[self.read])
+    fn ledger(&self, world: &World) -> Rc<ledger::Ledger> {
+        Rc::clone(&world.ledgers[self.read_count])
     }
 
     fn push(&mut self, entry: record::Entry) {
@@ -102,82 +105,82 @@
 
     /// Reads one record.
     pub fn read(&mut self, world: &World) {
-        let Some(folded) = world.folded.get(self.read) else {
+        let Some(folded) = world.folded.get(self.read_count) else {
             return;
         };
-        self.read += 1;
+        self.read_count += 1;
         let Some(folded) = folded else { return };
         self.writer.record_read(&folded.id);
-        for (entry, judgement) in &folded.entries {
+        for (entry, decision) in &folded.entries {
             if let (record::Entry::Gone { server, .. }, true) = (entry, folded.id.by == self.by) {
                 self.gone.remove(server);
             }
-            if *judgement == ledger::Decision::Accepted
+            if *decision == ledger::Decision::Accepted
                 && let record::Entry::Steward { group, epoch } = entry
             {
-                self.follow(world, group, *epoch, folded.id.by == self.by);
+                self.handle_epoch(world, group, *epoch, folded.id.by == self.by);
             }
         }
     }
 
-    /// Reads to the log's end.
+    /// Reads to the end of the log.
     pub fn read_all(&mut self, world: &World) {
-        while self.read < world.folded.len() {
+        while self.read_count < world.folded.len() {
             self.read(world);
         }
     }
 
-    /// A group has a new epoch: an older one of this instance is over.
-    fn follow(&mut self, world: &World, group: &SmolStr, epoch: u64, mine: bool) {
-        if let Some(role) = self.roles.remove(group) {
+    /// Handles the new epoch of a group, which ends an older epoch of this instance.
+    fn handle_epoch(&mut self, world: &World, group: &SmolStr, epoch: u64, is_own: bool) {
+        if let Some(steward) = self.stewards.remove(group) {
             let retired = Retired {
                 group: group.clone(),
-                epoch: role.epoch,
-                unanswered: role.unanswered,
+                epoch: steward.epoch,
+                unanswered: steward.unanswered,
             };
             self.push(retired.acknowledgement(world));
             self.retired.push(retired);
         }
-        if mine {
-            let role = Role {
+        if is_own {
+            let steward = Steward {
                 epoch,
                 number: 0,
-                sending: 0,
-                flights: BTreeMap::new(),
+                attempt: 0,
+                in_flight: BTreeMap::new(),
                 unanswered: BTreeMap::new(),
-                lost: BTreeSet::new(),
+                timed_out: BTreeSet::new(),
             };
-            self.roles.insert(group.clone(), role);
+            self.stewards.insert(group.clone(), steward);
         }
     }
 
-    /// Appends what waits. The append may land, with or without its answer, land later, or be refused.
-    pub fn append(&mut self, world: &mut World, u: Source<'_, '_>) -> Result<(), String> {
+    /// Appends the waiting entries. The append may be stored with or without an answer, stored later, or refused.
+    pub fn append(&mut self, world: &mut World, u: Random<'_, '_>) -> Result<(), String> {
         let Some(body) = self.writer.next_append() else {
             return Ok(());
         };
         let answer = match u.int_in_range(0..=9).unwrap_or(0) {
             0 => writer::Answer::Refused,
             1 => {
-                world.limbo.push(body);
+                world.late_appends.push(body);
                 writer::Answer::Lost
             }
             2 => {
-                world.land(body)?;
+                world.store(body)?;
                 writer::Answer::Lost
             }
             _ => {
-                world.land(body)?;
-                writer::Answer::Stored(world.head().next() - 1)
+                world.store(body)?;
+                writer::Answer::Stored(world.newest_ledger().next() - 1)
             }
         };
         self.writer.handle_answer(answer);
         Ok(())
     }
 
-    pub fn take_group(&mut self, world: &World, group: &str) {
+    pub fn become_steward(&mut self, world: &World, group: &str) {
         let epoch = self
-            .view(world)
+            .ledger(world)
             .steward(group)
             .map_or(0, |newest| newest.epoch);
         self.push(record::Entry::Steward {
@@ -186,13 +189,13 @@
         });
     }
 
-    /// Means to load something somewhere.
-    pub fn grant(&mut self, world: &mut World, u: Source<'_, '_>) {
+    /// Opens an intent to load a random item on a random server.
+    pub fn grant(&mut self, world: &mut World, u: Random<'_, '_>) {
         let Some(group) = self.some_group(u) else {
             return;
         };
-        let view = self.view(world);
-        let document = view.document();
+        let ledger = self.ledger(world);
+        let document = ledger.document();
         let servers = world.servers.iter().filter(|server| server.group == group);
         let servers: Vec<SmolStr> = servers.map(|server| server.name.clone()).collect();
         let models = document
@@ -213,7 +216,7 @@
             server: server.clone(),
             item: item.clone(),
         };
-        let right = view.right(&key);
+        let right = ledger.right(&key);
         if right.is_some_and(|right| right.state != right::State::Empty) {
             return;
         }
@@ -229,15 +232,15 @@
         self.push(record::Entry::Grant(intent));
     }
 
-    /// Means to unload something, or to look at what pins have left.
-    pub fn withdraw(&mut self, world: &World, u: Source<'_, '_>) {
+    /// Opens an intent to unload a replica, or to verify a placement after its pins have ended.
+    pub fn withdraw(&mut self, world: &World, u: Random<'_, '_>) {
         let Some(group) = self.some_group(u) else {
             return;
         };
-        let view = self.view(world);
-        let rights = view.rights().iter().filter(|(_, right)| {
-            let over = right.state == right::State::Empty && right.pins.is_empty();
-            right.group == group && (right.state == right::State::Loaded || over)
+        let ledger = self.ledger(world);
+        let rights = ledger.rights().iter().filter(|(_, right)| {
+            let is_unverified = right.state == right::State::Empty && right.pins.is_empty();
+            right.group == group && (right.state == right::State::Loaded || is_unverified)
         });
         let keys: Vec<right::Key> = rights.map(|(key, _)| key.clone()).collect();
         let Ok(key) = u.choose(&keys) else { return };
@@ -246,44 +249,45 @@
     }
 
     fn propose(&mut self, group: &SmolStr, server: &SmolStr, item: &item::Item) -> record::Order {
-        let role = self.roles.get_mut(group).unwrap();
-        role.number += 1;
+        let steward = self.stewards.get_mut(group).unwrap();
+        steward.number += 1;
         record::Order {
             group: group.clone(),
-            epoch: role.epoch,
-            number: role.number,
+            epoch: steward.epoch,
+            number: steward.number,
             server: server.clone(),
             item: item.clone(),
         }
     }
 
-    fn some_group(&self, u: Source<'_, '_>) -> Option<SmolStr> {
-        let groups: Vec<SmolStr> = self.roles.keys().cloned().collect();
+    fn some_group(&self, u: Random<'_, '_>) -> Option<SmolStr> {
+        let groups: Vec<SmolStr> = self.stewards.keys().cloned().collect();
         u.choose(&groups).ok().cloned()
     }
 
-    /// Sends the order of an open intent that waits for none, or asks about one that it inherited.
-    pub fn send_some(&mut self, world: &mut World, u: Source<'_, '_>) {
+    /// Sends the order of an open intent that awaits no answer, or a query for one that was inherited.
+    pub fn send_some(&mut self, world: &mut World, u: Random<'_, '_>) {
         let Some(group) = self.some_group(u) else {
             return;
         };
-        let view = self.view(world);
-        let role = &self.roles[&group];
-        let open = view.rights().iter().filter_map(|(key, right)| {
+        let ledger = self.ledger(world);
+        let steward = &self.stewards[&group];
+        let open = ledger.rights().iter().filter_map(|(key, right)| {
             let (kind, intent) = match right.state {
                 right::State::Loading { epoch, number } => (order::Kind::Load, (epoch, number)),
                 right::State::Unloading { epoch, number } => (order::Kind::Unload, (epoch, number)),
                 right::State::Loaded | right::State::Empty => return None,
             };
-            let flight = role.flights.get(&intent);
-            let busy = flight.is_some_and(|flight| flight.closing || flight.newest.is_some());
-            (right.group == group && !busy).then(|| (key.clone(), kind, intent))
+            let in_flight = steward.in_flight.get(&intent);
+            let is_busy = in_flight
+                .is_some_and(|in_flight| in_flight.is_closing || in_flight.newest.is_some());
+            (right.group == group && !is_busy).then(|| (key.clone(), kind, intent))
         });
         let open: Vec<_> = open.collect();
         let Ok((key, kind, intent)) = u.choose(&open).cloned() else {
             return;
         };
-        let inherited = intent.0 != role.epoch && u.ratio(2, 3).unwrap_or(true);
+        let use_query = intent.0 != steward.epoch && u.ratio(2, 3).unwrap_or(true);
         let order = record::Order {
             group: group.clone(),
             epoch: intent.0,
@@ -299,7 +303,7 @@
             self.send(world, &order, intent, kind);
             return self.close(world, order, false);
         }
-        let kind = if inherited { order::Kind::Query } else { kind };
+        let kind = if use_query { order::Kind::Query } else { kind };
         self.send(world, &order, intent, kind);
     }
 
@@ -310,140 +314,140 @@
         intent: Intent,
         kind: order::Kind,
     ) {
-        let role = self.roles.get_mut(&order.group).unwrap();
-        role.sending += 1;
+        let steward = self.stewards.get_mut(&order.group).unwrap();
+        steward.attempt += 1;
         if kind == order::Kind::Load {
-            role.unanswered.insert(role.sending, intent);
+            steward.unanswered.insert(steward.attempt, intent);
         }
-        role.flights.entry(intent).or_default().newest = Some(role.sending);
+        steward.in_flight.entry(intent).or_default().newest = Some(steward.attempt);
         let high = if world.has(Rule::FenceByEpoch) {
-            role.epoch << 32
+            steward.epoch << 32
         } else {
             0
         };
-        let low = if world.has(Rule::FenceEachSending) {
-            role.sending
+        let low = if world.has(Rule::FenceEachAttempt) {
+            steward.attempt
         } else {
             0
         };
-        world.network.push(Copy {
+        world.network.push(SentOrder {
             from: self.by.clone(),
             server: order.server.clone(),
             group: order.group.clone(),
-            epoch: role.epoch,
-            sending: role.sending,
+            epoch: steward.epoch,
+            attempt: steward.attempt,
             kind,
             item: order.item.clone(),
             fencing: high | u64::from(low),
         });
     }
 
-    /// Gives up waiting for an answer; the order is sent again later.
-    pub fn time_out(&mut self, u: Source<'_, '_>) {
+    /// Stops waiting for a random answer; the order is sent again later.
+    pub fn time_out(&mut self, u: Random<'_, '_>) {
         let Some(group) = self.some_group(u) else {
             return;
         };
-        let role = self.roles.get_mut(&group).unwrap();
-        let flights = role.flights.iter_mut();
-        let mut waiting: Vec<_> = flights
-            .filter(|(_, flight)| flight.newest.is_some())
+        let steward = self.stewards.get_mut(&group).unwrap();
+        let in_flight = steward.in_flight.iter_mut();
+        let mut waiting: Vec<_> = in_flight
+            .filter(|(_, in_flight)| in_flight.newest.is_some())
             .collect();
         if let Ok(index) = u.choose_index(waiting.len()) {
-            let (intent, flight) = &mut waiting[index];
-            flight.newest = None;
-            role.lost.insert(**intent);
+            let (intent, in_flight) = &mut waiting[index];
+            in_flight.newest = None;
+            steward.timed_out.insert(**intent);
         }
     }
 
-    /// Takes in an engine's answer.
-    pub fn answered(&mut self, world: &World, copy: &Copy, outcome: Outcome) {
-        if copy.from != self.by {
+    /// Handles the answer of an engine.
+    pub fn handle_answer(&mut self, world: &World, sent: &SentOrder, outcome: Outcome) {
+        if sent.from != self.by {
             return;
         }
         let retired = self.retired.iter_mut();
-        let mut retired = retired.filter(|old| old.group == copy.group && old.epoch == copy.epoch);
+        let mut retired = retired.filter(|old| old.group == sent.group && old.epoch == sent.epoch);
         if let Some(retired) = retired.next() {
-            retired.unanswered.remove(&copy.sending);
+            retired.unanswered.remove(&sent.attempt);
             let entry = retired.acknowledgement(world);
             return self.push(entry);
         }
-        let Some(role) = self.roles.get_mut(&copy.group) else {
+        let Some(steward) = self.stewards.get_mut(&sent.group) else {
             return;
         };
-        role.unanswered.remove(&copy.sending);
-        let newest_only = world.has(Rule::NewestAnswer);
-        let view = Rc::clone(&world.ledgers[self.read]);
+        steward.unanswered.remove(&sent.attempt);
+        let newest_only = world.has(Rule::CloseByNewestAnswer);
+        let ledger = Rc::clone(&world.ledgers[self.read_count]);
         let key = right::Key {
-            server: copy.server.clone(),
-            item: copy.item.clone(),
+            server: sent.server.clone(),
+            item: sent.item.clone(),
         };
         let Some(
             right::State::Loading { epoch, number } | right::State::Unloading { epoch, number },
-        ) = view.right(&key).map(|right| right.state)
+        ) = ledger.right(&key).map(|right| right.state)
         else {
             return;
         };
-        let Some(flight) = role.flights.get_mut(&(epoch, number)) else {
+        let Some(in_flight) = steward.in_flight.get_mut(&(epoch, number)) else {
             return;
         };
-        if flight.closing || (newest_only && flight.newest != Some(copy.sending)) {
+        if in_flight.is_closing || (newest_only && in_flight.newest != Some(sent.attempt)) {
             return;
         }
-        flight.newest = None;
+        in_flight.newest = None;
         let loaded = match outcome {
             Outcome::Stale => return,
             Outcome::Failed => false,
             Outcome::Done { loaded } => loaded,
         };
         let order = record::Order {
-            group: copy.group.clone(),
+            group: sent.group.clone(),
             epoch,
             number,
-            server: copy.server.clone(),
-            item: copy.item.clone(),
+            server: sent.server.clone(),
+            item: sent.item.clone(),
         };
         self.close(world, order, loaded);
     }
 
     fn close(&mut self, world: &World, order: record::Order, loaded: bool) {
-        let role = self.roles.get_mut(&order.group).unwrap();
+        let steward = self.stewards.get_mut(&order.group).unwrap();
         let intent = (order.epoch, order.number);
-        role.flights.entry(intent).or_default().closing = true;
-        let fenced =
-            world.head().document().groups[&order.group].fencing == document::Fencing::Checked;
-        let mut stray = role.unanswered.values().any(|other| *other == intent);
+        steward.in_flight.entry(intent).or_default().is_closing = true;
+        let is_fenced = world.newest_ledger().document().groups[&order.group].fencing
+            == document::Fencing::Checked;
+        let mut stray = steward.unanswered.values().any(|other| *other == intent);
         if world.has(Rule::KeepStrays) {
-            stray |= role.lost.contains(&intent);
+            stray |= steward.timed_out.contains(&intent);
         }
         let entry = record::Entry::Close {
-            epoch: role.epoch,
+            epoch: steward.epoch,
             order,
             loaded,
-            stray: stray && !fenced && world.has(Rule::PinLostAnswer),
+            stray: stray && !is_fenced && world.has(Rule::PinLostAnswer),
         };
         self.push(entry);
     }
 
-    /// Sees that a server has gone, or gives up what was loaded on one that it saw gone at any time before.
-    pub fn give_up(&mut self, world: &World, u: Source<'_, '_>) {
-        let now = self.view(world).next();
+    /// Notes which servers are gone, and releases the replicas of one that was seen to be gone at any earlier time.
+    pub fn release_gone(&mut self, world: &World, u: Random<'_, '_>) {
+        let next = self.ledger(world).next();
         for server in world.servers.iter().filter(|server| !server.up) {
-            self.gone.entry(server.name.clone()).or_insert(now);
+            self.gone.entry(server.name.clone()).or_insert(next);
         }
         let servers = world.servers.iter().filter(|server| {
-            self.gone.contains_key(&server.name) && self.roles.contains_key(&server.group)
+            self.gone.contains_key(&server.name) && self.stewards.contains_key(&server.group)
         });
         let servers: Vec<_> = servers.collect();
         let Ok(server) = u.choose(&servers) else {
             return;
         };
-        let seen = match world.has(Rule::GoneAsSeen) {
+        let seen = match world.has(Rule::LimitGoneToSeen) {
             true => self.gone[&server.name],
             false => u64::MAX,
         };
         self.push(record::Entry::Gone {
             group: server.group.clone(),
-            epoch: self.roles[&server.group].epoch,
+            epoch: self.stewards[&server.group].epoch,
             server: server.name.clone(),
             seen,
         });
--- a/crates/fireflywheel/tests/search/main.rs
+++ b/crates/fireflywheel/tests/search/main.rs
@@ -1,14 +1,14 @@
-//! A search for orders of events in which more is loaded than operators allow.
+//! A random search for sequences of events in which more is loaded than operators allow.
 //!
-//! A run draws steps from a seeded source: instances read, append, take groups, open intents, send orders
-//! and close intents, each on what it has read, however old; the network holds up, repeats and loses orders
-//! and answers; appends land late; engines and instances restart; an operator changes caps, versions and
-//! memory. The ledger is the real one, and every step is checked. With all rules no run may break. With any
-//! one of them left out some run does: that is why the rule is there.
+//! A run draws steps from a seeded source. Instances read, append, become stewards, open intents, send orders and
+//! close intents, each based on what it has read, however old. The network delays, repeats and loses orders and
+//! answers. Appends are stored late. Engines and instances restart. An operator changes caps, versions and memory. The
+//! ledger is the real one, and the limits are checked after every step. With all rules enabled, no run may exceed a
+//! limit. With any one rule disabled, some run does, which shows that the rule is necessary.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests, which the linter does not know as such"
+    reason = "test helpers, which the linter does not recognize as test code"
 )]
 
 mod actor;
@@ -19,20 +19,20 @@
 
 use world::{Engines, Rule, World};
 
-/// Runs of each case with all rules.
-const RUNS: u64 = 2000;
+/// The number of runs of each case with all rules enabled.
+const RUN_COUNT: u64 = 2000;
 
-/// Bytes that a run draws its steps from.
-const BYTES: usize = 5000;
+/// The number of random bytes from which a run draws its steps.
+const RANDOM_BYTES: usize = 5000;
 
-/// What happens in one step.
+/// One step of a run.
 #[derive(Clone, Copy)]
 enum Step {
     Publish,
     RestartServer,
     RestartInstance,
-    TakeGroup,
-    GiveUp,
+    BecomeSteward,
+    ReleaseGone,
     TimeOut,
     Grant,
     Withdraw,
@@ -43,20 +43,20 @@
     LateAppend,
     ReadOne,
     ReadAll,
-    /// Append, and read it back.
-    Record,
-    /// Send an order and get its answer, unless one is lost.
-    Order,
+    /// Append a record and read it back.
+    AppendAndRead,
+    /// Send an order and receive its answer, unless the answer is lost.
+    SendAndAnswer,
 }
 
-/// How often each step comes, and how much that varies from run to run: a run with few takeovers gets to
-/// orders of events that one with many never reaches, and the other way round.
-const STEPS: [(Step, u32, &[u32]); 17] = [
+/// The weight of each step, and the factors from which a run draws to vary it: a run with few takeovers reaches
+/// sequences of events that a run with many takeovers never reaches, and the other way round.
+const STEP_WEIGHTS: [(Step, u32, &[u32]); 17] = [
     (Step::Publish, 4, &[0, 1, 4]),
     (Step::RestartServer, 8, &[0, 1, 4]),
     (Step::RestartInstance, 1, &[0, 1, 4]),
-    (Step::TakeGroup, 4, &[0, 1, 3]),
-    (Step::GiveUp, 40, &[0, 1]),
+    (Step::BecomeSteward, 4, &[0, 1, 3]),
+    (Step::ReleaseGone, 40, &[0, 1]),
     (Step::TimeOut, 20, &[1, 2, 4]),
     (Step::Grant, 70, &[1]),
     (Step::Withdraw, 60, &[1]),
@@ -67,44 +67,44 @@
     (Step::LateAppend, 6, &[0, 1]),
     (Step::ReadOne, 20, &[0, 1, 4]),
     (Step::ReadAll, 60, &[1]),
-    (Step::Record, 120, &[1]),
-    (Step::Order, 100, &[1]),
+    (Step::AppendAndRead, 120, &[1]),
+    (Step::SendAndAnswer, 100, &[1]),
 ];
 
-/// One run; says what broke, and at which step.
-fn run(engines: Engines, off: Option<Rule>, seed: u64) -> Result<(), String> {
-    let mut bytes = vec![0; BYTES];
+/// Executes one run, and returns the violated limit and the step at which it was violated.
+fn run(engines: Engines, disabled: Option<Rule>, seed: u64) -> Result<(), String> {
+    let mut bytes = vec![0; RANDOM_BYTES];
     rngs::StdRng::seed_from_u64(seed).fill_bytes(&mut bytes);
     let mut u = Unstructured::new(&bytes);
-    let mut world = World::new(engines, off);
+    let mut world = World::new(engines, disabled);
     world.publish(&mut u)?;
     let names = ["x", "y", "z"];
     let mut actors = names.map(|name| actor::Actor::new(name, 1_700_000_000_000, &world));
     for group in ["a", "b"] {
-        actors[0].take_group(&world, group);
+        actors[0].become_steward(&world, group);
     }
-    let mut attempt_id = Vec::new();
-    for (step, weight, factors) in STEPS {
+    let mut weighted_steps = Vec::new();
+    for (step, weight, factors) in STEP_WEIGHTS {
         let factor = *u.choose(factors).unwrap_or(&1);
-        attempt_id.extend(std::iter::repeat_n(step, (weight * factor) as usize));
+        weighted_steps.extend(std::iter::repeat_n(step, (weight * factor) as usize));
     }
     let mut number = 0;
     while !u.is_empty() {
         number += 1;
-        let step = *u.choose(&attempt_id).unwrap_or(&Step::ReadAll);
-        let done = take(step, &mut world, &mut actors, &mut u).and_then(|()| world.check());
-        done.map_err(|what| format!("step {number}: {what}"))?;
+        let step = *u.choose(&weighted_steps).unwrap_or(&Step::ReadAll);
+        let result = execute(step, &mut world, &mut actors, &mut u).and_then(|()| world.check());
+        result.map_err(|violation| format!("step {number}: {violation}"))?;
     }
     Ok(())
 }
 
-fn take(
+fn execute(
     step: Step,
     world: &mut World,
     actors: &mut [actor::Actor],
-    u: world::Source<'_, '_>,
+    u: world::Random<'_, '_>,
 ) -> Result<(), String> {
-    // Mostly one that believes to be a steward, since the others have little to do.
+    // In most cases, choose an instance that believes to be a steward, since the others have little to do.
     let stewards = (0..actors.len()).filter(|index| actors[*index].is_steward());
     let stewards: Vec<usize> = stewards.collect();
     let index = match u.choose(&stewards) {
@@ -116,8 +116,8 @@
         Step::Publish => world.publish(u)?,
         Step::RestartServer => world.restart(u),
         Step::RestartInstance => actor.restart(world),
-        Step::TakeGroup => actor.take_group(world, u.choose(&["a", "b"]).unwrap_or(&"a")),
-        Step::GiveUp => actor.give_up(world, u),
+        Step::BecomeSteward => actor.become_steward(world, u.choose(&["a", "b"]).unwrap_or(&"a")),
+        Step::ReleaseGone => actor.release_gone(world, u),
         Step::TimeOut => actor.time_out(u),
         Step::Grant => actor.grant(world, u),
         Step::Withdraw => actor.withdraw(world, u),
@@ -130,51 +130,51 @@
         }
         Step::Answer => {
             if let Ok(index) = u.choose_index(world.answers.len()) {
-                answer(index, world, actors);
+                deliver_answer(index, world, actors);
             }
         }
         Step::LateAppend => {
-            if let Ok(index) = u.choose_index(world.limbo.len()) {
-                let body = world.limbo.swap_remove(index);
-                world.land(body)?;
+            if let Ok(index) = u.choose_index(world.late_appends.len()) {
+                let body = world.late_appends.swap_remove(index);
+                world.store(body)?;
             }
         }
         Step::ReadOne => actor.read(world),
         Step::ReadAll => actor.read_all(world),
-        Step::Record => {
+        Step::AppendAndRead => {
             actor.append(world, u)?;
             actor.read_all(world);
         }
-        Step::Order => {
-            let (copies, answers) = (world.network.len(), world.answers.len());
+        Step::SendAndAnswer => {
+            let (order_count, answer_count) = (world.network.len(), world.answers.len());
             actor.send_some(world, u);
-            if world.network.len() > copies {
-                world.deliver(copies, u);
+            if world.network.len() > order_count {
+                world.deliver(order_count, u);
             }
-            if world.answers.len() > answers {
-                answer(answers, world, actors);
+            if world.answers.len() > answer_count {
+                deliver_answer(answer_count, world, actors);
             }
         }
     }
     Ok(())
 }
 
-fn answer(index: usize, world: &mut World, actors: &mut [actor::Actor]) {
-    let (copy, outcome) = world.answers.swap_remove(index);
+fn deliver_answer(index: usize, world: &mut World, actors: &mut [actor::Actor]) {
+    let (order, outcome) = world.answers.swap_remove(index);
     for actor in actors {
-        actor.answered(world, &copy, outcome);
+        actor.handle_answer(world, &order, outcome);
     }
 }
 
-/// With every rule, over all seeds.
+/// With all rules enabled, no run violates a limit.
 macro_rules! holds {
     ($($name:ident: $engines:ident;)+) => {
-        mod every_rule {
+        mod all_rules {
             use super::*;
             $(
                 #[test]
                 fn $name() {
-                    for seed in 0..RUNS {
+                    for seed in 0..RUN_COUNT {
                         let run = run(Engines::$engines, None, seed);
                         assert_eq!(run, Ok(()), "seed {seed}");
                     }
@@ -184,7 +184,7 @@
     };
 }
 
-/// With one rule left out, for a seed whose run breaks then, and doesn't with every rule.
+/// With one rule disabled, the run of the given seed violates a limit, which it does not with all rules enabled.
 macro_rules! breaks {
     ($($name:ident: $engines:ident, $rule:ident, $seed:expr;)+) => {
         mod without {
@@ -193,7 +193,7 @@
                 #[test]
                 fn $name() {
                     let without = run(Engines::$engines, Some(Rule::$rule), $seed);
-                    assert!(without.is_err(), "the rule made no difference");
+                    assert!(without.is_err(), "the run violates no limit without the rule");
                     assert_eq!(run(Engines::$engines, None, $seed), Ok(()));
                 }
             )+
@@ -202,33 +202,33 @@
 }
 
 holds! {
-    engines_that_fence: Checked;
-    engines_that_forget: Forgets;
-    engines_that_ignore: Ignored;
+    engines_that_check_fencing: Checked;
+    engines_that_forget_fencing: Forgets;
+    engines_that_ignore_fencing: Ignored;
 }
 
 breaks! {
     read_back: Checked, ReadBack, 1;
-    read_back_where_ignored: Ignored, ReadBack, 1;
+    read_back_with_ignored_fencing: Ignored, ReadBack, 1;
     counting_until_confirmed: Checked, CountUntilConfirmed, 2;
-    counting_until_confirmed_where_ignored: Ignored, CountUntilConfirmed, 18;
-    a_number_for_each_sending: Checked, FenceEachSending, 14;
-    the_epoch_in_the_number: Checked, FenceByEpoch, 242;
+    counting_until_confirmed_with_ignored_fencing: Ignored, CountUntilConfirmed, 18;
+    a_fencing_number_for_each_attempt: Checked, FenceEachAttempt, 14;
+    the_epoch_in_the_fencing_number: Checked, FenceByEpoch, 242;
     closing_by_an_answer: Checked, CloseByAnswer, 20;
-    closing_by_the_newest_answer: Checked, NewestAnswer, 20;
+    closing_by_the_newest_answer: Checked, CloseByNewestAnswer, 20;
     pins_of_an_old_epoch: Checked, PinOldEpoch, 1;
-    pins_of_an_old_epoch_where_ignored: Ignored, PinOldEpoch, 124;
+    pins_of_an_old_epoch_with_ignored_fencing: Ignored, PinOldEpoch, 124;
     pins_of_lost_answers: Ignored, PinLostAnswer, 14;
     pins_across_a_restart: Checked, PinAcrossRestart, 1;
-    pins_across_a_restart_where_ignored: Ignored, PinAcrossRestart, 19;
-    naming_strays: Checked, NameStrays, 82;
-    naming_strays_where_ignored: Ignored, NameStrays, 231;
-    looking_after_the_pins: Checked, LookAfterPins, 192;
-    looking_after_the_pins_where_ignored: Ignored, LookAfterPins, 192;
-    pins_of_a_server_gone: Checked, PinWhenGone, 1;
-    pins_of_a_server_gone_where_ignored: Ignored, PinWhenGone, 36;
-    keeping_strays: Ignored, KeepStrays, 6868;
-    what_was_seen_of_a_server_gone: Checked, GoneAsSeen, 285;
-    what_was_seen_of_a_server_gone_where_ignored: Ignored, GoneAsSeen, 455;
+    pins_across_a_restart_with_ignored_fencing: Ignored, PinAcrossRestart, 19;
+    acknowledged_strays: Checked, AcknowledgeStrays, 82;
+    acknowledged_strays_with_ignored_fencing: Ignored, AcknowledgeStrays, 231;
+    verification_after_pins: Checked, VerifyAfterPins, 192;
+    verification_after_pins_with_ignored_fencing: Ignored, VerifyAfterPins, 192;
+    pins_of_a_gone_server: Checked, PinWhenGone, 1;
+    pins_of_a_gone_server_with_ignored_fencing: Ignored, PinWhenGone, 36;
+    strays_after_late_answers: Ignored, KeepStrays, 6868;
+    the_offset_at_which_a_server_was_gone: Checked, LimitGoneToSeen, 285;
+    the_offset_at_which_a_server_was_gone_with_ignored_fencing: Ignored, LimitGoneToSeen, 455;
     distrust_of_forgetful_engines: Forgets, DistrustForgetful, 526;
 }
--- a/crates/fireflywheel/tests/search/world.rs
+++ b/crates/fireflywheel/tests/search/world.rs
@@ -1,4 +1,4 @@
-//! The log, the network and the engines of a search run, as bad as they may be.
+//! The log, the network and the engines of a search run, with all the failures that they may have.
 
 use std::{collections::BTreeSet, rc::Rc};
 
@@ -7,49 +7,53 @@
 use sha2::{Digest as _, Sha256};
 use smol_str::SmolStr;
 
-/// What a run draws from.
-pub type Source<'a, 'b> = &'a mut Unstructured<'b>;
+/// The source of random choices of a run.
+pub type Random<'a, 'b> = &'a mut Unstructured<'b>;
 
-/// What the engines do with fencing numbers.
+/// How the engines handle fencing numbers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Engines {
+    /// Engines refuse old fencing numbers, even after a restart.
     Checked,
+    /// Engines refuse old fencing numbers until they restart.
     Forgets,
+    /// Engines do not check fencing numbers.
     Ignored,
 }
 
-/// One rule that a run may leave out.
+/// A rule that a run may disable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Rule {
     /// An order is sent only after its intent was read back.
     ReadBack,
     /// A placement is counted until its unload is confirmed.
     CountUntilConfirmed,
-    /// Each sending has a fencing number of its own.
-    FenceEachSending,
-    /// A new epoch's fencing numbers are above all older ones.
+    /// Each attempt to send an order has a fencing number of its own.
+    FenceEachAttempt,
+    /// The fencing numbers of a new epoch are above those of all older epochs.
     FenceByEpoch,
-    /// Open intents are pinned when their epoch ends.
+    /// Open intents to load are pinned when their epoch ends.
     PinOldEpoch,
     /// A lost answer leaves a pin.
     PinLostAnswer,
-    /// A late answer to an older sending ends no doubt: its effect may have come after the newest one's.
+    /// A late answer to an earlier attempt does not resolve a doubt, since that attempt may have taken effect after
+    /// the newest one.
     KeepStrays,
-    /// A restart of the server ends no pin.
+    /// A restart of the server does not end a pin.
     PinAcrossRestart,
-    /// Only an answer closes an intent, not a look at a report.
+    /// Only an answer closes an intent; a report does not.
     CloseByAnswer,
-    /// Only the answer to the newest sending closes an intent.
-    NewestAnswer,
+    /// Only the answer to the newest attempt closes an intent.
+    CloseByNewestAnswer,
     /// An acknowledgement names the orders that may still arrive.
-    NameStrays,
-    /// When the pins are over, the placement is looked at before it is given up.
-    LookAfterPins,
-    /// A server seen gone takes along only what was known then.
-    GoneAsSeen,
-    /// A server seen gone leaves pins on its open intents.
+    AcknowledgeStrays,
+    /// After the pins of a placement have ended, the placement is verified before it is freed.
+    VerifyAfterPins,
+    /// The release of a gone server affects only rights that were known when the server was seen to be gone.
+    LimitGoneToSeen,
+    /// The release of a gone server sets pins on its open intents to load.
     PinWhenGone,
-    /// Engines that forget their number are taken for engines that ignore it.
+    /// Engines that forget their fencing number after a restart are treated like engines that ignore it.
     DistrustForgetful,
 }
 
@@ -58,25 +62,26 @@
     pub name: SmolStr,
     pub group: SmolStr,
     pub up: bool,
-    seen: u64,
+    /// The highest fencing number of the orders so far.
+    highest_fencing: u64,
     pub loaded: BTreeSet<item::Item>,
     memory_allowed: u64,
 }
 
-/// An order on its way.
+/// An order that is on its way.
 #[derive(Clone)]
-pub struct Copy {
+pub struct SentOrder {
     pub from: record::Incarnation,
     pub server: SmolStr,
     pub group: SmolStr,
     pub epoch: u64,
-    pub sending: u32,
+    pub attempt: u32,
     pub kind: order::Kind,
     pub item: item::Item,
     pub fencing: u64,
 }
 
-/// What an engine answered.
+/// The answer of an engine.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub enum Outcome {
     Done { loaded: bool },
@@ -87,29 +92,29 @@
 /// The log, the network and the engines.
 pub struct World {
     pub engines: Engines,
-    pub off: Option<Rule>,
-    /// The ledger after each record; the first is the empty one.
+    pub disabled: Option<Rule>,
+    /// The ledger after each record; the first one is empty.
     pub ledgers: Vec<Rc<ledger::Ledger>>,
-    /// What each record brought.
+    /// The result of folding each record.
     pub folded: Vec<Option<ledger::Folded>>,
-    /// Appends that were given up for lost and may still land.
-    pub limbo: Vec<String>,
+    /// Appends that were reported as lost and may still be stored.
+    pub late_appends: Vec<String>,
     pub servers: Vec<Server>,
-    pub network: Vec<Copy>,
-    pub answers: Vec<(Copy, Outcome)>,
+    pub network: Vec<SentOrder>,
+    pub answers: Vec<(SentOrder, Outcome)>,
     replicas_allowed: [u32; NAMES.len()],
     time_ms: u64,
-    published: u64,
+    published_count: u64,
 }
 
 const SERVERS: [(&str, &str); 4] = [("a0", "a"), ("a1", "a"), ("b0", "b"), ("b1", "b")];
 
-/// Models and an adapter.
+/// The models and the adapter of a run.
 const NAMES: [(&str, Option<&str>); 4] = [("m", None), ("n", None), ("k", None), ("m", Some("t"))];
 
 const START_MS: u64 = 1_700_000_000_000;
 
-/// What an item takes in truth.
+/// The memory that an item takes on the engines, in MB.
 fn size_mb(item: &item::Item) -> u64 {
     match (item.model.as_str(), &item.adapter) {
         ("m", None) => 6 - 2 * u64::from(item.version % 2),
@@ -120,35 +125,35 @@
 }
 
 impl World {
-    pub fn new(engines: Engines, off: Option<Rule>) -> Self {
+    pub fn new(engines: Engines, disabled: Option<Rule>) -> Self {
         let servers = SERVERS.iter().map(|(name, group)| Server {
             name: SmolStr::new(name),
             group: SmolStr::new(group),
             up: true,
-            seen: 0,
+            highest_fencing: 0,
             loaded: BTreeSet::new(),
             memory_allowed: 0,
         });
         Self {
             engines,
-            off,
+            disabled,
             ledgers: vec![Rc::new(ledger::Ledger::new())],
             folded: Vec::new(),
-            limbo: Vec::new(),
+            late_appends: Vec::new(),
             servers: servers.collect(),
             network: Vec::new(),
             answers: Vec::new(),
             replicas_allowed: [0; NAMES.len()],
             time_ms: START_MS,
-            published: 0,
+            published_count: 0,
         }
     }
 
     pub fn has(&self, rule: Rule) -> bool {
-        self.off != Some(rule)
+        self.disabled != Some(rule)
     }
 
-    pub fn head(&self) -> &Rc<ledger::Ledger> {
+    pub fn newest_ledger(&self) -> &Rc<ledger::Ledger> {
         self.ledgers.last().unwrap()
     }
 
@@ -159,8 +164,8 @@
             .unwrap()
     }
 
-    /// An operator changes caps, versions and memory.
-    pub fn publish(&mut self, u: Source<'_, '_>) -> Result<(), String> {
+    /// Publishes random caps, versions and memory limits, as an operator does.
+    pub fn publish(&mut self, u: Random<'_, '_>) -> Result<(), String> {
         let fencing = match self.engines {
             Engines::Checked => "checked",
             Engines::Forgets if !self.has(Rule::DistrustForgetful) => "checked",
@@ -197,42 +202,42 @@
             };
             text += &format!("{section}replicas = {replicas}\n");
         }
-        self.published += 1;
+        self.published_count += 1;
         let record = record::Record {
             rule: record::RULES_VERSION,
             id: record::Id {
                 by: record::Incarnation {
                     instance: SmolStr::new("operator/desk"),
-                    number: START_MS + self.published,
+                    number: START_MS + self.published_count,
                 },
                 sequence: 1,
             },
             entries: vec![record::Entry::Publish {
-                base: self.head().version(),
+                base: self.newest_ledger().version(),
                 text,
             }],
         };
-        self.land(record.encode())
+        self.store(record.encode())
     }
 
-    /// A record lands in the log.
-    pub fn land(&mut self, body: String) -> Result<(), String> {
+    /// Stores a record in the log, and folds it.
+    pub fn store(&mut self, body: String) -> Result<(), String> {
         self.time_ms += 100;
-        let before = Rc::clone(self.head());
+        let before = Rc::clone(self.newest_ledger());
         let mut after = ledger::Ledger::clone(&before);
         let stored = record::Stored {
             offset: before.next(),
             time_ms: self.time_ms,
             body,
         };
-        let folded = after.fold(&stored).map_err(|halt| halt.to_string())?;
-        if self.off.is_none() {
+        let folded = after.fold(&stored).map_err(|error| error.to_string())?;
+        if self.disabled.is_none() {
             invariant::check_step(&before, &after)?;
         }
         let entries = folded.iter().flat_map(|folded| &folded.entries);
-        for (entry, judgement) in entries {
-            if *judgement == ledger::Decision::Accepted {
-                after = self.without_rule(&before, after, entry);
+        for (entry, decision) in entries {
+            if *decision == ledger::Decision::Accepted {
+                after = self.without_disabled_rule(&before, after, entry);
             }
         }
         self.folded.push(folded);
@@ -240,8 +245,8 @@
         Ok(())
     }
 
-    /// Undoes what a rule that is left out has made of an accepted entry.
-    fn without_rule(
+    /// Reverts the effect of the disabled rule on an accepted entry.
+    fn without_disabled_rule(
         &self,
         before: &ledger::Ledger,
         after: ledger::Ledger,
@@ -251,12 +256,12 @@
             let right = before.right(key);
             right.map_or_else(BTreeSet::new, |right| right.pins.clone())
         };
-        match (entry, self.off) {
+        match (entry, self.disabled) {
             (record::Entry::Steward { .. }, Some(Rule::PinOldEpoch)) => {
-                edit(&after, |key, right| right.pins = old_pins(key))
+                with_changed_rights(&after, |key, right| right.pins = old_pins(key))
             }
             (record::Entry::Gone { server, .. }, Some(Rule::PinWhenGone)) => {
-                edit(&after, |key, right| {
+                with_changed_rights(&after, |key, right| {
                     if key.server == *server {
                         right.pins = old_pins(key);
                     }
@@ -264,77 +269,77 @@
             }
             (
                 record::Entry::Acknowledge { .. } | record::Entry::Close { .. },
-                Some(Rule::LookAfterPins),
-            ) => edit(&after, |_, right| right.unsure = false),
+                Some(Rule::VerifyAfterPins),
+            ) => with_changed_rights(&after, |_, right| right.unsure = false),
             _ => after,
         }
     }
 
-    /// A server goes down, or comes up again at its address and empty.
-    pub fn restart(&mut self, u: Source<'_, '_>) {
+    /// Stops a server, or starts it again, empty, at its address.
+    pub fn restart(&mut self, u: Random<'_, '_>) {
         let down = self.servers.iter().position(|server| !server.up);
         let any = u.choose_index(self.servers.len()).unwrap_or(0);
         let server = &mut self.servers[down.unwrap_or(any)];
         server.up = !server.up || u.ratio(1, 2).unwrap_or(false);
         server.loaded.clear();
         if self.engines == Engines::Forgets {
-            server.seen = 0;
+            server.highest_fencing = 0;
         }
         let name = server.name.clone();
         if !self.has(Rule::PinAcrossRestart) {
-            let stripped = edit(self.head(), |key, right| {
+            let without_pins = with_changed_rights(self.newest_ledger(), |key, right| {
                 if key.server == name {
                     right.pins.clear();
                     right.unsure = false;
                 }
             });
-            *self.ledgers.last_mut().unwrap() = Rc::new(stripped);
+            *self.ledgers.last_mut().unwrap() = Rc::new(without_pins);
         }
     }
 
-    /// A copy of an order reaches its engine, whoever answers at that address now.
-    pub fn deliver(&mut self, index: usize, u: Source<'_, '_>) {
-        let copy = self.network[index].clone();
-        let fences = self.engines != Engines::Ignored;
-        let fails = u.ratio(1, 6).unwrap_or(false);
-        let lost = u.ratio(1, 4).unwrap_or(false);
-        let server = self.server(&copy.server);
+    /// Delivers an order to whatever engine runs at its address now.
+    pub fn deliver(&mut self, index: usize, u: Random<'_, '_>) {
+        let order = self.network[index].clone();
+        let checks_fencing = self.engines != Engines::Ignored;
+        let load_fails = u.ratio(1, 6).unwrap_or(false);
+        let answer_lost = u.ratio(1, 4).unwrap_or(false);
+        let server = self.server(&order.server);
         if !server.up {
             return;
         }
-        let stale = fences && copy.fencing < server.seen;
-        let based = copy.item.adapter.is_none() || server.loaded.contains(&copy.item.base());
-        let held = server.loaded.contains(&copy.item);
-        let outcome = if stale {
+        let is_stale = checks_fencing && order.fencing < server.highest_fencing;
+        let has_base = order.item.adapter.is_none() || server.loaded.contains(&order.item.base());
+        let is_loaded = server.loaded.contains(&order.item);
+        let outcome = if is_stale {
             Outcome::Stale
         } else {
-            server.seen = server.seen.max(copy.fencing);
-            match copy.kind {
-                order::Kind::Load if !held && (fails || !based) => Outcome::Failed,
+            server.highest_fencing = server.highest_fencing.max(order.fencing);
+            match order.kind {
+                order::Kind::Load if !is_loaded && (load_fails || !has_base) => Outcome::Failed,
                 order::Kind::Load => {
-                    server.loaded.insert(copy.item.clone());
+                    server.loaded.insert(order.item.clone());
                     Outcome::Done { loaded: true }
                 }
                 order::Kind::Unload => {
-                    server.loaded.remove(&copy.item);
+                    server.loaded.remove(&order.item);
                     Outcome::Done { loaded: false }
                 }
-                order::Kind::Query => Outcome::Done { loaded: held },
+                order::Kind::Query => Outcome::Done { loaded: is_loaded },
             }
         };
         self.network.swap_remove(index);
-        if !lost {
-            self.answers.push((copy, outcome));
+        if !answer_lost {
+            self.answers.push((order, outcome));
         }
     }
 
-    /// Holds the engines against what operators decided. Where a limit was lowered, what the ledger counted
-    /// before may stay, and only shrink.
+    /// Checks the engines against the operators' limits. After a limit was lowered, what the ledger counted before may
+    /// stay loaded, and may only decrease.
     pub fn check(&mut self) -> Result<(), String> {
-        let ledger = Rc::clone(self.head());
+        let ledger = Rc::clone(self.newest_ledger());
         let document = ledger.document();
         for ((model, adapter), allowed) in NAMES.iter().zip(&mut self.replicas_allowed) {
-            let is =
+            let is_same =
                 |item: &item::Item| item.model == *model && item.adapter.as_deref() == *adapter;
             let cap = match adapter {
                 None => document.models.get(*model).map(|model| model.replicas),
@@ -344,12 +349,16 @@
                     .and_then(|adapters| adapters.get(*name))
                     .map(|adapter| adapter.replicas),
             };
-            let counted = ledger.rights().keys().filter(|key| is(&key.item)).count();
+            let counted = ledger
+                .rights()
+                .keys()
+                .filter(|key| is_same(&key.item))
+                .count();
             *allowed = cap
                 .unwrap_or(0)
                 .max((*allowed).min(u32::try_from(counted).unwrap()));
             let loaded = self.servers.iter().flat_map(|server| &server.loaded);
-            let loaded = loaded.filter(|item| is(item)).count();
+            let loaded = loaded.filter(|item| is_same(item)).count();
             if loaded > *allowed as usize {
                 return Err(format!(
                     "{loaded} replicas of {model} {adapter:?}, allowed are {allowed}"
@@ -379,9 +388,9 @@
     }
 }
 
-/// A ledger with its rights changed behind the fold's back, as a fold without one of its rules would have
-/// them: empty placements that nothing holds are dropped.
-fn edit<F>(ledger: &ledger::Ledger, change: F) -> ledger::Ledger
+/// Returns the ledger with changed rights, as a fold without one of its rules would produce it. Empty placements
+/// that no longer need to be counted are removed.
+fn with_changed_rights<F>(ledger: &ledger::Ledger, change: F) -> ledger::Ledger
 where
     F: Fn(&right::Key, &mut right::Right),
 {
--- a/crates/fireflywheel/tests/stewards.rs
+++ b/crates/fireflywheel/tests/stewards.rs
@@ -1,5 +1,5 @@
-//! Stewards under failure, in virtual time: replicas and memory stay within what operators decided,
-//! whatever dies, pauses, is delayed or lost.
+//! Stewards under failures, in virtual time: replicas and memory stay within the operators' limits, whatever dies or
+//! is paused, delayed or lost.
 
 mod world;
 
@@ -9,7 +9,7 @@
 
 const MEMORY_MB: u64 = 20_000;
 
-/// Ten models of 8,000 MB: two fit on one engine.
+/// Ten models of 8,000 MB each, of which two fit on one engine.
 fn document(cap: u32, fencing: &str) -> String {
     let mut text = format!(
         "[serving]\ncold_start_weight = 1\n\n[class interactive]\ndeadline_ms = 5000\nin_flight = 1000\nqueue = 1000\n\n\
@@ -24,8 +24,8 @@
     text
 }
 
-/// Nothing is ever loaded beyond the cap or the memory, as the engines themselves count it.
-fn hold(world: &World, cap: usize) {
+/// Asserts that neither the cap nor the memory limit is exceeded, as counted by the engines themselves.
+fn assert_limits(world: &World, cap: usize) {
     let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
     for (address, engine) in &world.engines {
         let held = engine.memory_mb();
@@ -47,7 +47,7 @@
     }
 }
 
-fn world(seed: u64, nodes: usize, engines: usize, cap: u32, fenced: bool) -> World {
+fn start_world(seed: u64, nodes: usize, engines: usize, cap: u32, fenced: bool) -> World {
     let mut world = World::new(seed, nodes).with_engines("g", engines, fenced);
     world.publish(
         0,
@@ -57,30 +57,29 @@
     world
 }
 
-fn served(world: &World) -> usize {
-    let ended = world
+fn count_served(world: &World) -> usize {
+    let served = world
         .calls
         .iter()
         .filter(|call| matches!(call.ended, Some((at, world::End::Served)) if at <= call.deadline));
-    ended.count()
+    served.count()
 }
 
-/// Callers ask for one cold model at every instance at the same moment. If each instance loaded it, there
-/// would be fifteen replicas where operators allowed one or two; the users would find memory that they had
-/// planned for other models taken.
+/// Callers request one cold model at every instance at the same time. If each instance loaded it, there would be
+/// fifteen replicas where operators allow one or two, and they would take memory that is intended for other models.
 macro_rules! burst {
     ($($name:ident: $cap:expr, $fenced:expr;)*) => {$(
         #[test]
         fn $name() {
             let cap = $cap;
-            let mut world = world(1, 15, 4, cap, $fenced);
-            for place in 0..15 {
+            let mut world = start_world(1, 15, 4, cap, $fenced);
+            for index in 0..15 {
                 for _ in 0..4 {
-                    world.ask(place, "m0", 4_000);
+                    world.ask(index, "m0", 4_000);
                 }
             }
-            world.run(5_000, |world| hold(world, cap as usize));
-            assert_eq!(served(&world), 60, "{:?}", world.calls);
+            world.run(5_000, |world| assert_limits(world, cap as usize));
+            assert_eq!(count_served(&world), 60, "{:?}", world.calls);
             assert!(world.loads <= u64::from(cap), "{} loads", world.loads);
         }
     )*};
@@ -92,24 +91,24 @@
     burst_at_fifteen_instances_with_cap_one_and_engines_that_ignore_fencing: 1, false;
 }
 
-/// Asks for models at random instances for a while, as callers do.
-fn traffic(world: &mut World, ms: u64, cap: usize) {
-    traffic_for(world, ms, cap, 6);
+/// Sends requests for six models to random instances for `ms` milliseconds.
+fn run_traffic(world: &mut World, ms: u64, cap: usize) {
+    run_traffic_for(world, ms, cap, 6);
 }
 
-fn traffic_for(world: &mut World, ms: u64, cap: usize, models: u32) {
+fn run_traffic_for(world: &mut World, ms: u64, cap: usize, models: u32) {
     use rand::Rng;
     let end = world.now + ms;
     while world.now < end {
-        let place = world.rng.random_range(0..world.seats.len());
+        let index = world.rng.random_range(0..world.seats.len());
         let model = format!("m{}", world.rng.random_range(0..models));
-        world.ask(place, &model, 3_000);
-        world.run(25, |world| hold(world, cap));
+        world.ask(index, &model, 3_000);
+        world.run(25, |world| assert_limits(world, cap));
     }
 }
 
-/// Every request has its one final answer by its deadline, save those whose process died.
-fn answered(world: &World) {
+/// Asserts that every request has a final answer by its deadline. The death of a request's process counts as its end.
+fn assert_answered(world: &World) {
     for call in &world.calls {
         match &call.ended {
             Some((at, _)) => assert!(*at <= call.deadline + 20, "late: {call:?}"),
@@ -118,79 +117,79 @@
     }
 }
 
-/// The steward's process dies at some moment of its work: before an intent is read back, after it, with the
-/// order on its way, or in the middle of a load. A successor takes over and must neither lose the replica's
-/// place nor give it away twice. Users notice only a cold start that takes longer.
+/// The steward's process dies at some point of its work: before or after an intent is read back, with the order on its
+/// way, or during a load. A successor takes over and must neither lose track of the replica nor allow a second one.
+/// Users notice only that a cold start takes longer.
 #[test]
 fn steward_killed_at_any_moment() {
     for (fenced, cap) in [(true, 1), (false, 1), (true, 2), (false, 2)] {
         for seed in 0..40 {
-            let mut world = world(seed, 4, 3, cap, fenced);
+            let mut world = start_world(seed, 4, 3, cap, fenced);
             let steward = world.steward("g").expect("a steward");
-            let asked = (steward + 1) % 4;
-            world.ask(asked, "m0", 5_000);
+            let requested = (steward + 1) % 4;
+            world.ask(requested, "m0", 5_000);
             // The whole cold start takes about 310 ms; most of it is the load.
-            world.run(seed % 12, |world| hold(world, cap as usize));
+            world.run(seed % 12, |world| assert_limits(world, cap as usize));
             world.kill(steward);
-            world.run(seed * 3, |world| hold(world, cap as usize));
-            traffic(&mut world, 2_000, cap as usize);
+            world.run(seed * 3, |world| assert_limits(world, cap as usize));
+            run_traffic(&mut world, 2_000, cap as usize);
             world.start_node(steward);
-            traffic(&mut world, 2_000, cap as usize);
-            world.run(6_000, |world| hold(world, cap as usize));
-            answered(&world);
+            run_traffic(&mut world, 2_000, cap as usize);
+            world.run(6_000, |world| assert_limits(world, cap as usize));
+            assert_answered(&world);
             let last = world.calls.len() - 1;
             assert!(world.calls[last].ended.is_some());
         }
     }
 }
 
-/// The steward is stopped between its last look at the ledger and the sending of an order. Another takes
-/// over, and gives the memory to another model. Then the first wakes and sends its old order. If that order
-/// could take effect beside the new one, an engine would hold more than its memory and fail for everybody.
+/// The steward is paused between its last check of the ledger and the sending of an order. Another instance takes over
+/// and uses the memory for another model. Then the first one resumes and sends its old order. If that order took
+/// effect as well, an engine would hold more than its memory and fail for all callers.
 #[test]
 fn steward_paused_before_its_order() {
     for fenced in [true, false] {
         for seed in 0..40 {
-            let mut world = world(seed, 4, 2, 1, fenced);
+            let mut world = start_world(seed, 4, 2, 1, fenced);
             let steward = world.steward("g").expect("a steward");
             world.seats[steward].pause_at_order = true;
-            let asked = (steward + 1) % 4;
-            world.ask(asked, "m0", 5_000);
+            let requested = (steward + 1) % 4;
+            world.ask(requested, "m0", 5_000);
             let paused = world.run_until(1_000, |world| world.seats[steward].paused, |_| {});
             assert!(paused, "no order was sent");
-            let taken = world.run_until(
+            let has_successor = world.run_until(
                 8_000,
                 |world| world.steward("g") != Some(steward),
-                |world| hold(world, 1),
+                |world| assert_limits(world, 1),
             );
-            assert!(taken, "nobody took over");
-            traffic(&mut world, 1_000 + seed * 10, 1);
+            assert!(has_successor, "no instance took over the group");
+            run_traffic(&mut world, 1_000 + seed * 10, 1);
             world.resume(steward);
-            traffic(&mut world, 2_000, 1);
-            world.run(6_000, |world| hold(world, 1));
+            run_traffic(&mut world, 2_000, 1);
+            world.run(6_000, |world| assert_limits(world, 1));
         }
     }
 }
 
-/// Orders are held up in the network, their answers get lost, engines restart and stewards die, all at once
-/// and over and over. Nothing may ever be loaded twice or beyond the memory.
+/// Orders are delayed in the network, answers are lost, engines restart and stewards die, repeatedly and at the same
+/// time. The cap and the memory limit must never be exceeded.
 #[test]
-fn everything_at_once() {
+fn combined_failures_never_exceed_the_limits() {
     use rand::Rng;
     for fenced in [true, false] {
         for seed in 100..140 {
-            let mut world = world(seed, 4, 2, 1, fenced);
+            let mut world = start_world(seed, 4, 2, 1, fenced);
             world.lose_order_answers = 0.2;
             world.delay_orders = (0.2, 2_500);
             for _ in 0..12 {
-                traffic_for(&mut world, 600, 1, 10);
-                let place = world.rng.random_range(0..4);
+                run_traffic_for(&mut world, 600, 1, 10);
+                let index = world.rng.random_range(0..4);
                 match world.rng.random_range(0..7) {
-                    0 if world.seats[place].node.is_some() => world.kill(place),
-                    1 if world.seats[place].node.is_none() => world.start_node(place),
-                    2 => world.pause(place),
-                    3 => world.resume(place),
-                    4 => world.log.lose_answers = 1,
+                    0 if world.seats[index].node.is_some() => world.kill(index),
+                    1 if world.seats[index].node.is_none() => world.start_node(index),
+                    2 => world.pause(index),
+                    3 => world.resume(index),
+                    4 => world.log.answers_to_lose = 1,
                     5 => {
                         let engine = world.rng.random_range(0..2);
                         let engine = world.engines.values_mut().nth(engine).expect("an engine");
@@ -202,87 +201,88 @@
             world.log.out = false;
             world.delay_orders = (0.0, 0);
             world.lose_order_answers = 0.0;
-            for place in 0..4 {
-                world.resume(place);
-                if world.seats[place].node.is_none() {
-                    world.start_node(place);
+            for index in 0..4 {
+                world.resume(index);
+                if world.seats[index].node.is_none() {
+                    world.start_node(index);
                 }
             }
-            world.run(8_000, |world| hold(world, 1));
-            let before = served(&world);
-            traffic(&mut world, 3_000, 1);
-            world.run(4_000, |world| hold(world, 1));
+            world.run(8_000, |world| assert_limits(world, 1));
+            let before = count_served(&world);
+            run_traffic(&mut world, 3_000, 1);
+            world.run(4_000, |world| assert_limits(world, 1));
             assert!(
-                served(&world) > before,
-                "nothing is served any more, seed {seed}"
+                count_served(&world) > before,
+                "no request is served after the failures, seed {seed}"
             );
         }
     }
 }
 
-/// The log is out for longer than any lease, an instance dies meanwhile, and when it comes back the records
-/// that a cut-off instance had not read are gone. What was loaded serves all the time; nothing is loaded
-/// twice afterwards, and the version in force never goes back.
+/// The log is unreachable for longer than any lease, and an instance dies in the meantime. After the outage, the log
+/// drops records that a disconnected instance has not read. Loaded models serve all the time, nothing is loaded twice
+/// afterwards, and the version in force never decreases.
 #[test]
 fn log_outage_with_a_death_and_retention() {
     for seed in 0..10 {
-        let mut world = world(seed, 4, 3, 1, true);
-        for place in 0..4 {
-            world.ask(place, "m0", 3_000);
+        let mut world = start_world(seed, 4, 3, 1, true);
+        for index in 0..4 {
+            world.ask(index, "m0", 3_000);
         }
-        world.run(1_000, |world| hold(world, 1));
+        world.run(1_000, |world| assert_limits(world, 1));
         let steward = world.steward("g").expect("a steward");
         let version = world.version(0);
         let lagging = (steward + 2) % 4;
         world.cut(lagging, false, true);
         world.publish(version, &document(2, "checked"));
-        world.run(1_000, |world| hold(world, 2));
+        world.run(1_000, |world| assert_limits(world, 2));
         world.log.out = true;
-        world.run(3_000, |world| hold(world, 2));
+        world.run(3_000, |world| assert_limits(world, 2));
         world.kill(steward);
-        let served_before = served(&world);
+        let served_before = count_served(&world);
         for _ in 0..30 {
-            let place = (steward + 1) % 4;
-            world.ask(place, "m0", 1_000);
-            world.run(100, |world| hold(world, 2));
+            let index = (steward + 1) % 4;
+            world.ask(index, "m0", 1_000);
+            world.run(100, |world| assert_limits(world, 2));
         }
         assert_eq!(
-            served(&world),
+            count_served(&world),
             served_before + 30,
             "a loaded model must serve through the outage"
         );
         world.log.out = false;
-        // The survivors checkpoint when so many records have passed; then the old ones are dropped.
-        world.run(25_000, |world| hold(world, 2));
+        // The surviving instances write a checkpoint after a number of records; then the log drops the old records.
+        world.run(25_000, |world| assert_limits(world, 2));
         let keep = world.log.records.len() / 2;
         world.log.retain(keep);
         let newest = world.version(lagging);
         assert!(
             newest > version,
-            "cut off from the log, it follows its peers"
+            "an instance that is disconnected from the log must follow its peers"
         );
         world.cut(lagging, false, false);
         world.start_node(steward);
-        world.run(4_000, |world| hold(world, 2));
+        world.run(4_000, |world| assert_limits(world, 2));
         assert!(world.ready(), "{:?}", world.notices);
-        for place in 0..4 {
-            assert_eq!(world.version(place), newest);
+        for index in 0..4 {
+            assert_eq!(world.version(index), newest);
         }
     }
 }
 
-/// Operators lower the cap below what is loaded. Replicas go down without cutting a request, and never up.
+/// Operators lower the cap below the number of loaded replicas. The number of replicas decreases without interrupting
+/// a request, and never increases.
 #[test]
 fn cap_lowered_below_what_is_loaded() {
-    let mut world = world(5, 3, 4, 3, true);
-    // Long enough for a crowd to stay.
+    let mut world = start_world(5, 3, 4, 3, true);
+    // Requests run long enough for the load to persist.
     world.service_ms = 300;
     for _ in 0..400 {
-        let place = world.now as usize % 3;
-        world.ask(place, "m0", 6_000);
-        world.run(4, |world| hold(world, 3));
+        let index = world.now as usize % 3;
+        world.ask(index, "m0", 6_000);
+        world.run(4, |world| assert_limits(world, 3));
     }
-    world.run(2_000, |world| hold(world, 3));
+    world.run(2_000, |world| assert_limits(world, 3));
     let before = world.replicas("m0");
     assert!(before >= 2, "only {before} replicas under load");
     world.service_ms = 20;
@@ -290,8 +290,8 @@
     world.publish(version, &document(1, "checked"));
     let mut least = before;
     for _ in 0..300 {
-        let place = world.now as usize % 3;
-        world.ask(place, "m0", 3_000);
+        let index = world.now as usize % 3;
+        world.ask(index, "m0", 3_000);
         world.run(10, |world| {
             let now = world.replicas("m0");
             assert!(
@@ -303,26 +303,26 @@
     }
     world.run(3_000, |_| {});
     assert_eq!(world.replicas("m0"), 1);
-    answered(&world);
+    assert_answered(&world);
     assert_eq!(
-        served(&world),
+        count_served(&world),
         world.calls.len(),
-        "a request was cut or refused"
+        "a request was interrupted or refused"
     );
 }
 
-/// The steward can't reach the log any more, but its peers can, and it answers their pings. If it kept the
-/// group, cold models would stay cold for as long as the cut lasts.
+/// The steward cannot reach the log any more, but its peers can, and it answers their pings. If it remained the steward,
+/// cold models would stay cold until the connection is restored.
 #[test]
-fn steward_cut_off_from_the_log_is_replaced() {
+fn steward_that_cannot_reach_the_log_is_replaced() {
     for seed in 0..10 {
-        let mut world = world(seed, 4, 3, 1, true);
+        let mut world = start_world(seed, 4, 3, 1, true);
         let steward = world.steward("g").expect("a steward");
         world.cut(steward, false, true);
         let call = world.ask((steward + 1) % 4, "m0", 5_000);
-        let at_the_cut = world.ask(steward, "m0", 5_000);
-        world.run(5_000, |world| hold(world, 1));
-        for call in [call, at_the_cut] {
+        let call_at_steward = world.ask(steward, "m0", 5_000);
+        world.run(5_000, |world| assert_limits(world, 1));
+        for call in [call, call_at_steward] {
             let ended = &world.calls[call].ended;
             let served = matches!(ended, Some((_, world::End::Served)));
             assert!(
@@ -335,19 +335,19 @@
     }
 }
 
-/// An instance starts and reads a long log page by page. Halfway it holds a configuration that was replaced
-/// long ago. If it said that it is ready then, callers would be served by limits that operators gave up.
+/// An instance starts and reads a long log page by page. Halfway through, it holds a configuration that was replaced
+/// long ago. If it reported that it is ready then, callers would be served under obsolete limits.
 #[test]
 fn starting_instance_is_not_ready_halfway_through_the_log() {
-    let mut world = world(9, 3, 2, 1, true);
+    let mut world = start_world(9, 3, 2, 1, true);
     let mut version = world.version(0);
     for round in 0..40 {
         let next = world.publish(version, &document(1 + round % 2, "checked"));
-        world.run(20, |world| hold(world, 2));
+        world.run(20, |world| assert_limits(world, 2));
         version = next;
     }
-    for place in 0..3 {
-        world.kill(place);
+    for index in 0..3 {
+        world.kill(index);
     }
     world.log.page = Some(3);
     world.start();
@@ -359,7 +359,7 @@
             let ready = node.check_ready().is_ok();
             assert!(
                 !ready || node.version() == version,
-                "ready with {}",
+                "ready with version {}",
                 node.version()
             );
         }
@@ -367,35 +367,35 @@
     assert!(ready && halfway);
 }
 
-/// Many callers use one model, a few at each of many instances. None of the instances sees a crowd; together
-/// they wait far longer than one replica can serve them, though operators allow two.
+/// Many callers use one model, a few at each of many instances. No single instance sees an overload, but together they
+/// wait far longer than necessary for one replica, although operators allow two.
 #[test]
-fn crowd_that_is_spread_over_instances_gets_another_replica() {
-    let mut world = world(6, 15, 3, 2, true);
+fn load_that_is_spread_over_instances_gets_another_replica() {
+    let mut world = start_world(6, 15, 3, 2, true);
     world.service_ms = 900;
     for round in 0..6 {
-        for place in 0..15 {
+        for index in 0..15 {
             for _ in 0..2 {
-                world.ask(place, "m0", 20_000);
+                world.ask(index, "m0", 20_000);
             }
         }
-        world.run(250 + round, |world| hold(world, 2));
+        world.run(250 + round, |world| assert_limits(world, 2));
     }
-    let second = world.run_until(
+    let has_second = world.run_until(
         5_000,
         |world| world.replicas("m0") == 2,
-        |world| hold(world, 2),
+        |world| assert_limits(world, 2),
     );
-    assert!(second, "one replica for {} callers", world.calls.len());
+    assert!(has_second, "one replica for {} callers", world.calls.len());
 }
 
-/// A backend server is reclaimed while it loads, and another right there changes after that: its answer was on
-/// the way. If the replica stayed counted for ever, operators' one replica would be lost with the server. An
-/// order that was lost with it is pinned; here operators let pins end after three seconds.
+/// A backend server is reclaimed during a load, and a right on it changes afterwards, since an answer was still on its
+/// way. If the replica stayed counted for ever, the single replica that operators allow would be lost with the server.
+/// An order that was lost with the server is pinned; here, operators allow pins to be released after three seconds.
 #[test]
 fn replicas_of_a_reclaimed_server_are_freed() {
     for seed in 0..20 {
-        let mut world = world(seed, 3, 2, 1, seed % 2 == 0);
+        let mut world = start_world(seed, 3, 2, 1, seed % 2 == 0);
         let fencing = if seed % 2 == 0 { "checked" } else { "ignored" };
         let rules = format!("fencing = {fencing}\npin_release = 3");
         let text = document(1, fencing).replace(&format!("fencing = {fencing}"), &rules);
@@ -403,7 +403,7 @@
         world.publish(version, &text);
         world.run(50, |_| {});
         world.ask(0, "m0", 5_000);
-        world.run(5 + seed * 17, |world| hold(world, 1));
+        world.run(5 + seed * 17, |world| assert_limits(world, 1));
         let holding = world
             .engines
             .iter()
@@ -412,12 +412,12 @@
             continue;
         };
         world.listed.remove(&address);
-        // Its last answer is on the way; then it is gone.
-        world.run(1, |world| hold(world, 1));
+        // The server's last answer is on its way when the server goes away.
+        world.run(1, |world| assert_limits(world, 1));
         world.engines.remove(&address);
-        world.run(14_000, |world| hold(world, 1));
+        world.run(14_000, |world| assert_limits(world, 1));
         let call = world.ask(1, "m0", 5_000);
-        world.run(5_000, |world| hold(world, 1));
+        world.run(5_000, |world| assert_limits(world, 1));
         let ended = &world.calls[call].ended;
         assert!(
             matches!(ended, Some((_, world::End::Served))),
@@ -426,10 +426,10 @@
     }
 }
 
-/// The weight store allows one load a second here. A burst for eight models at once must not ask it for all of
-/// them: each load would take many times as long, and all callers would be late instead of some.
+/// The weight store allows one load per second here. A burst of requests for eight models must not start all loads at
+/// once: each load would take many times as long, and all callers would be late instead of some.
 #[test]
-fn loads_follow_the_rate_of_the_store() {
+fn loads_stay_within_the_rate_of_the_store() {
     let mut world = World::new(4, 3).with_engines("g", 6, true);
     let rules = "cold_start_weight = 1\nstore_loads_per_second = 1\nstore_loads_at_once = 2";
     world.publish(
@@ -437,18 +437,18 @@
         &document(1, "checked").replace("cold_start_weight = 1", rules),
     );
     world.start_serving();
-    let begun = world.now;
+    let started_at = world.now;
     for model in 0..8 {
         world.ask(model % 3, &format!("m{model}"), 20_000);
     }
     world.run(12_000, |world| {
-        hold(world, 1);
-        let seconds = (world.now - begun) / 1_000;
+        assert_limits(world, 1);
+        let seconds = (world.now - started_at) / 1_000;
         assert!(
             world.loads <= seconds + 2,
             "{} loads after {seconds} s",
             world.loads
         );
     });
-    assert_eq!(served(&world), 8);
+    assert_eq!(count_served(&world), 8);
 }
--- a/crates/fireflywheel/tests/world/engine.rs
+++ b/crates/fireflywheel/tests/world/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine, in memory: it counts what it has loaded and runs, and does as it is told.
+//! A model engine in memory, which carries out orders and counts what it has loaded and runs.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,32 @@
 #[derive(Default)]
 pub struct Engine {
     pub fenced: bool,
-    pub fence: u64,
-    /// What takes memory, from the start of its load: megabytes, and whether it can be used yet.
-    pub loaded: BTreeMap<item::Item, Placed>,
+    /// The highest fencing number of the orders so far.
+    pub highest_fencing: u64,
+    /// The items that take memory, each from the start of its load.
+    pub loaded: BTreeMap<item::Item, Replica>,
+    /// Requests in progress, by model.
     pub running: BTreeMap<SmolStr, u32>,
+    /// The number of runs of each request, by the request's id.
     pub runs: BTreeMap<SmolStr, u32>,
     pub boot: u64,
     pub frozen: bool,
     pub leaving: bool,
-    pub kept: Vec<(usize, u64, order::AttemptId, order::Command)>,
-    works: BTreeMap<u64, (order::Command, u64)>,
-    works_count: u64,
+    /// Orders that arrived while the engine was frozen: the sender's index and incarnation, the attempt and the
+    /// command.
+    pub queued_orders: Vec<(usize, u64, order::AttemptId, order::Command)>,
+    /// Orders in progress, each with the boot count at its start.
+    in_progress: BTreeMap<u64, (order::Command, u64)>,
+    started_count: u64,
     pub load_ms: u64,
-    /// What its reports say of checkpoints.
+    /// The checkpoints that the engine's reports list.
     pub checkpoints: Vec<report::Checkpoint>,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Placed {
+pub struct Replica {
     pub memory_mb: u64,
+    /// Whether the load has finished and no unload has started.
     pub usable: bool,
 }
 
@@ -50,112 +57,112 @@
     }
 
     pub fn memory_mb(&self) -> u64 {
-        self.loaded.values().map(|placed| placed.memory_mb).sum()
+        self.loaded.values().map(|replica| replica.memory_mb).sum()
     }
 
-    /// Empties it in place, as a restart does; a fencing engine keeps its number.
+    /// Restarts the engine: its memory is empty afterwards, and its fencing number is kept.
     pub fn restart(&mut self) {
         self.boot += 1;
         self.loaded.clear();
-        self.works.clear();
+        self.in_progress.clear();
         self.running.clear();
     }
 
     pub fn take(&mut self, command: &order::Command, slowness: f64) -> Taken {
-        if self.fenced && command.fencing < self.fence {
+        if self.fenced && command.fencing < self.highest_fencing {
             return Taken::Now(order::Answer::Stale);
         }
-        if self.fenced && command.fencing > self.fence {
-            self.fence = command.fencing;
-            self.abandon(&command.item);
+        if self.fenced && command.fencing > self.highest_fencing {
+            self.highest_fencing = command.fencing;
+            self.cancel(&command.item);
         }
         match command.kind {
-            order::Kind::Query => Taken::Now(self.done()),
-            order::Kind::Load => self.take_load(command, slowness),
-            order::Kind::Unload => self.take_unload(command),
+            order::Kind::Query => Taken::Now(self.done_answer()),
+            order::Kind::Load => self.start_load(command, slowness),
+            order::Kind::Unload => self.start_unload(command),
         }
     }
 
-    /// Whether an order makes it load what it doesn't have.
+    /// Whether an order makes the engine start a new load.
     pub fn begins_load(&self, command: &order::Command) -> bool {
-        let stale = self.fenced && command.fencing < self.fence;
-        command.kind == order::Kind::Load && !stale && !self.loaded.contains_key(&command.item)
+        let is_stale = self.fenced && command.fencing < self.highest_fencing;
+        command.kind == order::Kind::Load && !is_stale && !self.loaded.contains_key(&command.item)
     }
 
-    fn take_load(&mut self, command: &order::Command, slowness: f64) -> Taken {
-        if let Some(placed) = self.loaded.get_mut(&command.item) {
-            if placed.usable {
-                return Taken::Now(self.done());
+    fn start_load(&mut self, command: &order::Command, slowness: f64) -> Taken {
+        if let Some(replica) = self.loaded.get_mut(&command.item) {
+            if replica.usable {
+                return Taken::Now(self.done_answer());
             }
         } else {
-            let placed = Placed {
+            let replica = Replica {
                 memory_mb: command.memory_mb,
                 usable: false,
             };
-            self.loaded.insert(command.item.clone(), placed);
+            self.loaded.insert(command.item.clone(), replica);
         }
         let wait_ms = (self.load_ms as f64 * slowness) as u64;
-        self.work(command, wait_ms)
+        self.start_work(command, wait_ms)
     }
 
-    fn take_unload(&mut self, command: &order::Command) -> Taken {
+    fn start_unload(&mut self, command: &order::Command) -> Taken {
         match self.loaded.get_mut(&command.item) {
-            None => Taken::Now(self.done()),
-            Some(placed) => {
-                placed.usable = false;
-                self.work(command, 1)
+            None => Taken::Now(self.done_answer()),
+            Some(replica) => {
+                replica.usable = false;
+                self.start_work(command, 1)
             }
         }
     }
 
-    fn work(&mut self, command: &order::Command, wait_ms: u64) -> Taken {
-        self.works_count += 1;
+    fn start_work(&mut self, command: &order::Command, wait_ms: u64) -> Taken {
+        self.started_count += 1;
         let work = (command.clone(), self.boot);
-        self.works.insert(self.works_count, work);
+        self.in_progress.insert(self.started_count, work);
         Taken::Work {
-            work: self.works_count,
+            work: self.started_count,
             wait_ms,
         }
     }
 
-    /// A higher number shuts out what a lower one had begun for the item.
-    fn abandon(&mut self, item: &item::Item) {
-        let works = std::mem::take(&mut self.works);
-        let (gone, kept): (BTreeMap<_, _>, BTreeMap<_, _>) = works
+    /// Cancels the orders in progress for an item, as an order with a higher fencing number does.
+    fn cancel(&mut self, item: &item::Item) {
+        let in_progress = std::mem::take(&mut self.in_progress);
+        let (cancelled, kept): (BTreeMap<_, _>, BTreeMap<_, _>) = in_progress
             .into_iter()
-            .partition(|(_, (work, _))| work.item == *item);
-        self.works = kept;
-        for (work, _) in gone.into_values() {
-            if work.kind == order::Kind::Load {
-                self.loaded.remove(&work.item);
-            } else if let Some(placed) = self.loaded.get_mut(&work.item) {
-                placed.usable = true;
+            .partition(|(_, (command, _))| command.item == *item);
+        self.in_progress = kept;
+        for (command, _) in cancelled.into_values() {
+            if command.kind == order::Kind::Load {
+                self.loaded.remove(&command.item);
+            } else if let Some(replica) = self.loaded.get_mut(&command.item) {
+                replica.usable = true;
             }
         }
     }
 
     pub fn finish(&mut self, work: u64) -> Finish {
-        let Some((command, boot)) = self.works.get(&work).cloned() else {
+        let Some((command, boot)) = self.in_progress.get(&work).cloned() else {
             return Finish::Answer(order::Answer::Lost);
         };
         if boot != self.boot {
             return Finish::Answer(order::Answer::Lost);
         }
         if command.kind == order::Kind::Unload {
-            let busy = self.running.get(&command.item.model).copied().unwrap_or(0);
-            if busy > 0 {
+            let running = self.running.get(&command.item.model).copied().unwrap_or(0);
+            if running > 0 {
                 return Finish::Later;
             }
             self.loaded.remove(&command.item);
-        } else if let Some(placed) = self.loaded.get_mut(&command.item) {
-            placed.usable = true;
+        } else if let Some(replica) = self.loaded.get_mut(&command.item) {
+            replica.usable = true;
         }
-        self.works.remove(&work);
-        Finish::Answer(self.done())
+        self.in_progress.remove(&work);
+        Finish::Answer(self.done_answer())
     }
 
-    fn done(&self) -> order::Answer {
-        let loaded = self.loaded.iter().filter(|(_, placed)| placed.usable);
+    fn done_answer(&self) -> order::Answer {
+        let loaded = self.loaded.iter().filter(|(_, replica)| replica.usable);
         order::Answer::Done(order::Loaded {
             loaded: loaded.map(|(item, _)| item.clone()).collect(),
             boot: format_smolstr!("b{}", self.boot),
@@ -169,10 +176,10 @@
         if self.leaving {
             return Err(request::Cause::Draining);
         }
-        let usable = self.loaded.iter().any(|(item, placed)| {
-            item.model == *model && item.adapter == *adapter && placed.usable
+        let is_usable = self.loaded.iter().any(|(item, replica)| {
+            item.model == *model && item.adapter == *adapter && replica.usable
         });
-        if !usable {
+        if !is_usable {
             return Err(request::Cause::NotLoaded);
         }
         *self.running.entry(model.clone()).or_default() += 1;
@@ -189,7 +196,7 @@
     }
 
     pub fn report(&self, at_ms: u64) -> report::Report {
-        let usable = self.loaded.iter().filter(|(_, placed)| placed.usable);
+        let usable = self.loaded.iter().filter(|(_, replica)| replica.usable);
         report::Report {
             at_ms,
             boot: format_smolstr!("b{}", self.boot),
--- a/crates/fireflywheel/tests/world/log.rs
+++ b/crates/fireflywheel/tests/world/log.rs
@@ -8,12 +8,12 @@
 pub struct Log {
     pub records: VecDeque<record::Stored>,
     pub next: u64,
-    /// No append and no read is answered.
+    /// Whether the log is unreachable: appends are refused, and reads fail.
     pub out: bool,
-    /// Records that one read gives at most.
+    /// Maximum number of records that one read returns.
     pub page: Option<usize>,
-    /// The answers of so many appends to come are lost.
-    pub lose_answers: u32,
+    /// The number of next appends whose answers are lost.
+    pub answers_to_lose: u32,
 }
 
 impl Log {
@@ -28,7 +28,7 @@
         offset
     }
 
-    /// Keeps the newest records only.
+    /// Drops all records but the newest ones.
     pub fn retain(&mut self, newest: usize) {
         while self.records.len() > newest {
             self.records.pop_front();
--- a/crates/fireflywheel/tests/world/mod.rs
+++ b/crates/fireflywheel/tests/world/mod.rs
@@ -1,8 +1,12 @@
-//! A few nodes of the core with scripted fakes at their interfaces, in virtual time.
+//! A simulation of several nodes of the core in virtual time, with fakes at their interfaces.
 //!
-//! Nothing here decides: a log, engines and links that carry out the nodes' effects after fixed delays, with
-//! switches for the failures that tests are about. All order and chance comes from one seed.
-#![allow(dead_code, missing_docs, reason = "each test file uses a part")]
+//! A fake log, fake engines and fake links carry out the nodes' effects after fixed delays, without decisions of
+//! their own. Tests inject failures into them. All randomness comes from one seed.
+#![allow(
+    dead_code,
+    missing_docs,
+    reason = "each test file uses a part of this module"
+)]
 
 pub mod engine;
 pub mod log;
@@ -20,14 +24,14 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use smol_str::{SmolStr, format_smolstr};
 
-/// One way between any two, in milliseconds.
+/// The one-way delay between any two parties, in milliseconds.
 pub const HOP_MS: u64 = 1;
-const TICK_MS: u64 = 10;
-const REPORT_MS: u64 = 250;
-const LIST_MS: u64 = 500;
-const POLL_RETRY_MS: u64 = 100;
+const TICK_INTERVAL_MS: u64 = 10;
+const REPORT_INTERVAL_MS: u64 = 250;
+const LIST_INTERVAL_MS: u64 = 500;
+const POLL_RETRY_DELAY_MS: u64 = 100;
 
-/// What happens at some later time.
+/// A scheduled step of the simulation. The numbers are the index of an instance and its incarnation.
 #[derive(Clone, Debug)]
 enum Step {
     Tick(usize, u64),
@@ -36,21 +40,21 @@
     Append(usize, u64, String),
     Order {
         node: usize,
-        life: u64,
+        incarnation: u64,
         attempt_id: order::AttemptId,
         server: SmolStr,
         command: order::Command,
     },
     OrderDone {
         node: usize,
-        life: u64,
+        incarnation: u64,
         attempt_id: order::AttemptId,
         server: SmolStr,
         work: u64,
     },
-    Served {
+    RequestDone {
         node: usize,
-        life: u64,
+        incarnation: u64,
         request: request::Key,
         server: SmolStr,
         boot: u64,
@@ -59,39 +63,45 @@
     List,
 }
 
-/// One instance's place; its process may be replaced.
+/// One instance, whose process may be replaced by another.
 pub struct Seat {
     pub name: SmolStr,
     pub node: Option<node::Node>,
-    /// Rises with each process in this place.
-    pub life: u64,
+    /// Rises with each start and each end of a process.
+    pub incarnation: u64,
     pub paused: bool,
-    /// Pause at the next order that the node wants to send, before it leaves.
+    /// Whether to pause the process at the next order that the node sends, before the order leaves.
     pub pause_at_order: bool,
     pub exited: bool,
-    /// Neither peers nor the log can be reached.
+    /// Whether the instance is disconnected from its peers.
     pub cut_peers: bool,
+    /// Whether the instance is disconnected from the log.
     pub cut_log: bool,
+    /// Events that arrived while the process was paused.
     inbox: Vec<event::Event>,
-    held: Vec<effect::Effect>,
-    reader: Option<u64>,
-    polling: bool,
-    watched: Vec<SmolStr>,
+    /// Effects that the process requested before it was paused.
+    held_effects: Vec<effect::Effect>,
+    /// The next offset to read from the log.
+    read_position: Option<u64>,
+    is_polling: bool,
+    /// The backend servers whose reports the node polls.
+    polled_servers: Vec<SmolStr>,
     links: BTreeSet<SmolStr>,
-    open: BTreeMap<request::Key, (usize, SmolStr)>,
+    /// For each request in progress, the index of its call and its id.
+    open_requests: BTreeMap<request::Key, (usize, SmolStr)>,
 }
 
-/// The end of one request.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
     Served,
     Refused(request::Refusal),
     Replayed(claim::Outcome),
-    /// Its process died.
+    /// The process that handled the request died.
     Lost,
 }
 
-/// One request as its caller saw it.
+/// A request as its caller sees it; the times are in virtual milliseconds.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub arrived: u64,
@@ -106,26 +116,27 @@
     pub engines: BTreeMap<SmolStr, engine::Engine>,
     pub calls: Vec<Call>,
     pub rng: StdRng,
-    /// The list's entries for backend servers.
+    /// The entries for backend servers in the platform's list.
     pub listed: BTreeMap<SmolStr, report::ListEntry>,
-    /// Share of order answers that are lost after the effect.
+    /// The ratio of order answers that are lost after the order took effect.
     pub lose_order_answers: f64,
-    /// Share of orders that are held up, and for how long at most.
+    /// The ratio of orders that are delayed, and the maximum delay in milliseconds.
     pub delay_orders: (f64, u64),
-    /// Loads take this many times as long: a slow store.
+    /// The factor by which loads take longer, as with a slow store.
     pub store_slowness: f64,
-    /// Gives each load its time, when there is one.
+    /// Determines the duration of each load, if there is one.
     pub store: Option<store::Store>,
     pub loads: u64,
     pub service_ms: u64,
     pub notices: Vec<String>,
+    /// Time and number of each scheduled step.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     steps: BTreeMap<u64, Step>,
-    count: u64,
+    step_count: u64,
     timing: node::Timing,
 }
 
-/// Times that suit short runs.
+/// The timing of nodes, with short intervals for short runs.
 pub fn timing() -> node::Timing {
     use std::time::Duration;
     node::Timing {
@@ -159,36 +170,36 @@
             notices: Vec::new(),
             queue: BinaryHeap::new(),
             steps: BTreeMap::new(),
-            count: 0,
+            step_count: 0,
             timing: timing(),
         };
-        for place in 0..nodes {
+        for index in 0..nodes {
             world.seats.push(Seat {
-                name: format_smolstr!("i{place:02}"),
+                name: format_smolstr!("i{index:02}"),
                 node: None,
-                life: 0,
+                incarnation: 0,
                 paused: false,
                 pause_at_order: false,
                 exited: false,
                 cut_peers: false,
                 cut_log: false,
                 inbox: Vec::new(),
-                held: Vec::new(),
-                reader: None,
-                polling: false,
-                watched: Vec::new(),
+                held_effects: Vec::new(),
+                read_position: None,
+                is_polling: false,
+                polled_servers: Vec::new(),
                 links: BTreeSet::new(),
-                open: BTreeMap::new(),
+                open_requests: BTreeMap::new(),
             });
         }
-        world.at(0, Step::Reports);
-        world.at(1, Step::List);
+        world.schedule(0, Step::Reports);
+        world.schedule(1, Step::List);
         world
     }
 
     pub fn with_engines(mut self, group: &str, count: usize, fenced: bool) -> Self {
-        for place in 0..count {
-            self.add_engine(group, &format!("10.0.0.{place}:80"), fenced);
+        for index in 0..count {
+            self.add_engine(group, &format!("10.0.0.{index}:80"), fenced);
         }
         self
     }
@@ -210,29 +221,29 @@
 
     /// Starts every instance.
     pub fn start(&mut self) {
-        for place in 0..self.seats.len() {
-            self.start_node(place);
+        for index in 0..self.seats.len() {
+            self.start_node(index);
         }
     }
 
-    /// Starts every instance, and runs until all are ready and group `g` has a steward.
+    /// Starts every instance, and runs until all are ready and the group `g` has a steward.
     pub fn start_serving(&mut self) {
         self.start();
-        let serving = |world: &Self| world.ready() && world.steward("g").is_some();
-        let started = self.run_until(3_000, serving, |_| {});
+        let is_serving = |world: &Self| world.ready() && world.steward("g").is_some();
+        let started = self.run_until(3_000, is_serving, |_| {});
         assert!(started, "not ready after 3 s: {:?}", self.notices);
     }
 
-    /// Starts a process in a place that has none.
-    pub fn start_node(&mut self, place: usize) {
+    /// Starts a process for an instance that has none.
+    pub fn start_node(&mut self, index: usize) {
         let seeds = self
             .seats
             .iter()
             .take(2)
             .map(|seat| address(&seat.name))
             .collect();
-        let seat = &mut self.seats[place];
-        seat.life += 1;
+        let seat = &mut self.seats[index];
+        seat.incarnation += 1;
         let by = record::Incarnation {
             instance: seat.name.clone(),
             number: 1_700_000_000_000 + self.now,
@@ -254,56 +265,56 @@
         seat.exited = false;
         seat.links.clear();
         seat.inbox.clear();
-        seat.held.clear();
-        seat.reader = None;
-        seat.polling = false;
-        let life = seat.life;
-        self.carry_out(place, out);
-        self.at(TICK_MS, Step::Tick(place, life));
+        seat.held_effects.clear();
+        seat.read_position = None;
+        seat.is_polling = false;
+        let incarnation = seat.incarnation;
+        self.apply_effects(index, out);
+        self.schedule(TICK_INTERVAL_MS, Step::Tick(index, incarnation));
     }
 
-    /// Kills a process: its links end, its requests have no answer.
-    pub fn kill(&mut self, place: usize) {
-        let seat = &mut self.seats[place];
+    /// Kills a process: its links end, and its requests get no answer.
+    pub fn kill(&mut self, index: usize) {
+        let seat = &mut self.seats[index];
         seat.node = None;
-        seat.life += 1;
-        seat.held.clear();
+        seat.incarnation += 1;
+        seat.held_effects.clear();
         seat.inbox.clear();
-        let open = std::mem::take(&mut seat.open);
+        let open_requests = std::mem::take(&mut seat.open_requests);
         let links = std::mem::take(&mut seat.links);
-        for (call, _) in open.into_values() {
+        for (call, _) in open_requests.into_values() {
             self.calls[call].ended = Some((self.now, End::Lost));
         }
         for peer in links {
-            self.unlink(place, &peer);
+            self.notify_link_down(index, &peer);
         }
     }
 
-    pub fn pause(&mut self, place: usize) {
-        self.seats[place].paused = true;
+    pub fn pause(&mut self, index: usize) {
+        self.seats[index].paused = true;
     }
 
-    /// Wakes a paused process: what it was about to do goes on first.
-    pub fn resume(&mut self, place: usize) {
-        let seat = &mut self.seats[place];
+    /// Resumes a paused process: its held effects are applied first, then its waiting events are delivered.
+    pub fn resume(&mut self, index: usize) {
+        let seat = &mut self.seats[index];
         seat.paused = false;
         seat.pause_at_order = false;
-        let held = std::mem::take(&mut seat.held);
+        let held_effects = std::mem::take(&mut seat.held_effects);
         let inbox = std::mem::take(&mut seat.inbox);
-        let life = seat.life;
-        self.carry_out(place, held);
+        let incarnation = seat.incarnation;
+        self.apply_effects(index, held_effects);
         for event in inbox {
-            self.deliver(place, life, event);
+            self.deliver(index, incarnation, event);
         }
     }
 
-    pub fn stop(&mut self, place: usize) {
-        let life = self.seats[place].life;
-        self.deliver(place, life, event::Event::Stop);
+    pub fn stop(&mut self, index: usize) {
+        let incarnation = self.seats[index].incarnation;
+        self.deliver(index, incarnation, event::Event::Stop);
     }
 
-    /// A request at an instance; the call's place in `calls`.
-    pub fn call(&mut self, place: usize, arrival: request::Arrival) -> usize {
+    /// Sends a request to an instance, and returns the call's index in `calls`.
+    pub fn call(&mut self, index: usize, arrival: request::Arrival) -> usize {
         let deadline = arrival
             .deadline
             .map_or(5_000, |wait| wait.as_millis() as u64);
@@ -315,20 +326,20 @@
         });
         let id = arrival.id.clone();
         let now = clock::Instant(self.now);
-        let seat = &mut self.seats[place];
+        let seat = &mut self.seats[index];
         let Some(node) = seat.node.as_mut().filter(|_| !seat.paused) else {
             self.calls[call].ended = Some((self.now, End::Lost));
             return call;
         };
         let mut out = Vec::new();
         let admitted = node.handle_arrival(now, arrival, &mut out);
-        seat.open.insert(admitted.key, (call, id));
-        self.carry_out(place, out);
+        seat.open_requests.insert(admitted.key, (call, id));
+        self.apply_effects(index, out);
         call
     }
 
-    /// A request for a model.
-    pub fn ask(&mut self, place: usize, model: &str, deadline_ms: u64) -> usize {
+    /// Sends a request for a model, or for an adapter written as `MODEL:ADAPTER`.
+    pub fn ask(&mut self, index: usize, model: &str, deadline_ms: u64) -> usize {
         let id = format_smolstr!("r{}", self.calls.len());
         let (model, adapter) = match model.split_once(':') {
             Some((model, adapter)) => (model, Some(SmolStr::new(adapter))),
@@ -338,16 +349,16 @@
             model: SmolStr::new(model),
             adapter,
         };
-        self.call(place, arrival(id, target, deadline_ms))
+        self.call(index, arrival(id, target, deadline_ms))
     }
 
-    /// Appends a document as an operator does.
+    /// Publishes a document as an operator does, and returns its version.
     pub fn publish(&mut self, base: u64, text: &str) -> u64 {
         let record = record::Record {
             rule: record::RULES_VERSION,
             id: record::Id {
                 by: record::Incarnation {
-                    instance: format_smolstr!("operator/{}", self.count),
+                    instance: format_smolstr!("operator/{}", self.step_count),
                     number: 1_700_000_000_000 + self.now,
                 },
                 sequence: 1,
@@ -362,7 +373,7 @@
         offset + 1
     }
 
-    /// Runs for a while, and checks the engines after every step.
+    /// Runs for `ms` milliseconds, and calls `check` after every step.
     pub fn run<C>(&mut self, ms: u64, mut check: C)
     where
         C: FnMut(&mut Self),
@@ -374,14 +385,17 @@
             }
             self.queue.pop();
             self.now = time;
-            let step = self.steps.remove(&number).expect("a queued step is kept");
-            self.carry(step);
+            let step = self
+                .steps
+                .remove(&number)
+                .expect("every queued step is stored");
+            self.execute(step);
             check(self);
         }
         self.now = end;
     }
 
-    /// Runs until something holds, at most so long; whether it came to hold.
+    /// Runs until the condition holds, for at most `ms` milliseconds, and returns whether it holds.
     pub fn run_until<U, C>(&mut self, ms: u64, mut until: U, mut check: C) -> bool
     where
         U: FnMut(&Self) -> bool,
@@ -397,7 +411,7 @@
         until(self)
     }
 
-    /// Replicas of a model over all engines at this moment, all versions.
+    /// The number of replicas of a model on all engines at this time, over all versions.
     pub fn replicas(&self, model: &str) -> usize {
         let engines = self.engines.values();
         let loaded = engines.flat_map(|engine| engine.loaded.keys());
@@ -406,7 +420,7 @@
             .count()
     }
 
-    /// The place of the instance that holds a group, by the newest ledger.
+    /// The index of the instance that is the steward of a group, by the ledger that covers most of the log.
     pub fn steward(&self, group: &str) -> Option<usize> {
         let nodes = self.seats.iter().filter_map(|seat| seat.node.as_ref());
         let statuses = nodes.map(node::Node::status);
@@ -420,8 +434,8 @@
         self.seats.iter().position(|seat| seat.name == holder)
     }
 
-    pub fn version(&self, place: usize) -> u64 {
-        self.seats[place]
+    pub fn version(&self, index: usize) -> u64 {
+        self.seats[index]
             .node
             .as_ref()
             .map_or(0, node::Node::version)
@@ -432,61 +446,62 @@
         nodes.into_iter().all(|node| node.check_ready().is_ok())
     }
 
-    fn at(&mut self, wait: u64, step: Step) {
-        self.count += 1;
-        self.queue.push(Reverse((self.now + wait, self.count)));
-        self.steps.insert(self.count, step);
+    fn schedule(&mut self, delay_ms: u64, step: Step) {
+        self.step_count += 1;
+        self.queue
+            .push(Reverse((self.now + delay_ms, self.step_count)));
+        self.steps.insert(self.step_count, step);
     }
 
-    fn carry(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
-            Step::Tick(place, life) => {
-                if self.seats[place].life == life && !self.seats[place].exited {
-                    if !self.seats[place].paused {
-                        self.deliver(place, life, event::Event::Tick);
+            Step::Tick(index, incarnation) => {
+                if self.seats[index].incarnation == incarnation && !self.seats[index].exited {
+                    if !self.seats[index].paused {
+                        self.deliver(index, incarnation, event::Event::Tick);
                     }
-                    self.at(TICK_MS, Step::Tick(place, life));
+                    self.schedule(TICK_INTERVAL_MS, Step::Tick(index, incarnation));
                 }
             }
-            Step::Event(place, life, event) => self.deliver(place, life, *event),
-            Step::Poll(place, life) => self.poll(place, life),
-            Step::Append(place, life, body) => self.append(place, life, body),
+            Step::Event(index, incarnation, event) => self.deliver(index, incarnation, *event),
+            Step::Poll(index, incarnation) => self.poll(index, incarnation),
+            Step::Append(index, incarnation, body) => self.append(index, incarnation, body),
             Step::Order {
                 node,
-                life,
+                incarnation,
                 attempt_id,
                 server,
                 command,
-            } => self.order(node, life, attempt_id, &server, &command),
+            } => self.deliver_order(node, incarnation, attempt_id, &server, &command),
             Step::OrderDone {
                 node,
-                life,
+                incarnation,
                 attempt_id,
                 server,
                 work,
-            } => self.order_done(node, life, attempt_id, &server, work),
-            Step::Served {
+            } => self.finish_order(node, incarnation, attempt_id, &server, work),
+            Step::RequestDone {
                 node,
-                life,
+                incarnation,
                 request,
                 server,
                 boot,
-            } => self.served(node, life, request, &server, boot),
+            } => self.finish_request(node, incarnation, request, &server, boot),
             Step::Reports => {
-                self.report();
-                self.at(REPORT_MS, Step::Reports);
+                self.deliver_reports();
+                self.schedule(REPORT_INTERVAL_MS, Step::Reports);
             }
             Step::List => {
-                self.list();
-                self.at(LIST_MS, Step::List);
+                self.deliver_list();
+                self.schedule(LIST_INTERVAL_MS, Step::List);
             }
         }
     }
 
-    fn deliver(&mut self, place: usize, life: u64, event: event::Event) {
+    fn deliver(&mut self, index: usize, incarnation: u64, event: event::Event) {
         let now = clock::Instant(self.now);
-        let seat = &mut self.seats[place];
-        if seat.life != life || seat.exited {
+        let seat = &mut self.seats[index];
+        if seat.incarnation != incarnation || seat.exited {
             return;
         }
         if seat.paused {
@@ -498,188 +513,193 @@
         };
         let mut out = Vec::new();
         node.step(now, event, &mut out);
-        self.carry_out(place, out);
+        self.apply_effects(index, out);
     }
 
-    fn carry_out(&mut self, place: usize, effects: Vec<effect::Effect>) {
+    fn apply_effects(&mut self, index: usize, effects: Vec<effect::Effect>) {
         for effect in effects {
-            let seat = &mut self.seats[place];
-            let order = matches!(effect, effect::Effect::Order { .. });
-            if seat.pause_at_order && order {
+            let seat = &mut self.seats[index];
+            let is_order = matches!(effect, effect::Effect::Order { .. });
+            if seat.pause_at_order && is_order {
                 seat.paused = true;
             }
             if seat.paused {
-                seat.held.push(effect);
+                seat.held_effects.push(effect);
                 continue;
             }
-            self.effect(place, effect);
+            self.apply_effect(index, effect);
         }
     }
 
-    fn effect(&mut self, place: usize, effect: effect::Effect) {
-        let life = self.seats[place].life;
+    fn apply_effect(&mut self, index: usize, effect: effect::Effect) {
+        let incarnation = self.seats[index].incarnation;
         match effect {
-            effect::Effect::Append(body) => self.at(HOP_MS, Step::Append(place, life, body)),
+            effect::Effect::Append(body) => {
+                self.schedule(HOP_MS, Step::Append(index, incarnation, body));
+            }
             effect::Effect::ReadFrom(from) => {
-                self.seats[place].reader = Some(from);
-                self.wake_reader(place);
+                self.seats[index].read_position = Some(from);
+                self.wake_reader(index);
             }
-            effect::Effect::Connect { address, .. } => self.link(place, &address),
+            effect::Effect::Connect { address, .. } => self.open_link(index, &address),
             effect::Effect::Disconnect(peer) => {
-                let name = self.seats[place].name.clone();
-                if self.seats[place].links.remove(&peer) {
-                    self.unlink_one(&peer, &name);
+                let name = self.seats[index].name.clone();
+                if self.seats[index].links.remove(&peer) {
+                    self.remove_link(&peer, &name);
                 }
             }
-            effect::Effect::Send { to, frame } => self.send(place, &to, frame),
-            effect::Effect::PollReports(servers) => self.seats[place].watched = servers,
+            effect::Effect::Send { to, frame } => self.send(index, &to, frame),
+            effect::Effect::PollReports(servers) => self.seats[index].polled_servers = servers,
             effect::Effect::Order {
                 attempt_id,
                 server,
                 command,
             } => {
-                let (share, limit) = self.delay_orders;
-                let late = self.rng.random_bool(share);
-                let wait = if late {
-                    self.rng.random_range(0..limit)
+                let (delayed_ratio, max_delay_ms) = self.delay_orders;
+                let is_delayed = self.rng.random_bool(delayed_ratio);
+                let delay_ms = if is_delayed {
+                    self.rng.random_range(0..max_delay_ms)
                 } else {
                     HOP_MS
                 };
-                if late {
-                    // Its sender gives up on the answer; the copy arrives all the same.
+                if is_delayed {
+                    // The sender stops waiting for the answer, and the order arrives nevertheless.
                     let event = event::Event::OrderAnswered {
                         attempt_id,
                         answer: order::Answer::Lost,
                     };
-                    self.at(5 * HOP_MS, Step::Event(place, life, Box::new(event)));
+                    self.schedule(5 * HOP_MS, Step::Event(index, incarnation, Box::new(event)));
                 }
-                self.at(
-                    wait,
+                self.schedule(
+                    delay_ms,
                     Step::Order {
-                        node: place,
-                        life,
+                        node: index,
+                        incarnation,
                         attempt_id,
                         server,
                         command,
                     },
                 );
             }
-            effect::Effect::Dispatch { request, server } => self.dispatch(place, request, server),
+            effect::Effect::Dispatch { request, server } => self.dispatch(index, request, server),
             effect::Effect::Resume { .. } => {}
             effect::Effect::Refuse { request, refusal } => {
-                self.end(place, request, End::Refused(refusal));
+                self.end(index, request, End::Refused(refusal));
             }
             effect::Effect::Replay { request, outcome } => {
-                self.end(place, request, End::Replayed(outcome));
+                self.end(index, request, End::Replayed(outcome));
             }
             effect::Effect::Notice(notice) => self.notices.push(notice.text),
             effect::Effect::Exit => {
-                self.seats[place].exited = true;
-                self.kill(place);
-                self.seats[place].exited = true;
+                self.seats[index].exited = true;
+                self.kill(index);
+                self.seats[index].exited = true;
             }
         }
     }
 
-    fn end(&mut self, place: usize, request: request::Key, end: End) {
-        if let Some((call, _)) = self.seats[place].open.remove(&request) {
+    fn end(&mut self, index: usize, request: request::Key, end: End) {
+        if let Some((call, _)) = self.seats[index].open_requests.remove(&request) {
             self.calls[call].ended = Some((self.now, end));
         }
     }
 
-    fn append(&mut self, place: usize, life: u64, body: String) {
-        let answer = if self.seats[place].cut_log || self.log.out {
+    fn append(&mut self, index: usize, incarnation: u64, body: String) {
+        let answer = if self.seats[index].cut_log || self.log.out {
             writer::Answer::Refused
         } else {
             let offset = self.log.append(self.now, body);
             self.wake_readers();
-            let lost = self.log.lose_answers > 0;
-            self.log.lose_answers = self.log.lose_answers.saturating_sub(1);
-            if lost {
+            let is_lost = self.log.answers_to_lose > 0;
+            self.log.answers_to_lose = self.log.answers_to_lose.saturating_sub(1);
+            if is_lost {
                 writer::Answer::Lost
             } else {
                 writer::Answer::Stored(offset)
             }
         };
         let event = Box::new(event::Event::Appended(answer));
-        self.at(HOP_MS, Step::Event(place, life, event));
+        self.schedule(HOP_MS, Step::Event(index, incarnation, event));
     }
 
     fn wake_readers(&mut self) {
-        for place in 0..self.seats.len() {
-            self.wake_reader(place);
+        for index in 0..self.seats.len() {
+            self.wake_reader(index);
         }
     }
 
-    fn wake_reader(&mut self, place: usize) {
-        let seat = &mut self.seats[place];
-        if seat.node.is_some() && !seat.polling {
-            seat.polling = true;
-            let life = seat.life;
-            self.at(HOP_MS, Step::Poll(place, life));
+    fn wake_reader(&mut self, index: usize) {
+        let seat = &mut self.seats[index];
+        if seat.node.is_some() && !seat.is_polling {
+            seat.is_polling = true;
+            let incarnation = seat.incarnation;
+            self.schedule(HOP_MS, Step::Poll(index, incarnation));
         }
     }
 
-    fn poll(&mut self, place: usize, life: u64) {
-        let seat = &mut self.seats[place];
-        if seat.life != life {
+    fn poll(&mut self, index: usize, incarnation: u64) {
+        let seat = &mut self.seats[index];
+        if seat.incarnation != incarnation {
             return;
         }
-        seat.polling = false;
-        let Some(from) = seat.reader else { return };
+        seat.is_polling = false;
+        let Some(from) = seat.read_position else {
+            return;
+        };
         if self.log.out || seat.cut_log {
-            seat.polling = true;
-            self.at(POLL_RETRY_MS, Step::Poll(place, life));
-            return self.deliver(place, life, event::Event::LogReadFailed);
+            seat.is_polling = true;
+            self.schedule(POLL_RETRY_DELAY_MS, Step::Poll(index, incarnation));
+            return self.deliver(index, incarnation, event::Event::LogReadFailed);
         }
         if seat.paused {
-            seat.polling = true;
-            return self.at(POLL_RETRY_MS, Step::Poll(place, life));
+            seat.is_polling = true;
+            return self.schedule(POLL_RETRY_DELAY_MS, Step::Poll(index, incarnation));
         }
         let (first, next, records) = self.log.read(from);
-        seat.reader = Some(
+        seat.read_position = Some(
             records
                 .last()
                 .map_or(from.max(first), |last| last.offset + 1),
         );
-        if seat.reader.is_some_and(|reader| reader < next) {
-            seat.polling = true;
-            self.at(2 * HOP_MS, Step::Poll(place, life));
+        if seat.read_position.is_some_and(|position| position < next) {
+            seat.is_polling = true;
+            self.schedule(2 * HOP_MS, Step::Poll(index, incarnation));
         }
         let event = event::Event::LogRead {
             first,
             next,
             records,
         };
-        self.deliver(place, life, event);
+        self.deliver(index, incarnation, event);
     }
 
-    fn link(&mut self, place: usize, address_of: &SmolStr) {
-        let named = |seat: &Seat| address(&seat.name) == *address_of;
-        let Some(peer) = self.seats.iter().position(named) else {
+    fn open_link(&mut self, index: usize, peer_address: &SmolStr) {
+        let has_address = |seat: &Seat| address(&seat.name) == *peer_address;
+        let Some(peer) = self.seats.iter().position(has_address) else {
             return;
         };
-        let reachable = |seat: &Seat| seat.node.is_some() && !seat.cut_peers && !seat.paused;
-        if peer == place || !reachable(&self.seats[peer]) || !reachable(&self.seats[place]) {
+        let is_reachable = |seat: &Seat| seat.node.is_some() && !seat.cut_peers && !seat.paused;
+        if peer == index || !is_reachable(&self.seats[peer]) || !is_reachable(&self.seats[index]) {
             return;
         }
         let (here, there) = (
-            self.seats[place].name.clone(),
+            self.seats[index].name.clone(),
             self.seats[peer].name.clone(),
         );
-        if !self.seats[place].links.insert(there) {
+        if !self.seats[index].links.insert(there) {
             return;
         }
         self.seats[peer].links.insert(here);
-        let (a, b) = (self.introduction(place), self.introduction(peer));
-        let (life_a, life_b) = (self.seats[place].life, self.seats[peer].life);
+        let (a, b) = (self.own_update(index), self.own_update(peer));
+        let (incarnation_a, incarnation_b) =
+            (self.seats[index].incarnation, self.seats[peer].incarnation);
         let up = |update| Box::new(event::Event::LinkUp(update));
-        self.at(HOP_MS, Step::Event(place, life_a, up(b)));
-        self.at(HOP_MS, Step::Event(peer, life_b, up(a)));
+        self.schedule(HOP_MS, Step::Event(index, incarnation_a, up(b)));
+        self.schedule(HOP_MS, Step::Event(peer, incarnation_b, up(a)));
     }
 
-    fn introduction(&self, place: usize) -> member::Update {
-        let seat = &self.seats[place];
+    fn own_update(&self, index: usize) -> member::Update {
+        let seat = &self.seats[index];
         let status = seat.node.as_ref().map(node::Node::status);
         member::Update {
             by: record::Incarnation {
@@ -693,27 +713,29 @@
         }
     }
 
-    /// Ends all links of a place, as a cut of the network does.
-    pub fn cut(&mut self, place: usize, peers: bool, log: bool) {
-        self.seats[place].cut_peers = peers;
-        self.seats[place].cut_log = log;
-        // A long poll notices a cut at once.
-        self.wake_reader(place);
+    /// Sets whether an instance is disconnected from its peers and from the log.
+    pub fn cut(&mut self, index: usize, peers: bool, log: bool) {
+        self.seats[index].cut_peers = peers;
+        self.seats[index].cut_log = log;
+        // A long poll notices the lost connection at once.
+        self.wake_reader(index);
         if peers {
-            for peer in std::mem::take(&mut self.seats[place].links) {
-                let name = self.seats[place].name.clone();
-                self.unlink_one(&name, &peer);
-                self.unlink(place, &peer);
+            for peer in std::mem::take(&mut self.seats[index].links) {
+                let name = self.seats[index].name.clone();
+                self.remove_link(&name, &peer);
+                self.notify_link_down(index, &peer);
             }
         }
     }
 
-    fn unlink(&mut self, place: usize, peer: &SmolStr) {
-        let name = self.seats[place].name.clone();
-        self.unlink_one(peer, &name);
+    /// Ends the link to `index` at the peer.
+    fn notify_link_down(&mut self, index: usize, peer: &SmolStr) {
+        let name = self.seats[index].name.clone();
+        self.remove_link(peer, &name);
     }
 
-    fn unlink_one(&mut self, at: &SmolStr, peer: &SmolStr) {
+    /// Ends the link to `peer` at the instance `at`, and informs its node.
+    fn remove_link(&mut self, at: &SmolStr, peer: &SmolStr) {
         let Some(there) = self.seats.iter().position(|seat| seat.name == *at) else {
             return;
         };
@@ -721,41 +743,43 @@
         let Some(other) = self.seats.iter().position(|seat| seat.name == *peer) else {
             return;
         };
-        let by = self.introduction(other).by;
-        let life = self.seats[there].life;
+        let by = self.own_update(other).by;
+        let incarnation = self.seats[there].incarnation;
         let event = Box::new(event::Event::LinkDown(by));
-        self.at(HOP_MS, Step::Event(there, life, event));
+        self.schedule(HOP_MS, Step::Event(there, incarnation, event));
     }
 
-    fn send(&mut self, place: usize, to: &SmolStr, frame: wire::Frame) {
-        let linked = self.seats[place].links.contains(to) && !self.seats[place].cut_peers;
+    fn send(&mut self, index: usize, to: &SmolStr, frame: wire::Frame) {
+        let is_linked = self.seats[index].links.contains(to) && !self.seats[index].cut_peers;
         let Some(peer) = self.seats.iter().position(|seat| seat.name == *to) else {
             return;
         };
-        if !linked || self.seats[peer].cut_peers {
+        if !is_linked || self.seats[peer].cut_peers {
             return;
         }
-        let from = self.introduction(place).by;
-        let life = self.seats[peer].life;
+        let from = self.own_update(index).by;
+        let incarnation = self.seats[peer].incarnation;
         let event = Box::new(event::Event::Frame { from, frame });
-        self.at(HOP_MS, Step::Event(peer, life, event));
+        self.schedule(HOP_MS, Step::Event(peer, incarnation, event));
     }
 
-    fn order(
+    fn deliver_order(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         attempt_id: order::AttemptId,
         server: &SmolStr,
         command: &order::Command,
     ) {
         let slowness = self.store_slowness;
         let Some(engine) = self.engines.get_mut(server) else {
-            return self.answer_order(node, life, attempt_id, order::Answer::Unsent);
+            return self.answer_order(node, incarnation, attempt_id, order::Answer::Unsent);
         };
         if engine.frozen {
-            engine.kept.push((node, life, attempt_id, command.clone()));
-            return self.answer_order(node, life, attempt_id, order::Answer::Lost);
+            engine
+                .queued_orders
+                .push((node, incarnation, attempt_id, command.clone()));
+            return self.answer_order(node, incarnation, attempt_id, order::Answer::Lost);
         }
         if let Some(store) = &mut self.store
             && engine.begins_load(command)
@@ -763,15 +787,15 @@
             engine.load_ms = store.start(self.now, server, &command.item);
         }
         match engine.take(command, slowness) {
-            engine::Taken::Now(answer) => self.answer_order(node, life, attempt_id, answer),
+            engine::Taken::Now(answer) => self.answer_order(node, incarnation, attempt_id, answer),
             engine::Taken::Work { work, wait_ms } => {
                 self.loads += u64::from(command.kind == order::Kind::Load);
                 let server = server.clone();
-                self.at(
+                self.schedule(
                     wait_ms,
                     Step::OrderDone {
                         node,
-                        life,
+                        incarnation,
                         attempt_id,
                         server,
                         work,
@@ -781,38 +805,46 @@
         }
     }
 
-    /// Thaws a frozen engine: it carries out what it had accepted.
-    pub fn thaw(&mut self, server: &str) {
+    /// Unfreezes an engine, which then carries out the orders that arrived while it was frozen.
+    pub fn unfreeze(&mut self, server: &str) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
         engine.frozen = false;
-        for (node, life, attempt_id, command) in std::mem::take(&mut engine.kept) {
-            self.order(node, life, attempt_id, &SmolStr::new(server), &command);
+        for (node, incarnation, attempt_id, command) in std::mem::take(&mut engine.queued_orders) {
+            self.deliver_order(
+                node,
+                incarnation,
+                attempt_id,
+                &SmolStr::new(server),
+                &command,
+            );
         }
     }
 
-    fn order_done(
+    fn finish_order(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         attempt_id: order::AttemptId,
         server: &SmolStr,
         work: u64,
     ) {
         let Some(engine) = self.engines.get_mut(server) else {
-            // Its connection ends with it.
-            return self.answer_order(node, life, attempt_id, order::Answer::Lost);
+            // The connection ends with the engine.
+            return self.answer_order(node, incarnation, attempt_id, order::Answer::Lost);
         };
         match engine.finish(work) {
-            engine::Finish::Answer(answer) => self.answer_order(node, life, attempt_id, answer),
+            engine::Finish::Answer(answer) => {
+                self.answer_order(node, incarnation, attempt_id, answer);
+            }
             engine::Finish::Later => {
                 let server = server.clone();
-                self.at(
+                self.schedule(
                     5,
                     Step::OrderDone {
                         node,
-                        life,
+                        incarnation,
                         attempt_id,
                         server,
                         work,
@@ -825,28 +857,33 @@
     fn answer_order(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         attempt_id: order::AttemptId,
         answer: order::Answer,
     ) {
-        let lost = self.rng.random_bool(self.lose_order_answers);
-        let answer = if lost { order::Answer::Lost } else { answer };
+        let is_lost = self.rng.random_bool(self.lose_order_answers);
+        let answer = if is_lost { order::Answer::Lost } else { answer };
         let event = Box::new(event::Event::OrderAnswered { attempt_id, answer });
-        self.at(HOP_MS, Step::Event(node, life, event));
+        self.schedule(HOP_MS, Step::Event(node, incarnation, event));
     }
 
-    fn dispatch(&mut self, place: usize, request: request::Key, server: SmolStr) {
-        let life = self.seats[place].life;
-        let Some((_, id)) = self.seats[place].open.get(&request).cloned() else {
+    fn dispatch(&mut self, index: usize, request: request::Key, server: SmolStr) {
+        let incarnation = self.seats[index].incarnation;
+        let Some((_, id)) = self.seats[index].open_requests.get(&request).cloned() else {
             return;
         };
-        let target = self.seats[place]
+        let target = self.seats[index]
             .node
             .as_ref()
             .and_then(|node| node.target(request));
         let Some(engine) = self.engines.get_mut(&server) else {
             let failure = failure(verdict::Verdict::NotRun, request::Cause::Connect);
-            return self.attempted(place, life, request, request::Attempt::Failed(failure));
+            return self.report_attempt(
+                index,
+                incarnation,
+                request,
+                request::Attempt::Failed(failure),
+            );
         };
         match engine.begin(target.as_ref()) {
             Ok(()) => {
@@ -856,12 +893,12 @@
                     .and_modify(|runs| *runs += 1)
                     .or_insert(1);
                 let boot = engine.boot;
-                let wait = self.service_ms;
-                self.at(
-                    HOP_MS + wait,
-                    Step::Served {
-                        node: place,
-                        life,
+                let service_ms = self.service_ms;
+                self.schedule(
+                    HOP_MS + service_ms,
+                    Step::RequestDone {
+                        node: index,
+                        incarnation,
                         request,
                         server,
                         boot,
@@ -870,59 +907,69 @@
             }
             Err(cause) => {
                 let failure = failure(verdict::Verdict::NotRun, cause);
-                self.attempted(place, life, request, request::Attempt::Failed(failure));
+                self.report_attempt(
+                    index,
+                    incarnation,
+                    request,
+                    request::Attempt::Failed(failure),
+                );
             }
         }
     }
 
-    fn served(
+    fn finish_request(
         &mut self,
-        place: usize,
-        life: u64,
+        index: usize,
+        incarnation: u64,
         request: request::Key,
         server: &SmolStr,
         boot: u64,
     ) {
-        let target = self.seats[place]
+        let target = self.seats[index]
             .node
             .as_ref()
             .and_then(|node| node.target(request));
-        let up = self.engines.get_mut(server).is_some_and(|engine| {
+        let is_same_boot = self.engines.get_mut(server).is_some_and(|engine| {
             engine.end(target.as_ref());
             engine.boot == boot
         });
-        if self.seats[place].life != life {
+        if self.seats[index].incarnation != incarnation {
             return;
         }
-        if !up {
+        if !is_same_boot {
             let failure = failure(verdict::Verdict::MayHaveRun, request::Cause::Disconnected);
-            return self.attempted(place, life, request, request::Attempt::Failed(failure));
+            return self.report_attempt(
+                index,
+                incarnation,
+                request,
+                request::Attempt::Failed(failure),
+            );
         }
         let outcome = claim::Outcome::Answered {
             status: 200,
             content_type: SmolStr::new_static("application/json"),
             body: Some(String::from("{}")),
         };
-        self.end(place, request, End::Served);
-        self.attempted(place, life, request, request::Attempt::Done(outcome));
+        self.end(index, request, End::Served);
+        self.report_attempt(index, incarnation, request, request::Attempt::Done(outcome));
     }
 
-    fn attempted(
+    fn report_attempt(
         &mut self,
-        place: usize,
-        life: u64,
+        index: usize,
+        incarnation: u64,
         request: request::Key,
         attempt: request::Attempt,
     ) {
         let event = Box::new(event::Event::AttemptUpdated { request, attempt });
-        self.at(HOP_MS, Step::Event(place, life, event));
+        self.schedule(HOP_MS, Step::Event(index, incarnation, event));
     }
 
-    fn report(&mut self) {
+    fn deliver_reports(&mut self) {
         let at_ms = self.now;
-        for place in 0..self.seats.len() {
-            let life = self.seats[place].life;
-            for server in self.seats[place].watched.clone() {
+        for index in 0..self.seats.len() {
+            let incarnation = self.seats[index].incarnation;
+            for server in self.seats[index].polled_servers.clone() {
                 let event = match self.engines.get(&server) {
                     Some(engine) if !engine.frozen => event::Event::ReportReceived {
                         report: engine.report(at_ms),
@@ -930,12 +977,12 @@
                     },
                     Some(_) | None => event::Event::ReportFailed { server },
                 };
-                self.at(HOP_MS, Step::Event(place, life, Box::new(event)));
+                self.schedule(HOP_MS, Step::Event(index, incarnation, Box::new(event)));
             }
         }
     }
 
-    fn list(&mut self) {
+    fn deliver_list(&mut self) {
         let routers = self.seats.iter().map(|seat| report::ListEntry {
             name: seat.name.clone(),
             address: address(&seat.name),
@@ -945,10 +992,10 @@
             state: report::State::Live,
         });
         let entries: Vec<_> = routers.chain(self.listed.values().cloned()).collect();
-        for place in 0..self.seats.len() {
-            let life = self.seats[place].life;
+        for index in 0..self.seats.len() {
+            let incarnation = self.seats[index].incarnation;
             let event = Box::new(event::Event::InstancesListed(entries.clone()));
-            self.at(HOP_MS, Step::Event(place, life, event));
+            self.schedule(HOP_MS, Step::Event(index, incarnation, event));
         }
     }
 }
@@ -965,7 +1012,7 @@
     format_smolstr!("{name}:7000")
 }
 
-/// A request of tenant `t`.
+/// A request of the tenant `t`.
 pub fn arrival(id: SmolStr, target: request::Target, deadline_ms: u64) -> request::Arrival {
     request::Arrival {
         id,
@@ -980,7 +1027,7 @@
     }
 }
 
-/// An item from its text.
+/// Parses an item.
 pub fn item(text: &str) -> item::Item {
-    text.parse().expect("the test's item is well formed")
+    text.parse().expect("the item in the test is well formed")
 }
