--- a/crates/fireflywheel/src/membership/link.rs
+++ b/crates/fireflywheel/src/membership/link.rs
@@ -1,4 +1,4 @@
-//! Links to other instances: which are open, and which were tried when.
+//! Open links to other instances, and the dial attempts with their backoff.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,31 +9,31 @@
 
 use crate::clock;
 
-/// Doublings of the wait between attempts at most.
-const LONGEST_DOUBLINGS: u32 = 4;
-/// Waits that a patient first attempt is held back.
-const PATIENCE: u32 = 3;
+/// Maximum number of doublings of the delay between dial attempts.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Factor on the dial delay for a deferred first attempt.
+const DEFERRED_DIAL_FACTOR: u32 = 3;
 
 /// An open link.
 #[derive(Clone, Debug)]
 struct Link {
     /// The incarnation's number.
     number: u64,
-    /// Since when it isn't wanted.
-    unwanted: Option<clock::Instant>,
+    /// Time since which the link is not needed; `None` while it is needed.
+    unwanted_since: Option<clock::Instant>,
 }
 
-/// Attempts at an address.
+/// Dial attempts to one address.
 #[derive(Clone, Copy, Debug)]
 struct Dial {
     last: clock::Instant,
     next: clock::Instant,
     failures: u32,
-    /// Whether an attempt was made yet.
-    made: bool,
+    /// Whether at least one attempt was made.
+    attempted: bool,
 }
 
-/// Open links by instance, and attempts by address.
+/// Open links by instance, and dial attempts by address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Links {
     links: BTreeMap<SmolStr, Link>,
@@ -41,8 +41,8 @@
 }
 
 impl Links {
-    /// A link is open, unless one to a later incarnation is.
-    pub(super) fn up(&mut self, instance: &SmolStr, number: u64) {
+    /// Adds a link, unless one to a later incarnation is open.
+    pub(super) fn add(&mut self, instance: &SmolStr, number: u64) {
         if self
             .links
             .get(instance)
@@ -52,13 +52,13 @@
         }
         let link = Link {
             number,
-            unwanted: None,
+            unwanted_since: None,
         };
         self.links.insert(instance.clone(), link);
     }
 
-    /// Ends a link, unless it is one to a later incarnation.
-    pub(super) fn down(&mut self, instance: &str, number: u64) {
+    /// Removes a link, unless it leads to a later incarnation.
+    pub(super) fn end(&mut self, instance: &str, number: u64) {
         if self
             .links
             .get(instance)
@@ -80,62 +80,63 @@
         self.links.is_empty()
     }
 
-    /// A linked instance, another with each `draw`.
-    pub(super) fn draw(&self, draw: u64) -> Option<&SmolStr> {
+    /// Picks a linked instance; `random` selects which one.
+    pub(super) fn pick(&self, random: u64) -> Option<&SmolStr> {
         let count = self.links.len().max(1);
-        self.links.keys().nth(draw as usize % count)
+        self.links.keys().nth(random as usize % count)
     }
 
-    /// Whether an attempt at this address is due; notes it if so. A `patient` first attempt gives the other
-    /// side time to open the link, where both want it.
-    pub(super) fn dial(
+    /// Returns whether a dial attempt to this address is due, and records it if so. A `deferred` first
+    /// attempt gives the other side time to open the link when both sides want it.
+    pub(super) fn try_dial(
         &mut self,
         now: clock::Instant,
         address: &SmolStr,
         wait: Duration,
-        patient: bool,
+        deferred: bool,
     ) -> bool {
         if let Some(dial) = self.dials.get_mut(address) {
             if now < dial.next {
                 return false;
             }
-            let doublings = dial.failures.min(LONGEST_DOUBLINGS);
+            let doublings = dial.failures.min(MAX_BACKOFF_DOUBLINGS);
             dial.last = now;
             dial.next = now.after(wait.saturating_mul(1 << doublings));
             dial.failures += 1;
-            dial.made = true;
+            dial.attempted = true;
             return true;
         }
-        let next = match patient {
-            true => now.after(wait.saturating_mul(PATIENCE)),
+        let next = match deferred {
+            true => now.after(wait.saturating_mul(DEFERRED_DIAL_FACTOR)),
             false => now.after(wait),
         };
         let dial = Dial {
             last: now,
             next,
             failures: 0,
-            made: !patient,
+            attempted: !deferred,
         };
         self.dials.insert(address.clone(), dial);
-        !patient
+        !deferred
     }
 
-    /// An attempt at this address led to a link, or isn't to be held against the next one.
-    pub(super) fn reached(&mut self, now: clock::Instant, address: &str) {
+    /// Resets the backoff of an address, after an attempt led to a link or when earlier failures must not
+    /// delay the next attempt.
+    pub(super) fn reset_backoff(&mut self, now: clock::Instant, address: &str) {
         if let Some(dial) = self.dials.get_mut(address) {
             dial.failures = 0;
             dial.next = now;
         }
     }
 
-    /// Forgets attempts older than `age` at addresses that aren't linked.
+    /// Removes attempts older than `age` at addresses without a link.
     pub(super) fn prune(&mut self, now: clock::Instant, age: Duration, linked: &BTreeSet<SmolStr>) {
         self.dials
             .retain(|address, dial| now.since(dial.last) < age || linked.contains(address));
     }
 
-    /// Links opened from here that weren't wanted for `grace`.
-    pub(super) fn unwanted<W, A>(
+    /// Returns the links that this instance opened and that were not needed for `grace`.
+    pub(super) fn find_unwanted<W, A>(
         &mut self,
         now: clock::Instant,
         grace: Duration,
@@ -149,15 +150,15 @@
         let mut unwanted = Vec::new();
         for (instance, link) in &mut self.links {
             let dial = address(instance).and_then(|address| self.dials.get(&address));
-            let dialled = dial.is_some_and(|dial| dial.made);
-            if !dialled || wanted(instance) {
-                link.unwanted = None;
+            let opened_here = dial.is_some_and(|dial| dial.attempted);
+            if !opened_here || wanted(instance) {
+                link.unwanted_since = None;
                 continue;
             }
-            let since = *link.unwanted.get_or_insert(now);
+            let since = *link.unwanted_since.get_or_insert(now);
             if now.since(since) >= grace {
                 unwanted.push(instance.clone());
-                link.unwanted = None;
+                link.unwanted_since = None;
             }
         }
         unwanted
--- a/crates/fireflywheel/src/membership/mod.rs
+++ b/crates/fireflywheel/src/membership/mod.rs
@@ -1,25 +1,26 @@
-//! Which instances there are, and whether they answer: failure detection and gossip with a fixed fan-out.
+//! Membership of the fleet: SWIM-style failure detection and gossip with a fixed fan-out.
 //!
-//! In the manner of SWIM. Members stand on several rings, each ring in an order of its own, and a member
-//! keeps a link to the next one on each ring and pings it. One that is silent is suspected; the suspicion
-//! travels with pings and pongs, and the suspect, when it hears of it, refutes it by raising a number that
-//! only it may raise. Without a refutation it counts as dead. So each instance sends and receives a number
-//! of messages that depends on the rings and not on the size of the fleet, and a change reaches everyone in
-//! a few steps.
+//! Members are placed on several rings, each with its own order. A member keeps a link to its successor on
+//! each ring and pings it. A member that does not answer is suspected. The suspicion travels with pings and
+//! pongs, and the suspected member refutes it by raising a number that only it may raise; without a
+//! refutation it is declared dead. The number of messages that an instance sends and receives therefore
+//! depends on the number of rings and not on the size of the fleet, and a change reaches all instances in a
+//! few steps.
 //!
-//! Gossip gets lost and a new instance has heard none, so now and then each instance compares hashes of
-//! buckets of its list with a neighbour's, and is told the members of buckets that differ, some at a time.
+//! Gossip can be lost, and a new instance has received none. Each instance therefore periodically compares
+//! bucket hashes of its member list with those of a neighbour and receives the members of the buckets that
+//! differ, a limited number at a time (anti-entropy).
 //!
-//! All of this is a hint for liveness. A dead member may be paused and come back; nothing that must be safe
-//! may rest on what stands here.
+//! Membership is only a hint for liveness. A dead member may be paused and come back, so no safety property
+//! may depend on this module.
 
+mod gossip;
 mod link;
-mod news;
 mod options;
 mod ring;
 mod round;
-mod rumour;
 mod table;
+mod update;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,47 +31,47 @@
 
 pub use options::Options;
 
-/// Changes of membership that one ping or pong should carry at most.
+/// Maximum number of membership changes in one ping or pong.
 pub const MAX_GOSSIP_UPDATES: usize = 6;
 
-/// Members after which [`Membership::differing_members`] adds no further bucket.
+/// Number of members after which [`Membership::differing_members`] adds no further bucket.
 pub const MAX_SYNC_MEMBERS: usize = 96;
 
-/// What is to be done towards another instance.
+/// An action that the caller has to carry out towards another instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Open a link.
+    /// Opens a link.
     Connect {
-        /// The instance; `None` for an address of the settings whose name isn't known yet.
+        /// The instance; `None` for a seed address whose instance is not known yet.
         instance: Option<SmolStr>,
-        /// Where, as `IP:PORT`.
+        /// The address, as `IP:PORT`.
         address: SmolStr,
     },
-    /// Close a link that was opened from here and isn't wanted any more.
+    /// Closes a link that this instance opened and no longer needs.
     Disconnect {
         /// The instance.
         instance: SmolStr,
     },
-    /// Send a [`crate::wire::Frame::Ping`] with [`Membership::gossip`].
+    /// Sends a [`crate::wire::Frame::Ping`] with [`Membership::gossip`].
     Ping {
         /// The instance.
         to: SmolStr,
         /// The ping's number.
         number: u64,
     },
-    /// Send a [`crate::wire::Frame::AskMembers`] with [`Membership::hashes`].
+    /// Sends a [`crate::wire::Frame::AskMembers`] with [`Membership::hashes`].
     Sync {
         /// The instance.
         to: SmolStr,
     },
 }
 
-/// An instance as the platform's lagging list names it.
+/// An entry of the platform's instance list, which lags.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListEntry {
-    /// Its name.
+    /// The instance's name.
     pub instance: SmolStr,
-    /// Where its peers reach it, as `IP:PORT`.
+    /// The address for peers, as `IP:PORT`.
     pub address: SmolStr,
 }
 
@@ -78,10 +79,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     key: member::Key,
-    /// When it was last heard directly, or watching began, or it was last suspected from here.
-    heard: clock::Instant,
-    /// Multiplies the silence after which it is suspected.
-    patience: u32,
+    /// Time of the last direct contact, of the start of the watch, or of the last suspicion raised by this
+    /// instance, whichever is latest.
+    last_contact: clock::Instant,
+    /// Factor on the suspect timeout; grows with each suspicion raised without any contact.
+    timeout_factor: u32,
 }
 
 /// One instance's view of all instances.
@@ -91,32 +93,32 @@
     name: SmolStr,
     options: Options,
     table: table::Table,
-    rumours: rumour::Rumours,
+    gossip_queue: gossip::Queue,
     links: link::Links,
-    wants: BTreeSet<SmolStr>,
+    wanted_links: BTreeSet<SmolStr>,
     seeds: Vec<SmolStr>,
     listed: BTreeMap<u64, ListEntry>,
     watches: BTreeMap<SmolStr, Watch>,
-    /// Linked members that are doubted. They are pinged by all that have a link to them, so that they hear of
-    /// it also where the way from those who watch them is broken.
-    doubted: BTreeSet<SmolStr>,
-    /// Whether the rings changed since the watches were chosen.
-    stale_watches: bool,
-    /// Members to compare lists with at the next round.
+    /// Linked members that are suspected or dead. Every instance with a link to such a member pings it, so
+    /// that the member learns of the suspicion even if the path from its watchers is broken.
+    suspects: BTreeSet<SmolStr>,
+    /// Whether the rings have changed since the watches were last chosen.
+    watches_outdated: bool,
+    /// Members to compare member lists with in the next round.
     syncs: BTreeSet<SmolStr>,
     next_sync: clock::Instant,
     next_probe: clock::Instant,
     next_round: clock::Instant,
     rounds: u64,
     pings: u64,
-    replies: usize,
+    sync_replies: usize,
     last_tick: Option<clock::Instant>,
-    last_heard: Option<clock::Instant>,
+    last_contact: Option<clock::Instant>,
     superseded: bool,
 }
 
 impl Membership {
-    /// Knows only itself.
+    /// Creates a membership whose only member is this instance.
     #[must_use]
     pub fn new(
         me: record::Incarnation,
@@ -134,39 +136,40 @@
             refutation: 0,
         };
         let key = table.put(update, false);
-        let mut rumours = rumour::Rumours::default();
-        rumours.push(key);
+        let mut gossip_queue = gossip::Queue::default();
+        gossip_queue.push(key);
         Self {
             me: key,
             name,
             options,
             table,
-            rumours,
+            gossip_queue,
             links: link::Links::default(),
-            wants: BTreeSet::new(),
+            wanted_links: BTreeSet::new(),
             seeds: Vec::new(),
             listed: BTreeMap::new(),
             watches: BTreeMap::new(),
-            doubted: BTreeSet::new(),
-            stale_watches: true,
+            suspects: BTreeSet::new(),
+            watches_outdated: true,
             syncs: BTreeSet::new(),
             next_sync: clock::Instant::default(),
             next_probe: clock::Instant::default(),
             next_round: clock::Instant::default(),
             rounds: 0,
             pings: 0,
-            replies: 0,
+            sync_replies: 0,
             last_tick: None,
-            last_heard: None,
+            last_contact: None,
             superseded: false,
         }
     }
 
-    /// To be called some ten times a second: pings, opens and closes links, and lets timeouts run out.
+    /// Sends pings, opens and closes links, and handles expired timeouts. The caller runs it about ten
+    /// times a second.
     pub fn tick(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
-        self.notice_pause(now);
-        while let Some(key) = self.table.due(now) {
-            self.timed_out(now, key);
+        self.detect_pause(now);
+        while let Some(key) = self.table.take_expired(now) {
+            self.handle_timeout(now, key);
         }
         if now < self.next_round {
             return;
@@ -181,12 +184,12 @@
         self.sync(now, actions);
     }
 
-    /// Any frame came directly from this process.
+    /// Records that a frame arrived directly from this process.
     pub fn record_contact(&mut self, now: clock::Instant, from: &record::Incarnation) {
-        self.last_heard = Some(now);
+        self.last_contact = Some(now);
         if let Some(watch) = self.watches.get_mut(&from.instance) {
-            watch.heard = now;
-            watch.patience = 1;
+            watch.last_contact = now;
+            watch.timeout_factor = 1;
         }
         let known = self.table.find(&from.instance);
         let Some((key, member)) = known.and_then(|key| Some((key, self.table.get(key)?))) else {
@@ -197,42 +200,44 @@
             self.syncs.insert(from.instance.clone());
             return;
         }
-        let doubted = matches!(
+        let presumed_down = matches!(
             member.update.state,
             member::State::Dead | member::State::Suspect
         );
-        // It may not know what is said of it; with this it hears, and can refute it.
-        if doubted && !self.rumours.contains(key) {
-            self.rumours.push(key);
+        // The member may not know that it is suspected. Gossiping the suspicion to it lets it refute it.
+        if presumed_down && !self.gossip_queue.contains(key) {
+            self.gossip_queue.push(key);
         }
     }
 
-    /// A pong came. One to a ping that was never sent, such as by an earlier process of this name, says
-    /// nothing.
+    /// Handles a pong. A pong with a number that was never sent, for example one that answers a ping of an
+    /// earlier process of the same name, is ignored.
     pub fn handle_pong(&mut self, now: clock::Instant, number: u64, from: &record::Incarnation) {
         if number <= self.pings {
             self.record_contact(now, from);
         }
     }
 
-    /// Changes to pass on with one ping or pong, at most `max`; see [`MAX_GOSSIP_UPDATES`].
+    /// Takes the changes to gossip with one ping or pong, at most `max`; see [`MAX_GOSSIP_UPDATES`].
     pub fn gossip(&mut self, max: usize) -> Vec<member::Update> {
-        let keys = self.rumours.take(max, self.options.retransmissions);
+        let keys = self.gossip_queue.take(max, self.options.retransmissions);
         keys.into_iter()
             .filter_map(|key| Some(self.table.get(key)?.update.clone()))
             .collect()
     }
 
-    /// One hash for each bucket of members, for [`crate::wire::Frame::AskMembers`].
+    /// Returns one hash per bucket of members, for [`crate::wire::Frame::AskMembers`].
     #[must_use]
     pub fn hashes(&self) -> Vec<u64> {
         self.table.hashes().to_vec()
     }
 
-    /// The members in buckets whose hash differs, for a [`crate::wire::Frame::Members`] to `asker`; with
-    /// some thousand members in all, a few buckets at a time, and others the next time.
+    /// Returns the members of the buckets whose hash differs, for a [`crate::wire::Frame::Members`] to
+    /// `asker`. With several thousand members in total, one reply covers only a few buckets, and the next
+    /// reply covers others.
     ///
-    /// What is known of the asker goes first, so that it can refute it. When none differs, the answer is empty and needs no frame.
+    /// The entry of `asker` comes first, so that it can refute a suspicion. If no bucket differs, the
+    /// result is empty and no frame is needed.
     pub fn differing_members(&mut self, asker: &str, hashes: &[u64]) -> Vec<member::Update> {
         let own = self.table.hashes().iter().enumerate();
         let differs = |bucket: usize, hash: u64| hash != *hashes.get(bucket).unwrap_or(&0);
@@ -241,8 +246,8 @@
         if buckets.is_empty() {
             return Vec::new();
         }
-        self.replies += 1;
-        let start = self.replies % buckets.len();
+        self.sync_replies += 1;
+        let start = self.sync_replies % buckets.len();
         buckets.rotate_left(start);
         let mut updates = Vec::from_iter(self.table.find_update(asker).cloned());
         for bucket in buckets {
@@ -254,15 +259,15 @@
         updates
     }
 
-    /// An address of the settings to try while nobody is known to live there.
+    /// Adds a seed address from the settings. It is dialled while no live member is known at it.
     pub fn add_seed(&mut self, address: SmolStr) {
         if !self.seeds.contains(&address) {
             self.seeds.push(address);
         }
     }
 
-    /// Takes the platform's lagging list in. A name in it is someone to try; one that is lacking proves
-    /// nothing, since a new instance comes late into the list.
+    /// Replaces the entries of the platform's instance list, which lags. A listed name is a candidate for
+    /// probing. A missing name proves nothing, since a new instance is listed late.
     pub fn set_listed(&mut self, _now: clock::Instant, entries: &[ListEntry]) {
         let others = entries.iter().filter(|entry| entry.instance != self.name);
         self.listed = others
@@ -270,73 +275,74 @@
             .collect();
     }
 
-    /// Says to all that this instance stops; it isn't eligible any more.
+    /// Announces that this instance is shutting down; it is no longer eligible.
     pub fn leave(&mut self) {
         let mut update = self.my_update().clone();
         update.state = member::State::Leaving;
-        self.say(update);
+        self.announce(update);
     }
 
-    /// A link to this process is open, whoever opened it.
+    /// Handles an open link to this process, regardless of which side opened it.
     pub fn link_up(&mut self, now: clock::Instant, to: &record::Incarnation) {
-        self.links.up(&to.instance, to.number);
+        self.links.add(&to.instance, to.number);
         if let Some(address) = self.address(&to.instance).cloned() {
-            self.links.reached(now, &address);
+            self.links.reset_backoff(now, &address);
         }
         let known = self.table.find_update(&to.instance);
         if known.is_none_or(|known| known.state == member::State::Dead) {
             self.syncs.insert(to.instance.clone());
         }
-        // A new neighbour may not know this instance. Without this, one that nobody knew when it started
-        // could have told all it had to say to the one instance that it knew.
-        if !self.rumours.contains(self.me) {
-            self.rumours.push(self.me);
+        // A new neighbour may not know this instance. Without this, an instance that no other knew at its
+        // start could use up its own update on the one neighbour that it knew.
+        if !self.gossip_queue.contains(self.me) {
+            self.gossip_queue.push(self.me);
         }
         self.record_contact(now, to);
     }
 
-    /// No link to this process is left.
+    /// Handles the loss of the last link to this process.
     pub fn link_down(&mut self, now: clock::Instant, to: &record::Incarnation) {
-        self.links.down(&to.instance, to.number);
+        self.links.end(&to.instance, to.number);
         if let Some(address) = self.address(&to.instance).cloned() {
-            self.links.reached(now, &address);
+            self.links.reset_backoff(now, &address);
         }
     }
 
-    /// Keeps a link to this instance beyond the neighbours, such as to a steward. It isn't pinged for that.
+    /// Keeps a link to this instance in addition to the ring neighbours, for example to a steward. The
+    /// instance is not pinged because of this.
     pub fn want_link(&mut self, instance: SmolStr) {
-        self.wants.insert(instance);
+        self.wanted_links.insert(instance);
     }
 
-    /// The same for these and no others.
+    /// Keeps additional links to exactly these instances; see [`Self::want_link`].
     pub fn set_wanted_links<I>(&mut self, instances: I)
     where
         I: IntoIterator<Item = SmolStr>,
     {
-        self.wants = instances.into_iter().collect();
+        self.wanted_links = instances.into_iter().collect();
     }
 
-    /// Takes [`Self::want_link`] back.
+    /// Reverts [`Self::want_link`].
     pub fn unwant_link(&mut self, instance: &str) {
-        self.wants.remove(instance);
+        self.wanted_links.remove(instance);
     }
 
-    /// Whether nobody has been heard for the time of a suspicion though others are known. What this instance
-    /// then believes of the others says more about itself, and it had better take nothing over from them.
+    /// Returns whether other members are known but none was in contact for the suspect timeout. The views
+    /// that this instance holds of others are then unreliable, and it should not take over work from them.
     #[must_use]
     pub fn is_isolated(&self, now: clock::Instant) -> bool {
-        let heard = self.last_heard.unwrap_or_default();
+        let heard = self.last_contact.unwrap_or_default();
         self.table.len() > 1 && now.since(heard) >= self.options.suspect_timeout
     }
 
-    /// Whether a later incarnation of this very instance was heard of: this process is one too many.
+    /// Returns whether a later incarnation of this instance exists, so that this process must stop.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// The eligible instances, this one among them unless it leaves, by name. A suspected one is eligible
-    /// until it counts as dead; a leaving one is not.
+    /// Returns the eligible instances by name, including this one unless it is leaving. A suspected
+    /// instance is eligible until it is declared dead; a leaving instance is not.
     pub fn alive(&self) -> impl Iterator<Item = &SmolStr> {
         let eligible = |state| matches!(state, member::State::Alive | member::State::Suspect);
         self.table
@@ -345,24 +351,24 @@
             .map(|(name, _)| name)
     }
 
-    /// How an instance is believed to be; `None` when it isn't known.
+    /// Returns the believed state of an instance; `None` for an unknown instance.
     #[must_use]
     pub fn state(&self, instance: &str) -> Option<member::State> {
         Some(self.table.find_update(instance)?.state)
     }
 
-    /// Where an instance is reached.
+    /// Returns the peer address of an instance.
     #[must_use]
     pub fn address(&self, instance: &str) -> Option<&SmolStr> {
         Some(&self.table.find_update(instance)?.address)
     }
 
-    /// All known instances, dead ones included, by name.
+    /// Returns all known instances by name, including dead ones.
     pub fn members(&self) -> impl Iterator<Item = &member::Update> {
         self.table.iter().map(|(_, member)| &member.update)
     }
 
-    /// The settings.
+    /// Returns the options.
     #[must_use]
     pub fn options(&self) -> &Options {
         &self.options
--- a/crates/fireflywheel/src/membership/options.rs
+++ b/crates/fireflywheel/src/membership/options.rs
@@ -1,26 +1,26 @@
-//! Settings of membership.
+//! Options of membership.
 
 use std::time::Duration;
 
-/// Settings of [`super::Membership`].
+/// Options of [`super::Membership`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Time between two pings of one member.
+    /// Time between two pings of a member.
     pub ping_interval: Duration,
-    /// Silence after which a pinged member is suspected.
+    /// Time without contact after which a pinged member is suspected.
     pub suspect_timeout: Duration,
-    /// Time that a suspected member has to refute it before it counts as dead.
+    /// Time that a suspected member has to refute the suspicion before it is declared dead.
     pub dead_timeout: Duration,
-    /// Links kept to other members, about half of them opened from here. With no more others than this,
-    /// each is linked to each.
+    /// Number of links kept to other members, about half of them opened by this instance. If there are no
+    /// more other members than this, all members are linked with each other.
     pub fanout: usize,
-    /// Times that a change is passed on from here.
+    /// Number of times that this instance gossips a change.
     pub retransmissions: u32,
-    /// Time between two comparisons of the list with a neighbour's.
+    /// Time between two comparisons of member lists with a neighbour.
     pub sync_interval: Duration,
-    /// Time between two attempts to reach one that is dead or only listed.
+    /// Time between two attempts to reach a member that is dead or only listed.
     pub probe_interval: Duration,
-    /// Time for which a dead member is remembered.
+    /// Time for which a dead member is kept.
     pub dead_retention: Duration,
 }
 
--- a/crates/fireflywheel/src/membership/ring.rs
+++ b/crates/fireflywheel/src/membership/ring.rs
@@ -1,4 +1,4 @@
-//! Rings of members, each in an order of its own, that decide who pings whom.
+//! Rings of members, each with its own order, that determine which member pings which.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use crate::member;
 
-/// Members looked at on a ring for one of another failure domain.
-const SCAN: usize = 8;
+/// Maximum number of ring members examined in search of one in another failure domain.
+const MAX_DOMAIN_SCAN: usize = 8;
 
-/// Several rings. Each member pings the next one on each ring, so each is pinged by about as many as there
-/// are rings, and news crosses the fleet in a few steps, since neighbours on one ring are far apart on the
-/// others.
+/// Several rings. Each member pings its successor on each ring, so each is pinged by about as many members
+/// as there are rings. Updates cross the fleet in a few steps, since neighbours on one ring are far apart
+/// on the others.
 #[derive(Clone, Debug)]
 pub(super) struct Rings {
     rings: Vec<BTreeMap<u64, member::Key>>,
@@ -36,34 +36,34 @@
         }
     }
 
-    /// The next member on each ring after `name`, without repeats.
+    /// Returns the successor of `name` on each ring, without duplicates.
     ///
-    /// On every other ring it is the next one in another failure domain, so that neither a member nor its
-    /// watchers all go with one failure domain.
-    pub(super) fn successors<F>(&self, name: &str, elsewhere: F) -> Vec<member::Key>
+    /// On every second ring the successor is the next member in another failure domain, so that the loss of
+    /// one failure domain does not take both a member and all its watchers.
+    pub(super) fn successors<F>(&self, name: &str, in_other_domain: F) -> Vec<member::Key>
     where
         F: Fn(member::Key) -> bool,
     {
         let mut chosen = Vec::new();
         for (number, ring) in self.rings.iter().enumerate() {
-            let mine = position(number, name);
-            let after = ring.range(mine..).map(|(_, key)| *key);
-            let before = ring.range(..mine).map(|(_, key)| *key);
+            let own = position(number, name);
+            let after = ring.range(own..).map(|(_, key)| *key);
+            let before = ring.range(..own).map(|(_, key)| *key);
             let mut next = after.chain(before);
             let first = next.clone().next();
-            let spread = number % 2 == 1;
-            let distant = next
+            let cross_domain = number % 2 == 1;
+            let in_another_domain = next
                 .by_ref()
-                .take(SCAN)
-                .find(|key| spread && elsewhere(*key) && !chosen.contains(key));
-            let found = distant.or(first);
+                .take(MAX_DOMAIN_SCAN)
+                .find(|key| cross_domain && in_other_domain(*key) && !chosen.contains(key));
+            let found = in_another_domain.or(first);
             chosen.extend(found.filter(|key| !chosen.contains(key)));
         }
         chosen
     }
 }
 
-/// A member's place on a ring.
+/// Returns a member's position on a ring.
 fn position(ring: usize, name: &str) -> u64 {
     xxh3::xxh3_64_with_seed(name.as_bytes(), ring as u64)
 }
--- a/crates/fireflywheel/src/membership/table.rs
+++ b/crates/fireflywheel/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! All known members, with the rules by which one statement about a member outdoes another.
+//! Table of all known members, with the precedence between updates about a member.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +9,20 @@
 use super::ring;
 use crate::{clock, member};
 
-/// Buckets of members that are compared by hash.
+/// Number of buckets of members that are compared by hash.
 pub(super) const BUCKETS: usize = 64;
 
 /// A known member.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) update: member::Update,
-    /// When its suspicion or its remembrance ends.
+    /// End of the suspicion or of the retention after death.
     pub(super) timer: Option<clock::Instant>,
-    /// When it was last suspected.
+    /// Time of the last suspicion.
     pub(super) suspected: clock::Instant,
 }
 
-/// Members by name, by ring and by bucket.
+/// Members indexed by name, address, ring and bucket.
 #[derive(Clone, Debug)]
 pub(super) struct Table {
     members: SlotMap<member::Key, Member>,
@@ -32,7 +32,7 @@
     buckets: Vec<BTreeSet<member::Key>>,
     hashes: Vec<u64>,
     timers: BTreeSet<(clock::Instant, member::Key)>,
-    /// Dead ones in an order that spreads attempts to reach them.
+    /// Dead members by name hash, an order that spreads the attempts to reach them.
     dead: BTreeMap<u64, member::Key>,
 }
 
@@ -62,27 +62,27 @@
         Some(&self.members.get(self.find(name)?)?.update)
     }
 
-    /// Whether a living member is reached at this address, this instance itself among them.
-    pub(super) fn lives_at(&self, address: &str) -> bool {
+    /// Returns whether a member that is not dead, possibly this instance, has this address.
+    pub(super) fn is_live_address(&self, address: &str) -> bool {
         let key = self.addresses.get(address);
         let member = key.and_then(|key| self.members.get(*key));
         member.is_some_and(|member| member.update.state != member::State::Dead)
     }
 
-    /// All members by name.
+    /// Returns all members by name.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&SmolStr, &Member)> {
         self.names
             .iter()
             .filter_map(|(name, key)| Some((name, self.members.get(*key)?)))
     }
 
-    /// How many are known, dead ones included.
+    /// Returns the number of known members, including dead ones.
     pub(super) fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// How many aren't dead.
-    pub(super) fn living(&self) -> usize {
+    /// Returns the number of members that are not dead.
+    pub(super) fn live_count(&self) -> usize {
         self.members.len() - self.dead.len()
     }
 
@@ -90,29 +90,29 @@
         &self.hashes
     }
 
-    /// The members of one bucket.
+    /// Returns the members of one bucket.
     pub(super) fn bucket(&self, bucket: usize) -> impl Iterator<Item = &member::Update> {
         let keys = self.buckets.get(bucket).into_iter().flatten();
         keys.filter_map(|key| Some(&self.members.get(*key)?.update))
     }
 
-    /// The next living member on each ring; see [`ring::Rings::successors`].
+    /// Returns the next live member on each ring; see [`ring::Rings::successors`].
     pub(super) fn successors(&self, me: &member::Update) -> Vec<member::Key> {
-        let elsewhere = |key| {
+        let in_other_domain = |key| {
             let member = self.members.get(key);
             member.is_some_and(|member| member.update.failure_domain != me.failure_domain)
         };
-        self.rings.successors(&me.by.instance, elsewhere)
+        self.rings.successors(&me.by.instance, in_other_domain)
     }
 
-    /// A dead member, another with each `draw`.
-    pub(super) fn draw_dead(&self, draw: u64) -> Option<&member::Update> {
-        let after = self.dead.range(draw..).next();
+    /// Picks a dead member; `random` selects which one.
+    pub(super) fn pick_dead(&self, random: u64) -> Option<&member::Update> {
+        let after = self.dead.range(random..).next();
         let (_, key) = after.or_else(|| self.dead.first_key_value())?;
         Some(&self.members.get(*key)?.update)
     }
 
-    /// Puts a member's new state in the place of the last; `on_ring` is false for this instance itself.
+    /// Inserts or replaces a member's update. `on_ring` is false for this instance itself.
     pub(super) fn put(&mut self, update: member::Update, on_ring: bool) -> member::Key {
         let name = update.by.instance.clone();
         let state = update.state;
@@ -131,9 +131,9 @@
         let name = name.as_str();
         if state == member::State::Dead {
             self.rings.remove(name);
-            self.dead.insert(draw_place(name), key);
+            self.dead.insert(hash_name(name), key);
         } else {
-            self.dead.remove(&draw_place(name));
+            self.dead.remove(&hash_name(name));
             if on_ring {
                 self.rings.insert(name, key);
             }
@@ -141,7 +141,7 @@
         key
     }
 
-    /// Sets or clears the moment at which [`Self::due`] gives the member.
+    /// Sets or clears the time at which [`Self::take_expired`] returns the member.
     pub(super) fn set_timer(&mut self, key: member::Key, at: Option<clock::Instant>) {
         let Some(member) = self.members.get_mut(key) else {
             return;
@@ -160,8 +160,8 @@
         }
     }
 
-    /// A member whose timer has run out, once.
-    pub(super) fn due(&mut self, now: clock::Instant) -> Option<member::Key> {
+    /// Takes a member whose timer has expired, and clears the timer.
+    pub(super) fn take_expired(&mut self, now: clock::Instant) -> Option<member::Key> {
         let (at, key) = self.timers.first().copied()?;
         if at > now {
             return None;
@@ -170,7 +170,7 @@
         Some(key)
     }
 
-    /// Lets no suspicion end before `until`.
+    /// Postpones the end of every suspicion to `until` or later.
     pub(super) fn postpone_suspicions(&mut self, until: clock::Instant) {
         let earlier = ..(until, member::Key::default());
         let suspects: Vec<_> = self
@@ -184,7 +184,7 @@
         }
     }
 
-    pub(super) fn forget(&mut self, key: member::Key) {
+    pub(super) fn remove(&mut self, key: member::Key) {
         self.set_timer(key, None);
         self.toggle_hash(key);
         let Some(member) = self.members.remove(key) else {
@@ -194,7 +194,7 @@
         self.names.remove(name);
         self.drop_address(key, &member.update.address);
         self.rings.remove(name);
-        self.dead.remove(&draw_place(name));
+        self.dead.remove(&hash_name(name));
         self.buckets[bucket_of(name)].remove(&key);
     }
 
@@ -210,14 +210,14 @@
         key
     }
 
-    /// Forgets that a member is reached at this address; another may be by now.
+    /// Removes a member's address, unless another member has taken it over.
     fn drop_address(&mut self, key: member::Key, address: &str) {
         if self.addresses.get(address) == Some(&key) {
             self.addresses.remove(address);
         }
     }
 
-    /// Adds a member to its bucket's hash, or takes it out.
+    /// Adds a member's hash to its bucket's hash, or removes it.
     fn toggle_hash(&mut self, key: member::Key) {
         if let Some(member) = self.members.get(key) {
             let bucket = bucket_of(&member.update.by.instance);
@@ -226,9 +226,9 @@
     }
 }
 
-/// Whether a statement about a member outdoes what is known: the later incarnation, then the higher
-/// refutation, then the graver state.
-pub(super) fn outdoes(new: &member::Update, old: &member::Update) -> bool {
+/// Returns whether a new update takes precedence over the known one: by later incarnation, then higher
+/// refutation number, then graver state.
+pub(super) fn supersedes(new: &member::Update, old: &member::Update) -> bool {
     let rank = |update: &member::Update| (update.by.number, update.refutation, update.state);
     rank(new) > rank(old)
 }
@@ -237,11 +237,12 @@
     xxh3::xxh3_64(name.as_bytes()) as usize % BUCKETS
 }
 
-fn draw_place(name: &str) -> u64 {
+fn hash_name(name: &str) -> u64 {
     xxh3::xxh3_64(name.as_bytes())
 }
 
-/// A suspicion isn't hashed, since it soon ends; nor is a dead member, which each forgets in its own time.
+/// Returns a member's hash. A suspicion is not included, since it soon ends; nor is a dead member, which
+/// each instance removes at its own time.
 fn hash(update: &member::Update) -> u64 {
     let leaving = match update.state {
         member::State::Dead => return 0,
