--- a/crates/fireflywheel/src/document/check.rs
+++ b/crates/fireflywheel/src/document/check.rs
@@ -1,4 +1,4 @@
-//! What the sections of a document say about one another.
+//! Checks of the relations between the sections of a document.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,9 +9,9 @@
     fault, ini_text,
 };
 
-/// Adds a fault for each relation that doesn't hold.
+/// Adds a fault for each relation that does not hold.
 pub fn check(document: &Document, sections: &[ini_text::Section], faults: &mut fault::List) {
-    let mut check = Check {
+    let mut checker = Checker {
         document,
         by_name: sections
             .iter()
@@ -20,56 +20,56 @@
         faulty: faults.sections(),
         faults,
     };
-    check.models();
-    check.adapters();
-    check.routes();
-    check.prefixes();
+    checker.check_models();
+    checker.check_adapters();
+    checker.check_routes();
+    checker.check_prefixes();
 }
 
-struct Check<'a> {
+struct Checker<'a> {
     document: &'a Document,
     by_name: BTreeMap<SmolStr, &'a ini_text::Section>,
     faulty: BTreeSet<SmolStr>,
     faults: &'a mut fault::List,
 }
 
-impl<'a> Check<'a> {
-    fn models(&mut self) {
+impl<'a> Checker<'a> {
+    fn check_models(&mut self) {
         for (name, model) in &self.document.models {
             let section = SmolStr::from(format!("model {name}"));
-            if let Some(group) = self.group(&section, &model.group, Kind::Engine) {
-                self.fits(&section, &model.group, group, model.memory_mb);
+            if let Some(group) = self.find_group(&section, &model.group, Kind::Engine) {
+                self.check_memory(&section, &model.group, group, model.memory_mb);
             }
         }
     }
 
-    fn adapters(&mut self) {
+    fn check_adapters(&mut self) {
         for (model_name, adapters) in &self.document.adapters {
             for (name, adapter) in adapters {
                 let section = SmolStr::from(format!("adapter {model_name}:{name}"));
-                let Some(model) = self.model(&section, model_name) else {
+                let Some(model) = self.find_model(&section, model_name) else {
                     continue;
                 };
-                let Some(group) = self.sound_engine(model_name, model) else {
+                let Some(group) = self.valid_engine_group(model_name, model) else {
                     continue;
                 };
                 let memory_mb = model.memory_mb + adapter.memory_mb;
-                self.fits(&section, &model.group, group, memory_mb);
+                self.check_memory(&section, &model.group, group, memory_mb);
             }
         }
     }
 
-    fn routes(&mut self) {
+    fn check_routes(&mut self) {
         for (name, route) in &self.document.routes {
             let section = SmolStr::from(format!("route {name}"));
-            self.group(&section, &route.group, Kind::Service);
-            self.class(&section, route);
+            self.find_group(&section, &route.group, Kind::Service);
+            self.check_class(&section, route);
         }
     }
 
-    /// Two routes with one prefix would make it a matter of chance which is taken. A `/` at the end makes no
-    /// difference to the paths that a prefix fits.
-    fn prefixes(&mut self) {
+    /// With two routes of the same prefix it would be undefined which one is used. A trailing `/` does not
+    /// change which paths a prefix matches.
+    fn check_prefixes(&mut self) {
         let mut seen: BTreeMap<&str, &SmolStr> = BTreeMap::new();
         for (name, route) in &self.document.routes {
             if route.prefix.is_empty() {
@@ -79,78 +79,82 @@
             if let Some(other) = seen.insert(path, name) {
                 let section = SmolStr::from(format!("route {name}"));
                 let rule = format!("`{}` is the prefix of [route {other}] too", route.prefix);
-                self.rule(&section, "prefix", &rule);
+                self.report_rule(&section, "prefix", &rule);
             }
         }
     }
 
-    /// The group that a section names, when it is there, has no faults and is of this kind.
-    fn group(&mut self, section: &SmolStr, name: &SmolStr, kind: Kind) -> Option<&'a Group> {
+    /// Returns the group that a section names if it exists, has no faults and is of this kind.
+    fn find_group(&mut self, section: &SmolStr, name: &SmolStr, kind: Kind) -> Option<&'a Group> {
         if name.is_empty() {
             return None;
         }
         let document = self.document;
         let Some(group) = document.groups.get(name) else {
-            self.unknown(section, "group", name, document.groups.keys());
+            self.report_unknown(section, "group", name, document.groups.keys());
             return None;
         };
         if self.is_faulty(&format!("group {name}")) {
             return None;
         }
         if group.kind != kind {
-            let needed = match kind {
+            let required_kind = match kind {
                 Kind::Engine => "engine",
                 Kind::Service => "service",
             };
-            let rule = format!("[group {name}] is not of kind `{needed}`");
-            self.rule(section, "group", &rule);
+            let rule = format!("[group {name}] is not of kind `{required_kind}`");
+            self.report_rule(section, "group", &rule);
             return None;
         }
         Some(group)
     }
 
-    fn class(&mut self, section: &SmolStr, route: &Route) {
+    fn check_class(&mut self, section: &SmolStr, route: &Route) {
         let classes = &self.document.classes;
         if !route.class.is_empty() && !classes.contains_key(&route.class) {
-            self.unknown(section, "class", &route.class, classes.keys());
+            self.report_unknown(section, "class", &route.class, classes.keys());
         }
     }
 
-    fn model(&mut self, section: &SmolStr, name: &SmolStr) -> Option<&'a Model> {
+    fn find_model(&mut self, section: &SmolStr, name: &SmolStr) -> Option<&'a Model> {
         let document = self.document;
         let model = document.models.get(name);
         if model.is_none() {
             let nearest = self
                 .faults
                 .suggest(name, document.models.keys().map(SmolStr::as_str));
-            let meant = nearest.map(|name| format!("; did you mean `{name}`?"));
-            let rule = format!("there is no [model {name}]{}", meant.unwrap_or_default());
-            self.rule(section, "", &rule);
+            let suggestion = nearest.map(|name| format!("; did you mean `{name}`?"));
+            let rule = format!(
+                "there is no [model {name}]{}",
+                suggestion.unwrap_or_default()
+            );
+            self.report_rule(section, "", &rule);
         }
         model
     }
 
-    /// The group of a model, when neither has a fault: theirs are named once, not again for each adapter.
-    fn sound_engine(&self, name: &SmolStr, model: &Model) -> Option<&'a Group> {
+    /// Returns the group of a model if neither has a fault. Their faults are reported once and not again
+    /// for each adapter.
+    fn valid_engine_group(&self, name: &SmolStr, model: &Model) -> Option<&'a Group> {
         let group = self.document.groups.get(&model.group)?;
-        let sound = group.kind == Kind::Engine
+        let valid = group.kind == Kind::Engine
             && model.memory_mb <= group.memory_mb
             && !self.is_faulty(&format!("model {name}"))
             && !self.is_faulty(&format!("group {}", model.group));
-        sound.then_some(group)
+        valid.then_some(group)
     }
 
-    fn fits(&mut self, section: &SmolStr, name: &SmolStr, group: &Group, memory_mb: u64) {
+    fn check_memory(&mut self, section: &SmolStr, name: &SmolStr, group: &Group, memory_mb: u64) {
         if memory_mb > group.memory_mb {
             let rule = format!(
                 "{memory_mb} MB in all don't fit the {} MB of a backend server of [group {name}]",
                 group.memory_mb
             );
-            self.rule(section, "memory_mb", &rule);
+            self.report_rule(section, "memory_mb", &rule);
         }
     }
 
-    fn unknown<'n, I>(&mut self, section: &SmolStr, key: &'static str, found: &str, known: I)
+    fn report_unknown<'n, I>(&mut self, section: &SmolStr, key: &'static str, found: &str, known: I)
     where
         I: Iterator<Item = &'n SmolStr>,
     {
@@ -158,16 +162,21 @@
             noun: SmolStr::from(key),
             nearest: self.faults.suggest(found, known.map(SmolStr::as_str)),
         };
-        let fault = self.fault(section, key, allowed).with_found(found);
+        let fault = self.new_fault(section, key, allowed).with_found(found);
         self.faults.push(fault);
     }
 
-    fn rule(&mut self, section: &SmolStr, key: &'static str, rule: &str) {
-        let fault = self.fault(section, key, fault::Allowed::Rule(rule.into()));
+    fn report_rule(&mut self, section: &SmolStr, key: &'static str, rule: &str) {
+        let fault = self.new_fault(section, key, fault::Allowed::Rule(rule.into()));
         self.faults.push(fault);
     }
 
-    fn fault(&self, section: &SmolStr, key: &'static str, allowed: fault::Allowed) -> fault::Fault {
+    fn new_fault(
+        &self,
+        section: &SmolStr,
+        key: &'static str,
+        allowed: fault::Allowed,
+    ) -> fault::Fault {
         let line = self
             .by_name
             .get(section)
--- a/crates/fireflywheel/src/document/diff.rs
+++ b/crates/fireflywheel/src/document/diff.rs
@@ -1,4 +1,4 @@
-//! What a new document changes, as operators see it.
+//! Differences between two documents, as shown to operators.
 
 use std::fmt;
 
@@ -6,39 +6,39 @@
 
 use crate::document::{
     Document,
-    form::{self, Field, Section},
+    ini::{self, Field, Section},
 };
 
 /// One difference between two documents.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A section that only the new document has.
+    /// A section that exists only in the new document.
     Added(Section),
-    /// A section that only the old document has.
+    /// A section that exists only in the old document.
     Removed(Section),
-    /// A key with another value.
+    /// A key whose value differs.
     Set {
-        /// The section, which both have.
+        /// The section, which exists in both documents.
         section: Section,
         /// The key.
         key: &'static str,
-        /// The old value as written in INI; `None` where the key was left out.
+        /// The old value in INI syntax; `None` if the key was omitted.
         from: Option<SmolStr>,
-        /// The new value.
+        /// The new value; `None` if the key is omitted.
         to: Option<SmolStr>,
     },
 }
 
-/// What `new` changes against `old`, in the order of sections. Empty when both mean the same, however they
-/// are written.
+/// Returns the changes from `old` to `new`, in the order of sections. The result is empty if both documents
+/// mean the same, however they are written.
 #[must_use]
 pub fn diff(old: &Document, new: &Document) -> Vec<Change> {
-    let old = form::sections(old);
-    let new = form::sections(new);
+    let old = ini::sections(old);
+    let new = ini::sections(new);
     let mut changes = Vec::new();
     for (section, fields) in &old {
         match new.get(section) {
-            Some(others) => changes.extend(set(section, fields, others)),
+            Some(others) => changes.extend(changed_keys(section, fields, others)),
             None => changes.push(Change::Removed(section.clone())),
         }
     }
@@ -48,14 +48,15 @@
     changes
 }
 
-/// Changes of keys. The two need not have the same keys: a group of services has fewer than one of engines.
-fn set(section: &Section, old: &[Field], new: &[Field]) -> Vec<Change> {
+/// Returns the changes of a section's keys. The two sides need not have the same keys: a group of services
+/// has fewer keys than a group of engines.
+fn changed_keys(section: &Section, old: &[Field], new: &[Field]) -> Vec<Change> {
     let mut keys: Vec<&'static str> = old.iter().map(|field| field.key).collect();
     keys.extend(new.iter().map(|field| field.key));
     let mut changes = Vec::new();
     for (index, key) in keys.iter().copied().enumerate() {
-        let from = value(old, key);
-        let to = value(new, key);
+        let from = find_value(old, key);
+        let to = find_value(new, key);
         if from != to && !keys[..index].contains(&key) {
             changes.push(Change::Set {
                 section: section.clone(),
@@ -68,7 +69,7 @@
     changes
 }
 
-fn value(fields: &[Field], key: &str) -> Option<SmolStr> {
+fn find_value(fields: &[Field], key: &str) -> Option<SmolStr> {
     fields
         .iter()
         .find(|field| field.key == key)
@@ -76,7 +77,7 @@
 }
 
 impl Change {
-    /// The section that it is about.
+    /// Returns the section that the change concerns.
     #[must_use]
     pub fn section(&self) -> &Section {
         match self {
@@ -105,7 +106,7 @@
     }
 }
 
-/// A key in the words of an operator.
+/// Returns the label of a key shown to operators.
 fn label(section: &Section, key: &'static str) -> &'static str {
     match (section, key) {
         (_, "replicas") => "replica cap",
--- a/crates/fireflywheel/src/document/form.rs
+++ b/crates/fireflywheel/src/document/ini.rs
@@ -1,4 +1,4 @@
-//! The INI form of a document's sections.
+//! Conversion of a document to INI text.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -8,7 +8,7 @@
     Adapter, Class, Document, Fencing, Group, Kind, Model, PinRelease, Route, Serving, Tenant,
 };
 
-/// Which section of a document.
+/// Names a section of a document.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Section {
     /// `[serving]`.
@@ -23,55 +23,55 @@
     Model(SmolStr),
     /// `[adapter MODEL:NAME]`.
     Adapter {
-        /// The model.
+        /// The model's name.
         model: SmolStr,
-        /// The adapter.
+        /// The adapter's name.
         name: SmolStr,
     },
     /// `[route NAME]`.
     Route(SmolStr),
 }
 
-/// A key with its value in INI.
+/// A key with its value in INI syntax.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Field {
     /// The key.
     pub key: &'static str,
-    /// The value; `None` where the key is left out.
+    /// The value; `None` if the key is omitted.
     pub value: Option<SmolStr>,
 }
 
-/// A section's keys in the order in which they are written.
-pub trait Form {
-    /// Every key that the section can have, also those with their usual value.
+/// Conversion of a section to its keys, in the order in which they are written.
+pub trait Fields {
+    /// Returns every key that the section can have, including those with their default value.
     fn fields(&self) -> Vec<Field>;
 }
 
-/// The sections of a document in the order in which they are written.
+/// Returns the sections of a document in the order in which they are written.
 #[must_use]
 pub fn sections(document: &Document) -> BTreeMap<Section, Vec<Field>> {
     let mut sections = BTreeMap::from([(Section::Serving, document.serving.fields())]);
-    extend(&mut sections, &document.classes, Section::Class);
-    extend(&mut sections, &document.tenants, Section::Tenant);
-    extend(&mut sections, &document.groups, Section::Group);
-    extend(&mut sections, &document.models, Section::Model);
+    add_sections(&mut sections, &document.classes, Section::Class);
+    add_sections(&mut sections, &document.tenants, Section::Tenant);
+    add_sections(&mut sections, &document.groups, Section::Group);
+    add_sections(&mut sections, &document.models, Section::Model);
     for (model, adapters) in &document.adapters {
-        extend(&mut sections, adapters, |name| Section::Adapter {
+        add_sections(&mut sections, adapters, |name| Section::Adapter {
             model: model.clone(),
             name,
         });
     }
-    extend(&mut sections, &document.routes, Section::Route);
+    add_sections(&mut sections, &document.routes, Section::Route);
     sections
 }
 
-fn extend<F, T>(
+fn add_sections<F, T>(
     sections: &mut BTreeMap<Section, Vec<Field>>,
     map: &BTreeMap<SmolStr, T>,
     section: F,
 ) where
     F: Fn(SmolStr) -> Section,
-    T: Form,
+    T: Fields,
 {
     for (name, value) in map {
         sections.insert(section(name.clone()), value.fields());
@@ -92,7 +92,7 @@
     }
 }
 
-/// Writes INI that [`Document::parse`] reads as the same document.
+/// Writes INI text that [`Document::parse`] reads as the same document.
 impl fmt::Display for Document {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, (section, fields)) in sections(self).into_iter().enumerate() {
@@ -110,20 +110,20 @@
     }
 }
 
-impl Form for Serving {
+impl Fields for Serving {
     fn fields(&self) -> Vec<Field> {
         vec![
-            field("cold_start_weight", self.cold_start_weight),
-            field("store_loads_per_second", self.store_loads_per_second),
-            field("store_loads_at_once", self.store_loads_at_once),
-            field("adapter_loads_at_once", self.adapter_loads_at_once),
-            field("key_memory_s", self.key_memory.as_secs()),
-            field("keys", self.keys),
+            new_field("cold_start_weight", self.cold_start_weight),
+            new_field("store_loads_per_second", self.store_loads_per_second),
+            new_field("store_loads_at_once", self.store_loads_at_once),
+            new_field("adapter_loads_at_once", self.adapter_loads_at_once),
+            new_field("key_memory_s", self.key_memory.as_secs()),
+            new_field("keys", self.keys),
         ]
     }
 }
 
-impl Form for Class {
+impl Fields for Class {
     fn fields(&self) -> Vec<Field> {
         let deadline = Field {
             key: "deadline_ms",
@@ -131,66 +131,66 @@
         };
         vec![
             deadline,
-            field("in_flight", self.in_flight),
-            field("queue", self.queue),
+            new_field("in_flight", self.in_flight),
+            new_field("queue", self.queue),
         ]
     }
 }
 
-impl Form for Tenant {
+impl Fields for Tenant {
     fn fields(&self) -> Vec<Field> {
         vec![
-            field("in_flight", self.in_flight),
-            field("share", self.share),
+            new_field("in_flight", self.in_flight),
+            new_field("share", self.share),
         ]
     }
 }
 
-impl Form for Group {
+impl Fields for Group {
     fn fields(&self) -> Vec<Field> {
-        let mut fields = vec![field("kind", self.kind), field("slots", self.slots)];
+        let mut fields = vec![new_field("kind", self.kind), new_field("slots", self.slots)];
         if self.kind == Kind::Engine {
             fields.extend([
-                field("fencing", self.fencing),
-                field("pin_release", self.pin_release),
-                field("memory_mb", self.memory_mb),
+                new_field("fencing", self.fencing),
+                new_field("pin_release", self.pin_release),
+                new_field("memory_mb", self.memory_mb),
             ]);
         }
         fields
     }
 }
 
-impl Form for Model {
+impl Fields for Model {
     fn fields(&self) -> Vec<Field> {
         vec![
-            field("group", &self.group),
-            field("version", self.version),
-            field("memory_mb", self.memory_mb),
-            field("replicas", self.replicas),
-            field("load_ms", millis(self.load)),
-            field("service_ms", millis(self.service)),
+            new_field("group", &self.group),
+            new_field("version", self.version),
+            new_field("memory_mb", self.memory_mb),
+            new_field("replicas", self.replicas),
+            new_field("load_ms", millis(self.load)),
+            new_field("service_ms", millis(self.service)),
         ]
     }
 }
 
-impl Form for Adapter {
+impl Fields for Adapter {
     fn fields(&self) -> Vec<Field> {
         vec![
-            field("memory_mb", self.memory_mb),
-            field("replicas", self.replicas),
+            new_field("memory_mb", self.memory_mb),
+            new_field("replicas", self.replicas),
         ]
     }
 }
 
-impl Form for Route {
+impl Fields for Route {
     fn fields(&self) -> Vec<Field> {
         let deduplicates = if self.deduplicates { "yes" } else { "no" };
         vec![
-            field("prefix", &self.prefix),
-            field("group", &self.group),
-            field("idempotent", self.idempotent.join(", ")),
-            field("deduplicates", deduplicates),
-            field("class", &self.class),
+            new_field("prefix", &self.prefix),
+            new_field("group", &self.group),
+            new_field("idempotent", self.idempotent.join(", ")),
+            new_field("deduplicates", deduplicates),
+            new_field("class", &self.class),
         ]
     }
 }
@@ -223,7 +223,7 @@
     }
 }
 
-fn field<T>(key: &'static str, value: T) -> Field
+fn new_field<T>(key: &'static str, value: T) -> Field
 where
     T: fmt::Display,
 {
--- a/crates/fireflywheel/src/document/mod.rs
+++ b/crates/fireflywheel/src/document/mod.rs
@@ -1,7 +1,8 @@
-//! The serving configuration: one INI document, accepted whole or refused with every fault named.
+//! The serving configuration: one INI document, which is either accepted as a whole or rejected with a list
+//! of all its faults.
 //!
-//! Every map is ordered, since what is read from a document decides how the ledger judges a record, and
-//! all instances must judge alike.
+//! Every map is ordered, since the ledger's decisions depend on the document and all instances must make
+//! the same decisions.
 //!
 //! ```
 //! let text = "
@@ -24,7 +25,7 @@
 
 mod check;
 mod diff;
-mod form;
+mod ini;
 mod parse;
 mod warning;
 
@@ -34,7 +35,7 @@
 
 pub use self::{
     diff::{Change, diff},
-    form::Section,
+    ini::Section,
     parse::MAX_BYTES,
     warning::{Warning, warnings},
 };
@@ -42,7 +43,7 @@
 /// A checked serving configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// `[serving]`: what concerns the whole deployment.
+    /// `[serving]`: values for the whole deployment.
     pub serving: Serving,
     /// `[class NAME]`.
     pub classes: BTreeMap<SmolStr, Class>,
@@ -54,76 +55,80 @@
     pub models: BTreeMap<SmolStr, Model>,
     /// `[adapter MODEL:NAME]`, by model, then by adapter.
     pub adapters: BTreeMap<SmolStr, BTreeMap<SmolStr, Adapter>>,
-    /// `[route NAME]`: paths that go to plain services.
+    /// `[route NAME]`: paths that are routed to plain services.
     pub routes: BTreeMap<SmolStr, Route>,
 }
 
-/// What concerns the whole deployment.
+/// Values for the whole deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Serving {
-    /// `cold_start_weight`, 0 to 1: 1 minds only tail cold-start time, 0 only idle accelerator hours.
+    /// `cold_start_weight`, 0 to 1: the weight of tail cold-start time against idle accelerator hours. 1
+    /// considers only cold-start time, 0 only idle hours.
     pub cold_start_weight: f64,
-    /// `store_loads_per_second`: what the weight store allows in all.
+    /// `store_loads_per_second`: loads per second that the weight store allows in total.
     pub store_loads_per_second: f64,
-    /// `store_loads_at_once`: loads that run at full speed together.
+    /// `store_loads_at_once`: number of concurrent loads that run at full speed.
     pub store_loads_at_once: u32,
-    /// `adapter_loads_at_once`: adapter loads in flight across all backend servers.
+    /// `adapter_loads_at_once`: maximum number of adapter loads in flight across all backend servers.
     pub adapter_loads_at_once: u32,
-    /// `key_memory`: how long the outcome of an idempotency key is remembered after it was recorded.
+    /// `key_memory_s`: how long the outcome of an idempotency key is retained after it was recorded.
     pub key_memory: Duration,
-    /// `keys`: idempotency keys remembered at most; at the limit new ones are refused, not run.
+    /// `keys`: maximum number of retained idempotency keys. At the limit, requests with new keys are
+    /// refused without being run.
     pub keys: usize,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// `deadline_ms`: the deadline of a request that names none; without it such a request is refused.
+    /// `deadline_ms`: the deadline of a request that specifies none; without it such a request is refused.
     pub deadline: Option<Duration>,
-    /// `in_flight`: requests of the class in progress across all instances.
+    /// `in_flight`: maximum number of requests of the class in progress across all instances.
     pub in_flight: u32,
-    /// `queue`: requests of the class that wait at one instance.
+    /// `queue`: maximum number of requests of the class that wait at one instance.
     pub queue: usize,
 }
 
-/// A tenant: who sends requests.
+/// A tenant, which sends requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// `in_flight`: requests in progress across all instances.
+    /// `in_flight`: maximum number of requests in progress across all instances.
     pub in_flight: u32,
-    /// `share`: weight against other tenants when they wait for the same model.
+    /// `share`: weight relative to other tenants when requests wait for the same model.
     pub share: u32,
 }
 
-/// What answers in a group.
+/// The kind of backend servers in a group.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Kind {
-    /// Model engines, which take orders.
+    /// Model engines, which execute load and unload orders.
     #[default]
     Engine,
     /// Plain services.
     Service,
 }
 
-/// What a group's engines do with an order that has an old fencing number.
+/// How a group's engines treat an order with an outdated fencing number.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fencing {
-    /// They refuse it, also after a restart.
+    /// They refuse it, including after a restart.
     Checked,
-    /// They refuse it, but forget the number when they restart: for safety this is [`Self::Ignored`].
+    /// They refuse it, but lose the highest number seen on a restart. For safety this counts as
+    /// [`Self::Ignored`].
     Forgets,
-    /// They take any order. The careful case, and the default.
+    /// They accept any order. This is the conservative assumption and the default.
     #[default]
     Ignored,
 }
 
-/// What ends the pins of an incarnation that has fallen silent; see [`crate::ledger`].
+/// What releases the pins of an incarnation that has stopped responding; see [`crate::ledger`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PinRelease {
-    /// Only its own acknowledgement.
+    /// Only the incarnation's own acknowledgement.
     #[default]
     Acknowledged,
-    /// Also this much log time after its epoch ended. The risk is an order that is held up longer.
+    /// Also the passing of this much log time since the end of its epoch. An order that is delayed for
+    /// longer can then take effect after the pin's release.
     After(Duration),
 }
 
@@ -136,50 +141,51 @@
     pub fencing: Fencing,
     /// `pin_release`: `acknowledged`, or a number of seconds.
     pub pin_release: PinRelease,
-    /// `memory_mb` of each backend server for models and adapters.
+    /// `memory_mb`: memory of each backend server for models and adapters, in MB.
     pub memory_mb: u64,
-    /// `slots`: requests that one backend server runs at once.
+    /// `slots`: number of requests that one backend server runs concurrently.
     pub slots: u32,
 }
 
 /// A model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// `group`: the group of engines that runs it.
+    /// `group`: the group of engines that serves the model.
     pub group: SmolStr,
-    /// `version` of the weights, 1 or more.
+    /// `version`: version of the weights, 1 or more.
     pub version: u32,
-    /// `memory_mb` that a replica takes.
+    /// `memory_mb`: memory of one replica, in MB.
     pub memory_mb: u64,
-    /// `replicas`: at most so many, over all versions.
+    /// `replicas`: maximum number of replicas, over all versions.
     pub replicas: u32,
-    /// `load_ms`: the expected time of a load until one was measured.
+    /// `load_ms`: expected load time, used until one has been measured.
     pub load: Duration,
-    /// `service_ms`: the expected time of a request until one was measured.
+    /// `service_ms`: expected time of a request, used until one has been measured.
     pub service: Duration,
 }
 
 /// An adapter of a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Adapter {
-    /// `memory_mb` that a replica takes beside its model.
+    /// `memory_mb`: memory of one replica in addition to its model, in MB.
     pub memory_mb: u64,
-    /// `replicas`: at most so many.
+    /// `replicas`: maximum number of replicas.
     pub replicas: u32,
 }
 
-/// Paths that go to a group of plain services.
+/// Paths that are routed to a group of plain services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// `prefix` of the path, such as `/bookings`. The longest that fits is taken.
+    /// `prefix`: path prefix, such as `/bookings`. The longest matching prefix applies.
     pub prefix: SmolStr,
-    /// `group` of plain services.
+    /// `group`: the group of plain services.
     pub group: SmolStr,
-    /// `idempotent`: methods that may be repeated; `GET, HEAD` by default.
+    /// `idempotent`: methods that may be retried; `GET, HEAD` by default.
     pub idempotent: Vec<SmolStr>,
-    /// `deduplicates`: whether the service itself runs one Idempotency-Key at most once.
+    /// `deduplicates`: whether the service itself executes requests with the same Idempotency-Key at most
+    /// once.
     pub deduplicates: bool,
-    /// `class` of requests that name none.
+    /// `class`: class of requests that specify none.
     pub class: SmolStr,
 }
 
@@ -197,7 +203,7 @@
 }
 
 impl Default for Class {
-    /// No deadline of its own, and room for a small deployment.
+    /// No default deadline, and limits for a small deployment.
     fn default() -> Self {
         Self {
             deadline: None,
@@ -208,7 +214,7 @@
 }
 
 impl Default for Tenant {
-    /// Room for a small deployment, and the same share as others.
+    /// Limits for a small deployment, and the same share as other tenants.
     fn default() -> Self {
         Self {
             in_flight: 64,
@@ -218,7 +224,7 @@
 }
 
 impl Default for Group {
-    /// Engines that are trusted with nothing, and have no memory yet.
+    /// Engines with the most conservative safety assumptions and no memory.
     fn default() -> Self {
         Self {
             kind: Kind::Engine,
@@ -231,7 +237,7 @@
 }
 
 impl Default for Model {
-    /// One replica of version 1, in no group yet.
+    /// One replica of version 1, without a group.
     fn default() -> Self {
         Self {
             group: SmolStr::default(),
@@ -255,7 +261,7 @@
 }
 
 impl Default for Route {
-    /// Only `GET` and `HEAD` may be repeated.
+    /// Only `GET` and `HEAD` may be retried.
     fn default() -> Self {
         Self {
             prefix: SmolStr::default(),
@@ -268,7 +274,8 @@
 }
 
 impl Document {
-    /// The route of a path: the longest prefix that ends at a `/` of the path, at its query or at its end.
+    /// Returns the route of a path: the one with the longest prefix that ends at a `/`, at the query or at
+    /// the end of the path.
     #[must_use]
     pub fn route(&self, path: &str) -> Option<(&SmolStr, &Route)> {
         let fits = self.routes.iter().filter(|(_, route)| {
--- a/crates/fireflywheel/src/document/parse.rs
+++ b/crates/fireflywheel/src/document/parse.rs
@@ -1,6 +1,6 @@
-//! Reads a document.
+//! Parsing of a document.
 //!
-//! | section | keys that must be there | others, with what they are when left out |
+//! | section | required keys | optional keys with their defaults |
 //! |---|---|---|
 //! | `[serving]` | | `cold_start_weight` 0.5, `store_loads_per_second` 5, `store_loads_at_once` 4, `adapter_loads_at_once` 30, `key_memory_s` 86,400, `keys` 100,000 |
 //! | `[class NAME]` | `in_flight` | `deadline_ms` none, `queue` 256 |
@@ -11,7 +11,7 @@
 //! | `[adapter MODEL:NAME]` | `memory_mb`, `replicas` | |
 //! | `[route NAME]` | `prefix`, `group`, `class` | `idempotent` `GET, HEAD`, `deduplicates` no |
 //!
-//! `[serving]` itself must be there, so that an empty file is never taken for a configuration.
+//! The section `[serving]` is required, so that an empty file is never accepted as a configuration.
 
 use std::{collections::BTreeMap, ops::RangeInclusive, time::Duration};
 
@@ -25,30 +25,31 @@
     fault, field, ini_text,
 };
 
-/// The largest document, in bytes. The log takes records of at most 1 MiB, and a document becomes longer
-/// inside of one, since line ends are escaped there.
+/// Maximum size of a document, in bytes. The log accepts records of at most 1 MiB, and a document becomes
+/// longer inside a record, since line ends are escaped there.
 pub const MAX_BYTES: usize = 900 * 1024;
 
-const COLD_START_WEIGHT: RangeInclusive<f64> = 0.0..=1.0;
-const STORE_LOADS_PER_SECOND: RangeInclusive<f64> = 0.01..=10_000.0;
-const STORE_LOADS_AT_ONCE: RangeInclusive<u64> = 1..=10_000;
-const ADAPTER_LOADS_AT_ONCE: RangeInclusive<u64> = 1..=100_000;
-/// A minute to thirty days: shorter, and a caller's ordinary retry would run a second time.
-const KEY_MEMORY_S: RangeInclusive<u64> = 60..=2_592_000;
-const KEYS: RangeInclusive<u64> = 1..=1_000_000;
-const DEADLINE_MS: RangeInclusive<u64> = 1..=86_400_000;
-const IN_FLIGHT: RangeInclusive<u64> = 0..=1_000_000;
-const QUEUE: RangeInclusive<u64> = 0..=100_000;
-const SHARE: RangeInclusive<u64> = 1..=1_000;
-const MEMORY_MB: RangeInclusive<u64> = 1..=1_000_000;
-const SLOTS: RangeInclusive<u64> = 1..=10_000;
-const PIN_RELEASE_S: RangeInclusive<u64> = 1..=604_800;
-const VERSION: RangeInclusive<u64> = 1..=1_000_000_000;
-/// With none the model is unloaded and stays so.
-const REPLICAS: RangeInclusive<u64> = 0..=100_000;
-const LOAD_MS: RangeInclusive<u64> = 1..=3_600_000;
-const SERVICE_MS: RangeInclusive<u64> = 1..=3_600_000;
-const PREFIX_LIMIT: usize = 256;
+const COLD_START_WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=1.0;
+const STORE_LOADS_PER_SECOND_RANGE: RangeInclusive<f64> = 0.01..=10_000.0;
+const STORE_LOADS_AT_ONCE_RANGE: RangeInclusive<u64> = 1..=10_000;
+const ADAPTER_LOADS_AT_ONCE_RANGE: RangeInclusive<u64> = 1..=100_000;
+/// One minute to thirty days. If keys were retained for less, a caller's ordinary retry would run a second
+/// time.
+const KEY_MEMORY_S_RANGE: RangeInclusive<u64> = 60..=2_592_000;
+const KEYS_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+const DEADLINE_MS_RANGE: RangeInclusive<u64> = 1..=86_400_000;
+const IN_FLIGHT_RANGE: RangeInclusive<u64> = 0..=1_000_000;
+const QUEUE_RANGE: RangeInclusive<u64> = 0..=100_000;
+const SHARE_RANGE: RangeInclusive<u64> = 1..=1_000;
+const MEMORY_MB_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+const SLOTS_RANGE: RangeInclusive<u64> = 1..=10_000;
+const PIN_RELEASE_S_RANGE: RangeInclusive<u64> = 1..=604_800;
+const VERSION_RANGE: RangeInclusive<u64> = 1..=1_000_000_000;
+/// With 0 replicas the model is unloaded and stays unloaded.
+const REPLICAS_RANGE: RangeInclusive<u64> = 0..=100_000;
+const LOAD_MS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
+const SERVICE_MS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
+const MAX_PREFIX_BYTES: usize = 256;
 
 const KINDS: [field::Word<Option<Kind>>; 2] = [
     ("engine", Some(Kind::Engine)),
@@ -77,32 +78,32 @@
 ];
 
 impl Document {
-    /// Reads and checks a document of at most [`MAX_BYTES`] bytes.
+    /// Parses and checks a document of at most [`MAX_BYTES`] bytes.
     ///
     /// # Errors
     ///
-    /// Every fault, in the order of lines; see [`fault::LIMIT`].
+    /// All faults, in the order of lines; see [`fault::LIMIT`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
         let sections = ini_text::read(text, MAX_BYTES, &mut faults)?;
         let mut document = Self::default();
         for section in &sections {
-            document.read(section, &mut faults);
+            document.read_section(section, &mut faults);
         }
-        need_serving(&sections, &mut faults);
+        require_serving(&sections, &mut faults);
         check::check(&document, &sections, &mut faults);
         faults.finish(document)
     }
 
-    fn read(&mut self, section: &ini_text::Section, faults: &mut fault::List) {
+    fn read_section(&mut self, section: &ini_text::Section, faults: &mut fault::List) {
         match section.kind() {
             "serving" => self.read_serving(section, faults),
-            "class" => insert(&mut self.classes, class, section, faults),
-            "tenant" => insert(&mut self.tenants, tenant, section, faults),
-            "group" => insert(&mut self.groups, group, section, faults),
-            "model" => insert(&mut self.models, model, section, faults),
+            "class" => insert_named(&mut self.classes, read_class, section, faults),
+            "tenant" => insert_named(&mut self.tenants, read_tenant, section, faults),
+            "group" => insert_named(&mut self.groups, read_group, section, faults),
+            "model" => insert_named(&mut self.models, read_model, section, faults),
             "adapter" => self.read_adapter(section, faults),
-            "route" => insert(&mut self.routes, route, section, faults),
+            "route" => insert_named(&mut self.routes, read_route, section, faults),
             other => {
                 let allowed = fault::Allowed::Known {
                     noun: SmolStr::from("section"),
@@ -115,17 +116,17 @@
 
     fn read_serving(&mut self, section: &ini_text::Section, faults: &mut fault::List) {
         if section.name != "serving" {
-            faults.push(misnamed(section, "`[serving]`, without a name"));
+            faults.push(misnamed_section(section, "`[serving]`, without a name"));
         }
-        self.serving = serving(section, faults);
+        self.serving = read_serving(section, faults);
     }
 
     fn read_adapter(&mut self, section: &ini_text::Section, faults: &mut fault::List) {
-        let names = adapter_names(&section.name);
+        let names = split_adapter_name(&section.name);
         if names.is_none() {
-            faults.push(misnamed(section, ADAPTER_RULE));
+            faults.push(misnamed_section(section, ADAPTER_RULE));
         }
-        let adapter = adapter(section, faults);
+        let adapter = read_adapter(section, faults);
         if let Some((model, name)) = names {
             self.adapters
                 .entry(model)
@@ -135,14 +136,14 @@
     }
 }
 
-/// The model's and the adapter's name.
-fn adapter_names(section: &str) -> Option<(SmolStr, SmolStr)> {
+/// Returns the model's and the adapter's name.
+fn split_adapter_name(section: &str) -> Option<(SmolStr, SmolStr)> {
     let (model, name) = section.strip_prefix("adapter ")?.split_once(':')?;
     Some((field::name(model)?, field::name(name)?))
 }
 
-/// Reads a section `[KIND NAME]` into a map by name.
-fn insert<F, T>(
+/// Reads a section `[KIND NAME]` and inserts it into a map by name.
+fn insert_named<F, T>(
     map: &mut BTreeMap<SmolStr, T>,
     read: F,
     section: &ini_text::Section,
@@ -153,8 +154,8 @@
     let kind = section.kind();
     let name = field::name(section.name[kind.len()..].trim_start());
     if name.is_none() {
-        let what = format!("`[{kind} NAME]` with {}", field::NAME_RULE);
-        faults.push(misnamed(section, &what));
+        let expected = format!("`[{kind} NAME]` with {}", field::NAME_RULE);
+        faults.push(misnamed_section(section, &expected));
     }
     let value = read(section, faults);
     if let Some(name) = name {
@@ -162,87 +163,90 @@
     }
 }
 
-fn misnamed(section: &ini_text::Section, what: &str) -> fault::Fault {
-    fault::Fault::new(section.line, fault::Allowed::Value(what.into())).with_found(&section.name)
+fn misnamed_section(section: &ini_text::Section, expected: &str) -> fault::Fault {
+    fault::Fault::new(section.line, fault::Allowed::Value(expected.into()))
+        .with_found(&section.name)
 }
 
-fn need_serving(sections: &[ini_text::Section], faults: &mut fault::List) {
+fn require_serving(sections: &[ini_text::Section], faults: &mut fault::List) {
     if sections.iter().any(|section| section.kind() == "serving") {
         return;
     }
-    let what = SmolStr::from("a section `[serving]`; it may have no keys");
-    faults.push(fault::Fault::new(1, fault::Allowed::Needed(what)));
+    let expected = SmolStr::from("a section `[serving]`; it may have no keys");
+    faults.push(fault::Fault::new(1, fault::Allowed::Needed(expected)));
 }
 
-fn serving(section: &ini_text::Section, faults: &mut fault::List) -> Serving {
+fn read_serving(section: &ini_text::Section, faults: &mut fault::List) -> Serving {
     let mut reader = field::Reader::new(section, faults);
     let default = Serving::default();
     let serving = Serving {
         cold_start_weight: reader
-            .optional_number("cold_start_weight", COLD_START_WEIGHT)
+            .optional_number("cold_start_weight", COLD_START_WEIGHT_RANGE)
             .unwrap_or(default.cold_start_weight),
         store_loads_per_second: reader
-            .optional_number("store_loads_per_second", STORE_LOADS_PER_SECOND)
+            .optional_number("store_loads_per_second", STORE_LOADS_PER_SECOND_RANGE)
             .unwrap_or(default.store_loads_per_second),
         store_loads_at_once: reader
-            .optional_whole("store_loads_at_once", STORE_LOADS_AT_ONCE)
+            .optional_whole("store_loads_at_once", STORE_LOADS_AT_ONCE_RANGE)
             .unwrap_or(default.store_loads_at_once),
         adapter_loads_at_once: reader
-            .optional_whole("adapter_loads_at_once", ADAPTER_LOADS_AT_ONCE)
+            .optional_whole("adapter_loads_at_once", ADAPTER_LOADS_AT_ONCE_RANGE)
             .unwrap_or(default.adapter_loads_at_once),
         key_memory: reader
-            .optional_seconds("key_memory_s", KEY_MEMORY_S)
+            .optional_seconds("key_memory_s", KEY_MEMORY_S_RANGE)
             .unwrap_or(default.key_memory),
-        keys: reader.optional_whole("keys", KEYS).unwrap_or(default.keys),
+        keys: reader
+            .optional_whole("keys", KEYS_RANGE)
+            .unwrap_or(default.keys),
     };
     reader.finish();
     serving
 }
 
-fn class(section: &ini_text::Section, faults: &mut fault::List) -> Class {
+fn read_class(section: &ini_text::Section, faults: &mut fault::List) -> Class {
     let mut reader = field::Reader::new(section, faults);
     let default = Class::default();
     let class = Class {
-        deadline: reader.optional_millis("deadline_ms", DEADLINE_MS),
-        in_flight: reader.whole("in_flight", IN_FLIGHT, default.in_flight),
+        deadline: reader.optional_millis("deadline_ms", DEADLINE_MS_RANGE),
+        in_flight: reader.whole("in_flight", IN_FLIGHT_RANGE, default.in_flight),
         queue: reader
-            .optional_whole("queue", QUEUE)
+            .optional_whole("queue", QUEUE_RANGE)
             .unwrap_or(default.queue),
     };
     reader.finish();
     class
 }
 
-fn tenant(section: &ini_text::Section, faults: &mut fault::List) -> Tenant {
+fn read_tenant(section: &ini_text::Section, faults: &mut fault::List) -> Tenant {
     let mut reader = field::Reader::new(section, faults);
     let default = Tenant::default();
     let tenant = Tenant {
-        in_flight: reader.whole("in_flight", IN_FLIGHT, default.in_flight),
+        in_flight: reader.whole("in_flight", IN_FLIGHT_RANGE, default.in_flight),
         share: reader
-            .optional_whole("share", SHARE)
+            .optional_whole("share", SHARE_RANGE)
             .unwrap_or(default.share),
     };
     reader.finish();
     tenant
 }
 
-fn group(section: &ini_text::Section, faults: &mut fault::List) -> Group {
+fn read_group(section: &ini_text::Section, faults: &mut fault::List) -> Group {
     let mut reader = field::Reader::new(section, faults);
     let kind = reader.word("kind", &KINDS, None);
     let default = Group::default();
     let mut group = Group {
         kind: kind.unwrap_or(default.kind),
-        slots: reader.whole("slots", SLOTS, default.slots),
+        slots: reader.whole("slots", SLOTS_RANGE, default.slots),
         ..default
     };
     match kind {
-        Some(Kind::Engine) => read_engine(&mut group, &mut reader),
+        Some(Kind::Engine) => read_engine_keys(&mut group, &mut reader),
         Some(Kind::Service) => {
             for key in ENGINE_KEYS {
                 reader.forbid(key, "only groups of kind `engine` have this key");
             }
         }
-        // The kind's own fault is enough: nobody knows which keys belong here.
+        // The fault of the kind is sufficient, since it is unknown which keys are valid here.
         None => {
             for key in ENGINE_KEYS {
                 reader.text(key);
@@ -253,72 +257,72 @@
     group
 }
 
-fn read_engine(group: &mut Group, reader: &mut field::Reader<'_>) {
-    group.memory_mb = reader.whole("memory_mb", MEMORY_MB, group.memory_mb);
+fn read_engine_keys(group: &mut Group, reader: &mut field::Reader<'_>) {
+    group.memory_mb = reader.whole("memory_mb", MEMORY_MB_RANGE, group.memory_mb);
     group.fencing = reader
         .optional_word("fencing", &FENCINGS)
         .unwrap_or(group.fencing);
-    let what = format!(
+    let expected = format!(
         "`acknowledged` or a whole number of seconds from {} to {}",
-        field::grouped(*PIN_RELEASE_S.start()),
-        field::grouped(*PIN_RELEASE_S.end()),
+        field::grouped(*PIN_RELEASE_S_RANGE.start()),
+        field::grouped(*PIN_RELEASE_S_RANGE.end()),
     );
     group.pin_release = reader
-        .optional("pin_release", &what, pin_release)
+        .optional("pin_release", &expected, parse_pin_release)
         .unwrap_or(group.pin_release);
 }
 
-fn pin_release(text: &str) -> Option<PinRelease> {
+fn parse_pin_release(text: &str) -> Option<PinRelease> {
     if text == "acknowledged" {
         return Some(PinRelease::Acknowledged);
     }
-    let seconds = field::whole(text, &PIN_RELEASE_S)?;
+    let seconds = field::whole(text, &PIN_RELEASE_S_RANGE)?;
     Some(PinRelease::After(Duration::from_secs(seconds)))
 }
 
-fn model(section: &ini_text::Section, faults: &mut fault::List) -> Model {
+fn read_model(section: &ini_text::Section, faults: &mut fault::List) -> Model {
     let mut reader = field::Reader::new(section, faults);
     let default = Model::default();
     let model = Model {
         group: reader.name("group"),
         version: reader
-            .optional_whole("version", VERSION)
+            .optional_whole("version", VERSION_RANGE)
             .unwrap_or(default.version),
-        memory_mb: reader.whole("memory_mb", MEMORY_MB, default.memory_mb),
-        replicas: reader.whole("replicas", REPLICAS, default.replicas),
+        memory_mb: reader.whole("memory_mb", MEMORY_MB_RANGE, default.memory_mb),
+        replicas: reader.whole("replicas", REPLICAS_RANGE, default.replicas),
         load: reader
-            .optional_millis("load_ms", LOAD_MS)
+            .optional_millis("load_ms", LOAD_MS_RANGE)
             .unwrap_or(default.load),
         service: reader
-            .optional_millis("service_ms", SERVICE_MS)
+            .optional_millis("service_ms", SERVICE_MS_RANGE)
             .unwrap_or(default.service),
     };
     reader.finish();
     model
 }
 
-fn adapter(section: &ini_text::Section, faults: &mut fault::List) -> Adapter {
+fn read_adapter(section: &ini_text::Section, faults: &mut fault::List) -> Adapter {
     let mut reader = field::Reader::new(section, faults);
     let default = Adapter::default();
     let adapter = Adapter {
-        memory_mb: reader.whole("memory_mb", MEMORY_MB, default.memory_mb),
-        replicas: reader.whole("replicas", REPLICAS, default.replicas),
+        memory_mb: reader.whole("memory_mb", MEMORY_MB_RANGE, default.memory_mb),
+        replicas: reader.whole("replicas", REPLICAS_RANGE, default.replicas),
     };
     reader.finish();
     adapter
 }
 
-fn route(section: &ini_text::Section, faults: &mut fault::List) -> Route {
+fn read_route(section: &ini_text::Section, faults: &mut fault::List) -> Route {
     let mut reader = field::Reader::new(section, faults);
     let default = Route::default();
-    let prefix = reader.required("prefix", PREFIX_RULE, default.prefix, prefix);
-    if is_chat(&prefix) {
+    let prefix = reader.required("prefix", PREFIX_RULE, default.prefix, parse_prefix);
+    if is_chat_path(&prefix) {
         reader.rule("prefix", "/v1/chat belongs to the models");
     }
     let route = Route {
         prefix,
         group: reader.name("group"),
-        idempotent: idempotent(&mut reader).unwrap_or(default.idempotent),
+        idempotent: read_idempotent(&mut reader).unwrap_or(default.idempotent),
         deduplicates: reader
             .optional_word("deduplicates", &YES_OR_NO)
             .unwrap_or(default.deduplicates),
@@ -328,28 +332,29 @@
     route
 }
 
-fn idempotent(reader: &mut field::Reader<'_>) -> Option<Vec<SmolStr>> {
-    let what = format!("one of {}", METHODS.join(", "));
-    let methods = reader.optional_list("idempotent", &what, |text| {
+fn read_idempotent(reader: &mut field::Reader<'_>) -> Option<Vec<SmolStr>> {
+    let expected = format!("one of {}", METHODS.join(", "));
+    let methods = reader.optional_list("idempotent", &expected, |text| {
         METHODS.contains(&text).then(|| SmolStr::new(text))
     })?;
-    let doubled = (1..methods.len()).any(|index| methods[..index].contains(&methods[index]));
-    if doubled {
+    let has_duplicates = (1..methods.len()).any(|index| methods[..index].contains(&methods[index]));
+    if has_duplicates {
         reader.rule("idempotent", "a method stands twice");
     }
     Some(methods)
 }
 
-fn prefix(text: &str) -> Option<SmolStr> {
+fn parse_prefix(text: &str) -> Option<SmolStr> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '~');
     let segment =
         |part: &str| !part.is_empty() && part != "." && part != ".." && part.chars().all(allowed);
     let rest = text.strip_prefix('/')?;
     let rest = rest.strip_suffix('/').unwrap_or(rest);
-    let fits = text.len() <= PREFIX_LIMIT && (rest.is_empty() || rest.split('/').all(segment));
-    fits.then(|| SmolStr::new(text))
+    let is_valid =
+        text.len() <= MAX_PREFIX_BYTES && (rest.is_empty() || rest.split('/').all(segment));
+    is_valid.then(|| SmolStr::new(text))
 }
 
-fn is_chat(prefix: &str) -> bool {
+fn is_chat_path(prefix: &str) -> bool {
     prefix == "/v1/chat" || prefix.starts_with("/v1/chat/")
 }
--- a/crates/fireflywheel/src/document/warning.rs
+++ b/crates/fireflywheel/src/document/warning.rs
@@ -1,17 +1,17 @@
-//! What a new document will do that an operator may not expect.
+//! Warnings about effects of a new document that an operator may not expect.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
 use smol_str::SmolStr;
 
-use crate::document::{Document, Fencing, Group, Model, PinRelease, Route, form::Section};
+use crate::document::{Document, Fencing, Group, Model, PinRelease, Route, ini::Section};
 
-/// A consequence of a change, named before it is published.
+/// A consequence of a change, reported before the document is published.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Warning {
-    /// A section is gone, and what that means for requests and replicas.
+    /// A section was removed, which affects requests and replicas.
     Removed(Section),
-    /// Fewer replicas of a model or adapter than before.
+    /// A model or adapter has a lower replica cap than before.
     CapLowered {
         /// The model or adapter.
         section: Section,
@@ -20,7 +20,7 @@
         /// The new cap.
         to: u32,
     },
-    /// Another version of a model's weights.
+    /// The version of a model's weights changed.
     Version {
         /// The model.
         model: SmolStr,
@@ -29,7 +29,7 @@
         /// The new version.
         to: u32,
     },
-    /// A model runs in another group.
+    /// A model was moved to another group.
     Moved {
         /// The model.
         model: SmolStr,
@@ -38,71 +38,75 @@
         /// The new group.
         to: SmolStr,
     },
-    /// Backend servers of a group are said to have less memory.
+    /// The configured memory of a group's backend servers was lowered.
     MemoryLowered {
         /// The group.
         group: SmolStr,
-        /// Old memory of each.
+        /// Old memory of each backend server, in MB.
         from_mb: u64,
-        /// New memory of each.
+        /// New memory of each backend server, in MB.
         to_mb: u64,
     },
-    /// Engines are trusted to refuse old fencing numbers.
+    /// Engines are now trusted to refuse outdated fencing numbers.
     FencingTrusted {
         /// The group.
         group: SmolStr,
     },
-    /// Pins end by time, or sooner than before.
+    /// Pins are now released by time, or earlier than before.
     PinsTimed {
         /// The group.
         group: SmolStr,
-        /// The time after which they end.
+        /// The time after which pins are released.
         after: Duration,
     },
-    /// Requests of these methods may be repeated now.
+    /// Requests with these methods may now be retried.
     Repeatable {
         /// The route.
         route: SmolStr,
         /// The methods.
         methods: Vec<SmolStr>,
     },
-    /// A service is trusted to run an idempotency key at most once.
+    /// A service is now trusted to execute requests with the same idempotency key at most once.
     DeduplicationTrusted {
         /// The route.
         route: SmolStr,
     },
-    /// Idempotency keys are forgotten sooner.
+    /// Idempotency keys are retained for a shorter time.
     KeyMemoryShortened {
-        /// The old time.
+        /// The old retention time.
         from: Duration,
-        /// The new time.
+        /// The new retention time.
         to: Duration,
     },
 }
 
-/// What `new` will do against `old`, in the order of sections.
+/// Returns the warnings for the change from `old` to `new`, in the order of sections.
 #[must_use]
 pub fn warnings(old: &Document, new: &Document) -> Vec<Warning> {
-    let mut warnings = key_memory(old, new);
-    warnings.extend(removed(&old.classes, &new.classes, Section::Class));
-    warnings.extend(removed(&old.tenants, &new.tenants, Section::Tenant));
-    warnings.extend(removed(&old.groups, &new.groups, Section::Group));
-    for (name, old, new) in kept(&old.groups, &new.groups) {
-        warnings.extend(group(name, old, new));
+    let mut warnings = key_memory_warnings(old, new);
+    warnings.extend(removed_sections(&old.classes, &new.classes, Section::Class));
+    warnings.extend(removed_sections(
+        &old.tenants,
+        &new.tenants,
+        Section::Tenant,
+    ));
+    warnings.extend(removed_sections(&old.groups, &new.groups, Section::Group));
+    for (name, old, new) in in_both(&old.groups, &new.groups) {
+        warnings.extend(group_warnings(name, old, new));
     }
-    warnings.extend(removed(&old.models, &new.models, Section::Model));
-    for (name, old, new) in kept(&old.models, &new.models) {
-        warnings.extend(model(name, old, new));
+    warnings.extend(removed_sections(&old.models, &new.models, Section::Model));
+    for (name, old, new) in in_both(&old.models, &new.models) {
+        warnings.extend(model_warnings(name, old, new));
     }
-    warnings.extend(adapters(old, new));
-    warnings.extend(removed(&old.routes, &new.routes, Section::Route));
-    for (name, old, new) in kept(&old.routes, &new.routes) {
-        warnings.extend(route(name, old, new));
+    warnings.extend(adapter_warnings(old, new));
+    warnings.extend(removed_sections(&old.routes, &new.routes, Section::Route));
+    for (name, old, new) in in_both(&old.routes, &new.routes) {
+        warnings.extend(route_warnings(name, old, new));
     }
     warnings
 }
 
-fn key_memory(old: &Document, new: &Document) -> Vec<Warning> {
+fn key_memory_warnings(old: &Document, new: &Document) -> Vec<Warning> {
     let from = old.serving.key_memory;
     let to = new.serving.key_memory;
     if to < from {
@@ -112,7 +116,11 @@
     }
 }
 
-fn removed<F, T>(old: &BTreeMap<SmolStr, T>, new: &BTreeMap<SmolStr, T>, section: F) -> Vec<Warning>
+fn removed_sections<F, T>(
+    old: &BTreeMap<SmolStr, T>,
+    new: &BTreeMap<SmolStr, T>,
+    section: F,
+) -> Vec<Warning>
 where
     F: Fn(SmolStr) -> Section,
 {
@@ -122,7 +130,7 @@
         .collect()
 }
 
-fn kept<'a, T>(
+fn in_both<'a, T>(
     old: &'a BTreeMap<SmolStr, T>,
     new: &'a BTreeMap<SmolStr, T>,
 ) -> impl Iterator<Item = (&'a SmolStr, &'a T, &'a T)> {
@@ -130,7 +138,7 @@
         .filter_map(|(name, value)| Some((name, value, new.get(name)?)))
 }
 
-fn group(name: &SmolStr, old: &Group, new: &Group) -> Vec<Warning> {
+fn group_warnings(name: &SmolStr, old: &Group, new: &Group) -> Vec<Warning> {
     let mut warnings = Vec::new();
     if new.memory_mb < old.memory_mb {
         warnings.push(Warning::MemoryLowered {
@@ -145,7 +153,7 @@
         });
     }
     if let PinRelease::After(after) = new.pin_release
-        && is_sooner(old.pin_release, after)
+        && releases_earlier(old.pin_release, after)
     {
         warnings.push(Warning::PinsTimed {
             group: name.clone(),
@@ -155,16 +163,16 @@
     warnings
 }
 
-fn is_sooner(old: PinRelease, after: Duration) -> bool {
+fn releases_earlier(old: PinRelease, after: Duration) -> bool {
     match old {
         PinRelease::Acknowledged => true,
         PinRelease::After(before) => after < before,
     }
 }
 
-fn model(name: &SmolStr, old: &Model, new: &Model) -> Vec<Warning> {
+fn model_warnings(name: &SmolStr, old: &Model, new: &Model) -> Vec<Warning> {
     let mut warnings = Vec::new();
-    warnings.extend(cap(
+    warnings.extend(cap_warning(
         Section::Model(name.clone()),
         old.replicas,
         new.replicas,
@@ -186,28 +194,32 @@
     warnings
 }
 
-fn adapters(old: &Document, new: &Document) -> Vec<Warning> {
-    let none = BTreeMap::new();
+fn adapter_warnings(old: &Document, new: &Document) -> Vec<Warning> {
+    let no_adapters = BTreeMap::new();
     let mut warnings = Vec::new();
     for (model, old_adapters) in &old.adapters {
-        let new_adapters = new.adapters.get(model).unwrap_or(&none);
+        let new_adapters = new.adapters.get(model).unwrap_or(&no_adapters);
         let section = |name| Section::Adapter {
             model: model.clone(),
             name,
         };
-        warnings.extend(removed(old_adapters, new_adapters, section));
-        for (name, old, new) in kept(old_adapters, new_adapters) {
-            warnings.extend(cap(section(name.clone()), old.replicas, new.replicas));
+        warnings.extend(removed_sections(old_adapters, new_adapters, section));
+        for (name, old, new) in in_both(old_adapters, new_adapters) {
+            warnings.extend(cap_warning(
+                section(name.clone()),
+                old.replicas,
+                new.replicas,
+            ));
         }
     }
     warnings
 }
 
-fn cap(section: Section, from: u32, to: u32) -> Option<Warning> {
+fn cap_warning(section: Section, from: u32, to: u32) -> Option<Warning> {
     (to < from).then_some(Warning::CapLowered { section, from, to })
 }
 
-fn route(name: &SmolStr, old: &Route, new: &Route) -> Vec<Warning> {
+fn route_warnings(name: &SmolStr, old: &Route, new: &Route) -> Vec<Warning> {
     let mut warnings = Vec::new();
     let methods: Vec<SmolStr> = new
         .idempotent
@@ -232,7 +244,7 @@
 impl fmt::Display for Warning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Removed(section) => write!(f, "{section}: removed; {}", loss(section)),
+            Self::Removed(section) => write!(f, "{section}: removed; {}", removal_effect(section)),
             Self::CapLowered { section, from, to } => write!(
                 f,
                 "{section}: cap lowered from {from} to {to}; replicas beyond it will be unloaded"
@@ -281,8 +293,8 @@
     }
 }
 
-/// What the loss of a section brings.
-fn loss(section: &Section) -> &'static str {
+/// Describes the effect of removing a section.
+fn removal_effect(section: &Section) -> &'static str {
     match section {
         Section::Serving => "its values become the usual ones",
         Section::Class(_) => "requests that name it will be refused",
