--- a/crates/fireflywheel/src/settings/mod.rs
+++ b/crates/fireflywheel/src/settings/mod.rs
@@ -1,14 +1,14 @@
-//! The settings of one instance: where it listens, whom it knows, its limits and times.
+//! The settings of one instance: its addresses, its peers, its limits and its timing.
 //!
-//! Settings concern one process and are read once at its start. What all instances must agree on stands in
-//! the [`crate::document`] instead.
+//! Settings apply to one process and are read once at its start. Values that all instances must agree on
+//! are part of the [`crate::document`] instead.
 //!
-//! | section | keys, with what they are when left out |
+//! | section | keys with their defaults |
 //! |---|---|
-//! | `[instance]` | `name`, `failure_domain` must be there; `region` default |
+//! | `[instance]` | `name`, `failure_domain` required; `region` default |
 //! | `[listen]` | `caller` 0.0.0.0:8080, `peer` 127.0.0.1:8081, `operator` 127.0.0.1:8082, `advertise` the bound peer address |
-//! | `[platform]` | `log`, `list` must be there |
-//! | `[peers]` | `key_file` must be there; `seeds` none |
+//! | `[platform]` | `log`, `list` required |
+//! | `[peers]` | `key_file` required; `seeds` none |
 //! | `[limits]` | `connections` 1024, `header_bytes` 16384, `body_bytes` 1048576, `idle_ms` 10000, `stream_buffer_bytes` 65536, `queue` 1024 |
 //! | `[timing]` | `ping_ms` 500, `suspect_ms` 2000, `dead_ms` 10000, `list_ms` 1000, `report_ms` 500, `drain_delay_ms` 5000, `drain_limit_ms` 600000, `log_wait_ms` 2000, `checkpoint_records` 5000, `checkpoint_s` 60, `gone_after_s` 30 |
 //! | `[log]` | `level` info, `format` text, `file` none: standard error |
@@ -40,18 +40,18 @@
     pub log: Log,
 }
 
-/// Who this instance is.
+/// Identity of the instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Instance {
-    /// `name`, which no other instance has.
+    /// `name`: unique name of the instance.
     pub name: SmolStr,
-    /// `failure_domain` that it runs in.
+    /// `failure_domain`: the failure domain that the instance runs in.
     pub failure_domain: SmolStr,
-    /// `region` of the failure domain.
+    /// `region`: the region of the failure domain.
     pub region: SmolStr,
 }
 
-/// Where it listens. Port 0 lets the system choose one.
+/// Addresses to listen on. With port 0 the system chooses a port.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Listen {
     /// `caller`: requests for models and services.
@@ -60,113 +60,118 @@
     pub peer: SocketAddr,
     /// `operator`: status, metrics and drain.
     pub operator: SocketAddr,
-    /// `advertise`: the peer address that others are told; `None` for the one that was bound.
+    /// `advertise`: the peer address announced to other instances; `None` for the bound address.
     pub advertise: Option<SocketAddr>,
 }
 
-/// Where the platform's services are: URLs without a `/` at the end, such as `http://10.0.0.5:7000`.
+/// URLs of the platform's services, without a trailing `/`, such as `http://10.0.0.5:7000`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Platform {
-    /// `log`: the log service.
+    /// `log`: URL of the log service.
     pub log: SmolStr,
-    /// `list`: the list of instances.
+    /// `list`: URL of the instance list.
     pub list: SmolStr,
 }
 
-/// Whom it trusts, and whom it asks first.
+/// Authentication and discovery of peers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Peers {
-    /// `key_file`: a file whose content is the [`Secret`] of all instances.
+    /// `key_file`: path of the file that contains the [`Secret`] shared by all instances.
     pub key_file: PathBuf,
-    /// `seeds`: peer addresses to begin with.
+    /// `seeds`: peer addresses to contact first.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What is taken at most.
+/// Limits on connections, requests and buffers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// `connections` of callers at once.
+    /// `connections`: maximum number of concurrent caller connections.
     pub connections: usize,
-    /// `header_bytes` of a request.
+    /// `header_bytes`: maximum size of a request's headers.
     pub header_bytes: usize,
-    /// `body_bytes` of a request.
+    /// `body_bytes`: maximum size of a request's body.
     pub body_bytes: usize,
-    /// `idle_ms`: how long a sender may send nothing in the middle of a request.
+    /// `idle_ms`: maximum time without data in the middle of a request.
     pub idle: Duration,
-    /// `stream_buffer_bytes` of an answer that its caller has not taken yet.
+    /// `stream_buffer_bytes`: maximum size of the buffered part of an answer that its caller has not read
+    /// yet.
     pub stream_buffer_bytes: usize,
-    /// `queue`: requests that wait here for one model, adapter or route.
+    /// `queue`: maximum number of requests that wait at this instance for one model, adapter or route.
     pub queue: usize,
 }
 
-/// How often, and how long.
+/// Intervals and timeouts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
-    /// `ping_ms`: between pings to peers.
+    /// `ping_ms`: interval between pings to peers.
     pub ping_interval: Duration,
-    /// `suspect_ms`: without an answer a peer becomes suspect.
+    /// `suspect_ms`: time without an answer after which a peer is suspected.
     pub suspect_timeout: Duration,
-    /// `dead_ms`: without an answer a peer is taken for dead.
+    /// `dead_ms`: time without an answer after which a peer is declared dead.
     pub dead_timeout: Duration,
-    /// `list_ms`: between readings of the list of instances.
+    /// `list_ms`: interval between reads of the instance list.
     pub list_interval: Duration,
-    /// `report_ms`: between readings of a backend server's load report.
+    /// `report_ms`: interval between reads of a backend server's load report.
     pub report_interval: Duration,
-    /// `drain_delay_ms`: from not being ready until new work is refused; the balancer's delay.
+    /// `drain_delay_ms`: time between reporting not ready and refusing new requests, which covers the delay
+    /// of the load balancer.
     pub drain_delay: Duration,
-    /// `drain_limit_ms`: from the start of a planned stop until it ends in any case.
+    /// `drain_limit_ms`: maximum duration of a planned shutdown.
     pub drain_limit: Duration,
-    /// `log_wait_ms`: how long a reading of the log waits for a record.
+    /// `log_wait_ms`: how long a read of the log waits for a record.
     pub log_wait: Duration,
-    /// `checkpoint_records`: a checkpoint after so many records at the latest.
+    /// `checkpoint_records`: maximum number of records between checkpoints.
     pub checkpoint_records: u64,
-    /// `checkpoint_s`: and after this time.
+    /// `checkpoint_s`: maximum time between checkpoints.
     pub checkpoint_interval: Duration,
-    /// `gone_after_s`: a backend server that the list has left out for so long has gone for good.
+    /// `gone_after_s`: time after which a backend server that is missing from the list is considered gone
+    /// permanently.
     pub gone_after: Duration,
 }
 
-/// What it logs, and where.
+/// Settings of the log output.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Log {
     /// `level`: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
     /// `format`: `text` or `json`.
     pub format: Format,
-    /// `file`; `None` for standard error.
+    /// `file`: the log file; `None` for standard error.
     pub file: Option<PathBuf>,
 }
 
-/// The form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object.
+    /// One JSON object per line.
     Json,
 }
 
-/// The key by which instances know each other. It is never shown, not even by [`fmt::Debug`].
+/// The shared key with which instances authenticate each other. It is never shown, not even by
+/// [`fmt::Debug`].
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(Vec<u8>);
 
-/// A secret that is too easily guessed.
+/// The key is too short to resist guessing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TooShort {
-    /// Its length in bytes.
+    /// Length of the key found, in bytes.
     pub found: usize,
 }
 
 impl Secret {
-    /// The shortest secret, in bytes.
+    /// Minimum length of a key, in bytes.
     pub const MIN_BYTES: usize = 16;
 
-    /// The content of a key file. White space at its end doesn't count, since editors add a line end.
+    /// Creates a secret from the content of a key file. Trailing white space is ignored, since editors add
+    /// a line end.
     ///
     /// # Errors
     ///
-    /// [`TooShort`] below [`Self::MIN_BYTES`] bytes.
+    /// [`TooShort`] if the key has fewer than [`Self::MIN_BYTES`] bytes.
     pub fn new(content: &[u8]) -> Result<Self, TooShort> {
         let bytes = content.trim_ascii_end();
         if bytes.len() < Self::MIN_BYTES {
@@ -175,7 +180,7 @@
         Ok(Self(bytes.to_vec()))
     }
 
-    /// The bytes, for a handshake and nothing else.
+    /// Returns the key's bytes. They must only be used for the handshake.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.0
@@ -202,7 +207,7 @@
 impl std::error::Error for TooShort {}
 
 impl Default for Listen {
-    /// Callers from anywhere, peers and operators from this machine only.
+    /// Callers can connect from anywhere, peers and operators only from the local machine.
     fn default() -> Self {
         Self {
             caller: SocketAddr::from(([0, 0, 0, 0], 8080)),
--- a/crates/fireflywheel/src/settings/parse.rs
+++ b/crates/fireflywheel/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reads settings.
+//! Parsing of settings.
 
 use std::{net::SocketAddr, ops::RangeInclusive, path::PathBuf};
 
@@ -9,21 +9,22 @@
     settings::{Format, Instance, Limits, Listen, Log, Peers, Platform, Settings, Timing},
 };
 
-/// The largest settings file, in bytes.
+/// Maximum size of a settings file, in bytes.
 pub const MAX_BYTES: usize = 64 * 1024;
 
-const CONNECTIONS: RangeInclusive<u64> = 1..=1_000_000;
-const HEADER_BYTES: RangeInclusive<u64> = 1_024..=1_048_576;
-const BODY_BYTES: RangeInclusive<u64> = 1_024..=67_108_864;
-const STREAM_BUFFER_BYTES: RangeInclusive<u64> = 1_024..=16_777_216;
-const QUEUE: RangeInclusive<u64> = 1..=1_000_000;
-/// Ten milliseconds to an hour: below it a machine that is busy for a moment looks as if it had failed.
-const INTERVAL_MS: RangeInclusive<u64> = 10..=3_600_000;
-const DRAIN_DELAY_MS: RangeInclusive<u64> = 0..=600_000;
-const DRAIN_LIMIT_MS: RangeInclusive<u64> = 1..=86_400_000;
-const CHECKPOINT_RECORDS: RangeInclusive<u64> = 10..=1_000_000;
-const CHECKPOINT_S: RangeInclusive<u64> = 1..=86_400;
-const GONE_AFTER_S: RangeInclusive<u64> = 1..=86_400;
+const CONNECTIONS_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+const HEADER_BYTES_RANGE: RangeInclusive<u64> = 1_024..=1_048_576;
+const BODY_BYTES_RANGE: RangeInclusive<u64> = 1_024..=67_108_864;
+const STREAM_BUFFER_BYTES_RANGE: RangeInclusive<u64> = 1_024..=16_777_216;
+const QUEUE_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+/// Ten milliseconds to one hour. With a shorter interval a machine that is briefly busy would appear to
+/// have failed.
+const INTERVAL_MS_RANGE: RangeInclusive<u64> = 10..=3_600_000;
+const DRAIN_DELAY_MS_RANGE: RangeInclusive<u64> = 0..=600_000;
+const DRAIN_LIMIT_MS_RANGE: RangeInclusive<u64> = 1..=86_400_000;
+const CHECKPOINT_RECORDS_RANGE: RangeInclusive<u64> = 10..=1_000_000;
+const CHECKPOINT_S_RANGE: RangeInclusive<u64> = 1..=86_400;
+const GONE_AFTER_S_RANGE: RangeInclusive<u64> = 1..=86_400;
 
 const PATH_RULE: &str = "the path of a file";
 
@@ -42,30 +43,30 @@
 ];
 
 impl Settings {
-    /// Reads and checks settings of at most [`MAX_BYTES`] bytes.
+    /// Parses and checks settings of at most [`MAX_BYTES`] bytes.
     ///
     /// # Errors
     ///
-    /// Every fault, in the order of lines; see [`fault::LIMIT`].
+    /// All faults, in the order of lines; see [`fault::LIMIT`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
         let sections = ini_text::read(text, MAX_BYTES, &mut faults)?;
-        unknown(&sections, &mut faults);
+        report_unknown_sections(&sections, &mut faults);
         let settings = Self {
-            instance: instance(&ini_text::find(&sections, "instance"), &mut faults),
-            listen: listen(&ini_text::find(&sections, "listen"), &mut faults),
-            platform: platform(&ini_text::find(&sections, "platform"), &mut faults),
-            peers: peers(&ini_text::find(&sections, "peers"), &mut faults),
-            limits: limits(&ini_text::find(&sections, "limits"), &mut faults),
-            timing: timing(&ini_text::find(&sections, "timing"), &mut faults),
-            log: log(&ini_text::find(&sections, "log"), &mut faults),
+            instance: read_instance(&ini_text::find(&sections, "instance"), &mut faults),
+            listen: read_listen(&ini_text::find(&sections, "listen"), &mut faults),
+            platform: read_platform(&ini_text::find(&sections, "platform"), &mut faults),
+            peers: read_peers(&ini_text::find(&sections, "peers"), &mut faults),
+            limits: read_limits(&ini_text::find(&sections, "limits"), &mut faults),
+            timing: read_timing(&ini_text::find(&sections, "timing"), &mut faults),
+            log: read_log(&ini_text::find(&sections, "log"), &mut faults),
         };
         faults.finish(settings)
     }
 }
 
-/// Names the sections that aren't known.
-fn unknown(sections: &[ini_text::Section], faults: &mut fault::List) {
+/// Adds a fault for each unknown section.
+fn report_unknown_sections(sections: &[ini_text::Section], faults: &mut fault::List) {
     for section in sections {
         if SECTIONS.contains(&section.name.as_str()) {
             continue;
@@ -78,7 +79,7 @@
     }
 }
 
-fn instance(section: &ini_text::Section, faults: &mut fault::List) -> Instance {
+fn read_instance(section: &ini_text::Section, faults: &mut fault::List) -> Instance {
     let mut reader = field::Reader::new(section, faults);
     let instance = Instance {
         name: reader.name("name"),
@@ -91,7 +92,7 @@
     instance
 }
 
-fn listen(section: &ini_text::Section, faults: &mut fault::List) -> Listen {
+fn read_listen(section: &ini_text::Section, faults: &mut fault::List) -> Listen {
     let mut reader = field::Reader::new(section, faults);
     let default = Listen::default();
     let listen = Listen {
@@ -129,20 +130,20 @@
     }
 }
 
-fn platform(section: &ini_text::Section, faults: &mut fault::List) -> Platform {
+fn read_platform(section: &ini_text::Section, faults: &mut fault::List) -> Platform {
     let mut reader = field::Reader::new(section, faults);
     let platform = Platform {
-        log: url(&mut reader, "log"),
-        list: url(&mut reader, "list"),
+        log: read_url(&mut reader, "log"),
+        list: read_url(&mut reader, "list"),
     };
     reader.finish();
     platform
 }
 
-fn peers(section: &ini_text::Section, faults: &mut fault::List) -> Peers {
+fn read_peers(section: &ini_text::Section, faults: &mut fault::List) -> Peers {
     let mut reader = field::Reader::new(section, faults);
     let peers = Peers {
-        key_file: reader.required("key_file", PATH_RULE, PathBuf::new(), path),
+        key_file: reader.required("key_file", PATH_RULE, PathBuf::new(), parse_path),
         seeds: reader
             .optional_list("seeds", "addresses `IP:PORT` between commas", field::parsed)
             .unwrap_or_default(),
@@ -151,56 +152,56 @@
     peers
 }
 
-fn limits(section: &ini_text::Section, faults: &mut fault::List) -> Limits {
+fn read_limits(section: &ini_text::Section, faults: &mut fault::List) -> Limits {
     let mut reader = field::Reader::new(section, faults);
     let default = Limits::default();
     let limits = Limits {
         connections: reader
-            .optional_whole("connections", CONNECTIONS)
+            .optional_whole("connections", CONNECTIONS_RANGE)
             .unwrap_or(default.connections),
         header_bytes: reader
-            .optional_whole("header_bytes", HEADER_BYTES)
+            .optional_whole("header_bytes", HEADER_BYTES_RANGE)
             .unwrap_or(default.header_bytes),
         body_bytes: reader
-            .optional_whole("body_bytes", BODY_BYTES)
+            .optional_whole("body_bytes", BODY_BYTES_RANGE)
             .unwrap_or(default.body_bytes),
         idle: reader
-            .optional_millis("idle_ms", INTERVAL_MS)
+            .optional_millis("idle_ms", INTERVAL_MS_RANGE)
             .unwrap_or(default.idle),
         stream_buffer_bytes: reader
-            .optional_whole("stream_buffer_bytes", STREAM_BUFFER_BYTES)
+            .optional_whole("stream_buffer_bytes", STREAM_BUFFER_BYTES_RANGE)
             .unwrap_or(default.stream_buffer_bytes),
         queue: reader
-            .optional_whole("queue", QUEUE)
+            .optional_whole("queue", QUEUE_RANGE)
             .unwrap_or(default.queue),
     };
     reader.finish();
     limits
 }
 
-fn timing(section: &ini_text::Section, faults: &mut fault::List) -> Timing {
+fn read_timing(section: &ini_text::Section, faults: &mut fault::List) -> Timing {
     let mut reader = field::Reader::new(section, faults);
     let default = Timing::default();
-    let mut millis = |key, range, usual| reader.optional_millis(key, range).unwrap_or(usual);
+    let mut millis = |key, range, default| reader.optional_millis(key, range).unwrap_or(default);
     let mut timing = Timing {
-        ping_interval: millis("ping_ms", INTERVAL_MS, default.ping_interval),
-        suspect_timeout: millis("suspect_ms", INTERVAL_MS, default.suspect_timeout),
-        dead_timeout: millis("dead_ms", INTERVAL_MS, default.dead_timeout),
-        list_interval: millis("list_ms", INTERVAL_MS, default.list_interval),
-        report_interval: millis("report_ms", INTERVAL_MS, default.report_interval),
-        drain_delay: millis("drain_delay_ms", DRAIN_DELAY_MS, default.drain_delay),
-        drain_limit: millis("drain_limit_ms", DRAIN_LIMIT_MS, default.drain_limit),
-        log_wait: millis("log_wait_ms", INTERVAL_MS, default.log_wait),
+        ping_interval: millis("ping_ms", INTERVAL_MS_RANGE, default.ping_interval),
+        suspect_timeout: millis("suspect_ms", INTERVAL_MS_RANGE, default.suspect_timeout),
+        dead_timeout: millis("dead_ms", INTERVAL_MS_RANGE, default.dead_timeout),
+        list_interval: millis("list_ms", INTERVAL_MS_RANGE, default.list_interval),
+        report_interval: millis("report_ms", INTERVAL_MS_RANGE, default.report_interval),
+        drain_delay: millis("drain_delay_ms", DRAIN_DELAY_MS_RANGE, default.drain_delay),
+        drain_limit: millis("drain_limit_ms", DRAIN_LIMIT_MS_RANGE, default.drain_limit),
+        log_wait: millis("log_wait_ms", INTERVAL_MS_RANGE, default.log_wait),
         ..default
     };
     timing.checkpoint_records = reader
-        .optional_whole("checkpoint_records", CHECKPOINT_RECORDS)
+        .optional_whole("checkpoint_records", CHECKPOINT_RECORDS_RANGE)
         .unwrap_or(default.checkpoint_records);
     timing.checkpoint_interval = reader
-        .optional_seconds("checkpoint_s", CHECKPOINT_S)
+        .optional_seconds("checkpoint_s", CHECKPOINT_S_RANGE)
         .unwrap_or(default.checkpoint_interval);
     timing.gone_after = reader
-        .optional_seconds("gone_after_s", GONE_AFTER_S)
+        .optional_seconds("gone_after_s", GONE_AFTER_S_RANGE)
         .unwrap_or(default.gone_after);
     check_timing(&timing, &mut reader);
     reader.finish();
@@ -219,7 +220,7 @@
     }
 }
 
-fn log(section: &ini_text::Section, faults: &mut fault::List) -> Log {
+fn read_log(section: &ini_text::Section, faults: &mut fault::List) -> Log {
     let mut reader = field::Reader::new(section, faults);
     let default = Log::default();
     let log = Log {
@@ -229,18 +230,18 @@
         format: reader
             .optional_word("format", &FORMATS)
             .unwrap_or(default.format),
-        file: reader.optional("file", PATH_RULE, path),
+        file: reader.optional("file", PATH_RULE, parse_path),
     };
     reader.finish();
     log
 }
 
-fn path(text: &str) -> Option<PathBuf> {
+fn parse_path(text: &str) -> Option<PathBuf> {
     (!text.is_empty()).then(|| PathBuf::from(text))
 }
 
-/// The URL of a service of the platform, without a `/` at its end.
-fn url(reader: &mut field::Reader<'_>, key: &'static str) -> SmolStr {
+/// Reads the URL of a platform service, without a trailing `/`.
+fn read_url(reader: &mut field::Reader<'_>, key: &'static str) -> SmolStr {
     if reader
         .text(key)
         .is_some_and(|text| text.starts_with("https:"))
