--- a/crates/fireflywheel/src/answer/mod.rs
+++ b/crates/fireflywheel/src/answer/mod.rs
@@ -1,38 +1,39 @@
-//! Whether a backend server's answer is the whole answer to the one request.
+//! Checks that a backend server's answer is complete and belongs to the request.
 //!
-//! Answers come late, crossed, short and doubled, mostly from connections that a proxy or a frozen process
-//! reused. A caller would take another's quote for its own, or half a report for all of it. So each answer
-//! must name its request in every part and come to its end marker; what doesn't is never handed on as whole.
+//! Answers can be late, mixed up, truncated or duplicated, mostly on connections that a proxy or a frozen
+//! process reused. Without a check a caller could take another caller's answer for its own, or a truncated
+//! answer for a complete one. Each answer must therefore name its request in every part and reach its end
+//! marker; any other answer is never passed on as complete.
 //!
-//! [`StreamChecker`] is for streams of server-sent events, [`BodyChecker`] for answers in one piece.
+//! [`StreamChecker`] checks streams of server-sent events, [`BodyChecker`] answers in a single body.
 
-mod lines;
+mod sse;
 
 use std::fmt;
 
 use serde::Deserialize;
 use smol_str::SmolStr;
 
-/// The longest event taken, in bytes.
+/// Maximum size of an event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// The data of the event that ends a stream.
 pub const END_MARKER: &str = "[DONE]";
 
-/// What is wrong with an answer.
+/// A defect of an answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Flaw {
     /// It belongs to another request.
     WrongRequest,
     /// It ended before its end marker.
     Truncated,
-    /// A chunk came again.
+    /// A chunk was received twice.
     DuplicateChunk,
-    /// A chunk is lacking.
+    /// A chunk is missing.
     MissingChunk,
-    /// It isn't what the protocol says.
+    /// It violates the protocol.
     Malformed,
-    /// It is larger than taken, or goes on after its end marker.
+    /// It exceeds the size limit or continues after its end marker.
     TooLong,
 }
 
@@ -51,74 +52,74 @@
 
 impl std::error::Error for Flaw {}
 
-/// A whole, checked event of a stream.
+/// A complete, checked event of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// A chunk of the answer: the event's data, as it came.
+    /// A chunk of the answer: the event's data, unmodified.
     Chunk(String),
     /// The end marker.
     End,
 }
 
-/// What a chunk or an answer says of itself.
+/// The identification in a chunk or a body.
 #[derive(Deserialize)]
 struct Envelope {
     id: Option<SmolStr>,
     seq: Option<u64>,
 }
 
-/// Checks a stream of server-sent events as its bytes come.
+/// Incremental checker of a stream of server-sent events.
 ///
-/// The verdict and the events don't depend on how the bytes are split.
+/// The result and the events do not depend on how the bytes are split.
 #[derive(Clone, Debug)]
 pub struct StreamChecker {
     id: SmolStr,
     /// The sequence number of the next chunk.
-    next: u64,
-    /// Whether chunks carry sequence numbers; known from the first.
+    next_sequence: u64,
+    /// Whether chunks carry sequence numbers; determined by the first chunk.
     numbered: Option<bool>,
     chunks: u64,
-    lines: lines::Lines,
+    decoder: sse::Decoder,
     ended: bool,
     flaw: Option<Flaw>,
 }
 
 impl StreamChecker {
-    /// Expects the whole stream of the request `id`.
+    /// Creates a checker for the whole stream of the request `id`.
     #[must_use]
     pub fn new(id: impl Into<SmolStr>) -> Self {
         Self {
             id: id.into(),
-            next: 0,
+            next_sequence: 0,
             numbered: None,
             chunks: 0,
-            lines: lines::Lines::default(),
+            decoder: sse::Decoder::default(),
             ended: false,
             flaw: None,
         }
     }
 
-    /// Expects a stream resumed after its first `chunks` chunks.
+    /// Sets the checker to a stream that is resumed after its first `chunks` chunks.
     #[must_use]
     pub fn with_resume(mut self, chunks: u64) -> Self {
-        self.next = chunks;
+        self.next_sequence = chunks;
         self.chunks = chunks;
         self
     }
 
-    /// Takes bytes, and gives the events that they complete.
+    /// Checks bytes and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// The [`Flaw`] that was found; the same again from then on. Events that were whole before it are given
-    /// first, so the flaw may come with the next call or from [`Self::end`].
+    /// The [`Flaw`] that was found, which every later call returns again. Events that were complete before
+    /// it are returned first, so the flaw may be reported by the next call or by [`Self::end`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Flaw> {
         if let Some(flaw) = self.flaw {
             return Err(flaw);
         }
         let mut events = Vec::new();
         for &byte in bytes {
-            if let Err(flaw) = self.take(byte, &mut events) {
+            if let Err(flaw) = self.push_byte(byte, &mut events) {
                 self.flaw = Some(flaw);
                 break;
             }
@@ -129,11 +130,11 @@
         }
     }
 
-    /// The connection ended: whether the answer is whole.
+    /// Handles the end of the connection, and returns whether the answer is complete.
     ///
     /// # Errors
     ///
-    /// The [`Flaw`] found in the bytes, or [`Flaw::Truncated`] without the end marker.
+    /// The [`Flaw`] found in the bytes, or [`Flaw::Truncated`] if the end marker is missing.
     pub fn end(&self) -> Result<(), Flaw> {
         match self.flaw {
             Some(flaw) => Err(flaw),
@@ -142,27 +143,29 @@
         }
     }
 
-    /// Chunks that were whole so far, with those before a resume: where a stream that broke goes on.
+    /// Returns the number of complete chunks so far, including those before a resume. An interrupted stream
+    /// resumes at this chunk.
     #[must_use]
     pub fn chunks(&self) -> u64 {
         self.chunks
     }
 
-    /// Whether the end marker came. The answer is whole then, though the connection may stay open.
+    /// Returns whether the end marker was received. The answer is then complete, although the connection
+    /// may stay open.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.ended && self.flaw.is_none()
     }
 
-    fn take(&mut self, byte: u8, events: &mut Vec<Event>) -> Result<(), Flaw> {
-        let Some(data) = self.lines.take(byte)? else {
+    fn push_byte(&mut self, byte: u8, events: &mut Vec<Event>) -> Result<(), Flaw> {
+        let Some(data) = self.decoder.push(byte)? else {
             return Ok(());
         };
         if self.ended {
             return Err(Flaw::TooLong);
         }
         if data == END_MARKER {
-            // An end marker alone names no request, so it may be another's.
+            // An end marker alone names no request, so it may belong to another one.
             if self.chunks == 0 {
                 return Err(Flaw::Truncated);
             }
@@ -170,38 +173,38 @@
             events.push(Event::End);
             return Ok(());
         }
-        self.chunk(&data)?;
+        self.check_chunk(&data)?;
         events.push(Event::Chunk(data));
         Ok(())
     }
 
-    fn chunk(&mut self, data: &str) -> Result<(), Flaw> {
+    fn check_chunk(&mut self, data: &str) -> Result<(), Flaw> {
         let envelope: Envelope = serde_json::from_str(data).map_err(|_| Flaw::Malformed)?;
-        own(&self.id, envelope.id.as_ref())?;
+        check_id(&self.id, envelope.id.as_ref())?;
         let numbered = *self.numbered.get_or_insert(envelope.seq.is_some());
         if numbered != envelope.seq.is_some() {
             return Err(Flaw::Malformed);
         }
         if let Some(sequence) = envelope.seq {
-            self.in_sequence(sequence)?;
+            self.check_sequence(sequence)?;
         }
         self.chunks += 1;
         Ok(())
     }
 
-    fn in_sequence(&mut self, sequence: u64) -> Result<(), Flaw> {
-        if sequence < self.next {
+    fn check_sequence(&mut self, sequence: u64) -> Result<(), Flaw> {
+        if sequence < self.next_sequence {
             return Err(Flaw::DuplicateChunk);
         }
-        if sequence > self.next {
+        if sequence > self.next_sequence {
             return Err(Flaw::MissingChunk);
         }
-        self.next = sequence.saturating_add(1);
+        self.next_sequence = sequence.saturating_add(1);
         Ok(())
     }
 }
 
-/// Checks an answer in one piece: a JSON object that names its request.
+/// Checker of an answer in a single body: a JSON object that names its request.
 #[derive(Clone, Debug)]
 pub struct BodyChecker {
     id: SmolStr,
@@ -211,7 +214,7 @@
 }
 
 impl BodyChecker {
-    /// Expects the answer to the request `id`, of at most `limit` bytes.
+    /// Creates a checker for the answer to the request `id`, of at most `limit` bytes.
     #[must_use]
     pub fn new(id: impl Into<SmolStr>, limit: usize) -> Self {
         Self {
@@ -222,19 +225,19 @@
         }
     }
 
-    /// Takes the id that the answer's header names; an answer without one is malformed.
+    /// Checks the id in the answer's header; an answer without one is malformed.
     #[must_use]
     pub fn with_header(mut self, id: Option<&str>) -> Self {
         let id = id.map(SmolStr::new);
-        self.flaw = own(&self.id, id.as_ref()).err();
+        self.flaw = check_id(&self.id, id.as_ref()).err();
         self
     }
 
-    /// Takes bytes.
+    /// Adds bytes of the body.
     ///
     /// # Errors
     ///
-    /// The [`Flaw`] found so far; the same again from then on.
+    /// The [`Flaw`] found so far, which every later call returns again.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), Flaw> {
         if let Some(flaw) = self.flaw {
             return Err(flaw);
@@ -248,7 +251,7 @@
         Ok(())
     }
 
-    /// The connection ended: the whole, checked body.
+    /// Handles the end of the connection, and returns the complete, checked body.
     ///
     /// # Errors
     ///
@@ -258,14 +261,14 @@
             return Err(flaw);
         }
         let envelope: Envelope =
-            serde_json::from_slice(&self.bytes).map_err(|error| flaw(&error))?;
-        own(&self.id, envelope.id.as_ref())?;
+            serde_json::from_slice(&self.bytes).map_err(|error| parse_flaw(&error))?;
+        check_id(&self.id, envelope.id.as_ref())?;
         Ok(self.bytes)
     }
 }
 
-/// Whether a part of an answer names the request; one that names none proves nothing.
-fn own(expected: &SmolStr, id: Option<&SmolStr>) -> Result<(), Flaw> {
+/// Checks that a part of an answer names the request. A part without an id proves nothing and is malformed.
+fn check_id(expected: &SmolStr, id: Option<&SmolStr>) -> Result<(), Flaw> {
     match id {
         Some(id) if id == expected => Ok(()),
         Some(_) => Err(Flaw::WrongRequest),
@@ -273,7 +276,7 @@
     }
 }
 
-fn flaw(error: &serde_json::Error) -> Flaw {
+fn parse_flaw(error: &serde_json::Error) -> Flaw {
     match error.is_eof() {
         true => Flaw::Truncated,
         false => Flaw::Malformed,
