--- a/crates/fireflywheel/src/bucket.rs
+++ b/crates/fireflywheel/src/bucket.rs
@@ -1,27 +1,27 @@
-//! A bucket of tokens: what is done takes one, and they come back with time or with other events.
+//! Token bucket: each operation takes a token, and tokens are refilled over time or by other events.
 
 use crate::clock;
 
-/// Tokens up to a capacity.
+/// A token bucket with a capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     capacity: f64,
     tokens: f64,
-    filled: clock::Instant,
+    last_fill: clock::Instant,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(now: clock::Instant, capacity: f64) -> Self {
         Self {
             capacity,
             tokens: capacity,
-            filled: now,
+            last_fill: now,
         }
     }
 
-    /// A bucket without tokens.
+    /// Creates an empty bucket.
     #[must_use]
     pub fn empty(now: clock::Instant, capacity: f64) -> Self {
         Self {
@@ -30,37 +30,37 @@
         }
     }
 
-    /// Tokens that are in it.
+    /// Returns the number of available tokens.
     #[must_use]
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Changes the capacity; what is beyond it is lost.
+    /// Changes the capacity; tokens in excess of it are lost.
     pub fn resize(&mut self, capacity: f64) {
         self.capacity = capacity;
         self.add(0.0);
     }
 
-    /// Adds what has come at this rate since the last time.
+    /// Adds the tokens accrued at this rate since the last fill.
     pub fn fill(&mut self, now: clock::Instant, per_second: f64) {
-        let elapsed = now.since(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+        let elapsed = now.since(self.last_fill).as_secs_f64();
+        self.last_fill = self.last_fill.max(now);
         self.add(elapsed * per_second);
     }
 
-    /// Adds tokens; what is beyond the capacity is lost.
+    /// Adds tokens; tokens in excess of the capacity are lost.
     pub fn add(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.capacity);
     }
 
-    /// Takes a token; `false` when there is none.
+    /// Takes a token; returns `false` if none is available.
     #[must_use]
     pub fn take(&mut self) -> bool {
-        let there = self.tokens >= 1.0;
-        if there {
+        let is_available = self.tokens >= 1.0;
+        if is_available {
             self.tokens -= 1.0;
         }
-        there
+        is_available
     }
 }
--- a/crates/fireflywheel/src/effect.rs
+++ b/crates/fireflywheel/src/effect.rs
@@ -1,84 +1,85 @@
-//! What a node wants done: the output of [`crate::node::Node::step`].
+//! Output of [`crate::node::Node::step`]: the effects to execute.
 
 use smol_str::SmolStr;
 
 use crate::{claim, order, request, wire};
 
-/// One thing to do.
+/// An effect to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Append this text to the log and say what came of it. Never more than one at a time.
+    /// Appends this text to the log and reports the result. At most one append is in progress at a time.
     Append(String),
-    /// Go on reading the log from this offset, in place of any earlier read.
+    /// Reads the log from this offset, in place of any earlier read.
     ReadFrom(u64),
-    /// Open a link to a peer, unless there is one.
+    /// Opens a link to a peer, unless one is open.
     Connect {
-        /// The peer's name, when known: another name that answers there is taken as well.
+        /// The peer's name, or an empty text if it is not known. A peer with another name that answers at
+        /// the address is accepted too.
         instance: SmolStr,
-        /// `IP:PORT`.
+        /// The peer's address, as `IP:PORT`.
         address: SmolStr,
     },
-    /// End the link to a peer.
+    /// Closes the link to a peer.
     Disconnect(SmolStr),
-    /// Send a frame to a peer; dropped when there is no link.
+    /// Sends a frame to a peer; the frame is dropped if there is no link.
     Send {
         /// The peer's name.
         to: SmolStr,
         /// The frame.
         frame: wire::Frame,
     },
-    /// Ask these backend servers for load reports from now on, and no others.
+    /// Polls the load reports of exactly these backend servers from now on.
     PollReports(Vec<SmolStr>),
-    /// Send an order to an engine and say what came of it.
+    /// Sends an order to an engine and reports the result.
     Order {
-        /// Names this sending.
+        /// Identifies this attempt to send the order.
         attempt_id: order::AttemptId,
         /// The engine's address.
         server: SmolStr,
         /// The order.
         command: order::Command,
     },
-    /// Send a request to a backend server, once, and say what came of it.
+    /// Sends a request to a backend server once, and reports the result.
     Dispatch {
         /// The request.
         request: request::Key,
         /// The backend server's address.
         server: SmolStr,
     },
-    /// Ask the engine to go on with a stream whose connection broke.
+    /// Asks the engine to resume a stream whose connection broke.
     Resume {
         /// The request.
         request: request::Key,
         /// The backend server's address, the same as before.
         server: SmolStr,
-        /// Events that the caller has already.
+        /// Number of events that the caller already received.
         from: u64,
     },
-    /// The final answer to a request that isn't served.
+    /// The final answer to a request that is not served.
     Refuse {
         /// The request.
         request: request::Key,
         /// The answer.
         refusal: request::Refusal,
     },
-    /// The final answer to a repeat of a request that ran before.
+    /// The final answer to a repeated request that ran before.
     Replay {
         /// The request.
         request: request::Key,
-        /// The outcome of the first.
+        /// The outcome of the first request.
         outcome: claim::Outcome,
     },
-    /// Something an operator should read, once.
+    /// Reports a notice to operators, once.
     Notice(Notice),
-    /// Everything in progress is finished and handed over: end the process.
+    /// Ends the process: all work in progress is finished and handed over.
     Exit,
 }
 
-/// Something an operator should read.
+/// A notice for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Notice {
-    /// Whether it calls for an operator.
+    /// Whether the notice requires an operator's action.
     pub alarm: bool,
-    /// In one sentence.
+    /// The notice, in one sentence.
     pub text: String,
 }
--- a/crates/fireflywheel/src/event.rs
+++ b/crates/fireflywheel/src/event.rs
@@ -1,68 +1,69 @@
-//! What happens round a node: the input of [`crate::node::Node::step`].
+//! Input events of [`crate::node::Node::step`].
 
 use smol_str::SmolStr;
 
 use crate::{member, order, record, report, request, wire, writer};
 
-/// One thing that happened.
+/// An input event.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed; sent every [`crate::node::TICK_INTERVAL`].
     Tick,
-    /// The log answered a read.
+    /// The log returned the result of a read.
     LogRead {
-        /// The oldest offset that it retains.
+        /// The oldest offset that the log retains.
         first: u64,
-        /// The offset that its next record gets.
+        /// The offset of the next record to be appended.
         next: u64,
-        /// In order, from the offset that was asked for.
+        /// The records in order, starting at the requested offset.
         records: Vec<record::Stored>,
     },
     /// The log could not be read.
     LogReadFailed,
-    /// What came of [`crate::effect::Effect::Append`].
+    /// The result of [`crate::effect::Effect::Append`].
     Appended(writer::Answer),
-    /// The platform's list.
+    /// The platform's instance list was read.
     InstancesListed(Vec<report::ListEntry>),
-    /// A link to a peer is open: it has proven the key. The update tells of the peer itself.
+    /// A link to a peer is open, and the peer has proven knowledge of the shared key. The update describes
+    /// the peer itself.
     LinkUp(member::Update),
-    /// A link ended.
+    /// The link to a peer closed.
     LinkDown(record::Incarnation),
-    /// A frame came in over a link.
+    /// A frame arrived over a link.
     Frame {
-        /// Who sent it.
+        /// The sender.
         from: record::Incarnation,
-        /// What it says.
+        /// The frame.
         frame: wire::Frame,
     },
-    /// A backend server's load report.
+    /// A backend server returned its load report.
     ReportReceived {
-        /// Its address.
+        /// The backend server's address.
         server: SmolStr,
-        /// The report.
+        /// The load report.
         report: report::Report,
     },
-    /// A backend server gave no report.
+    /// A backend server returned no load report.
     ReportFailed {
-        /// Its address.
+        /// The backend server's address.
         server: SmolStr,
     },
-    /// What came of [`crate::effect::Effect::Order`].
+    /// The result of [`crate::effect::Effect::Order`].
     OrderAnswered {
-        /// Which sending.
+        /// The attempt to send the order.
         attempt_id: order::AttemptId,
-        /// What is known.
+        /// The result of the attempt.
         answer: order::Answer,
     },
-    /// What came of [`crate::effect::Effect::Dispatch`] or [`crate::effect::Effect::Resume`].
+    /// Progress or result of [`crate::effect::Effect::Dispatch`] or [`crate::effect::Effect::Resume`].
     AttemptUpdated {
         /// The request.
         request: request::Key,
-        /// What is known.
+        /// The state of the attempt.
         attempt: request::Attempt,
     },
-    /// The caller has gone.
+    /// The caller disconnected.
     CallerGone(request::Key),
-    /// A planned stop was asked for.
+    /// A planned shutdown was requested.
     Stop,
 }
--- a/crates/fireflywheel/src/fault.rs
+++ b/crates/fireflywheel/src/fault.rs
@@ -1,72 +1,74 @@
-//! What is wrong with a text that an operator wrote, and where.
+//! Faults of a configuration text, with their positions.
 
 use std::{collections::BTreeSet, fmt};
 
 use smol_str::SmolStr;
 
-/// Faults named at most; a longer list helps nobody, and a hostile text must not fill the memory.
+/// Maximum number of reported faults. A longer list does not help, and a malicious text must not exhaust
+/// the memory.
 pub const LIMIT: usize = 1000;
 
-/// Faults that get a suggestion at most. Each costs a comparison with every known name, and a text that is
-/// made to be slow to refuse must not hold up an instance.
-const SUGGESTION_LIMIT: usize = 100;
+/// Maximum number of faults with a suggestion. Each suggestion compares the text with every known name, and
+/// a text crafted to be slow to reject must not delay an instance.
+const MAX_SUGGESTIONS: usize = 100;
 
-/// Characters of a found text that a fault repeats at most.
-const FOUND_LIMIT: usize = 80;
+/// Maximum number of characters of the found text that a fault repeats.
+const MAX_FOUND_CHARS: usize = 80;
 
-/// Names that are longer get no suggestion, and only so many known ones are compared, for the same reason.
-const NAME_LIMIT: usize = 32;
-const KNOWN_LIMIT: usize = 1000;
+/// Maximum length in bytes of a name that gets a suggestion, which bounds the cost of a comparison.
+const MAX_SUGGESTED_NAME_BYTES: usize = 32;
+/// Maximum number of known names compared for one suggestion, which bounds its cost.
+const MAX_COMPARED_NAMES: usize = 1000;
 
-/// One fault of a text. Displayed as one line, such as
+/// A fault of a text. Displayed as one line, such as
 /// `line 12, [model quote-small] memory_mb: "lots" is not a whole number from 1 to 1,000,000`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// Counted from 1; where something is missing, the line of the section that lacks it.
+    /// Line number, counted from 1. If something is missing, the line of the section that lacks it.
     pub line: usize,
-    /// The section's name without its brackets; empty outside of any.
+    /// The section's name without brackets; empty outside of any section.
     pub section: SmolStr,
-    /// The key; empty when the fault is not about one.
+    /// The key; empty if the fault does not concern a key.
     pub key: SmolStr,
-    /// What stands there, cut when it is long; empty when something is missing.
+    /// The text found, truncated if it is long; empty if something is missing.
     pub found: SmolStr,
-    /// What would be right.
+    /// The valid content.
     pub allowed: Allowed,
 }
 
-/// What would be right in place of what was found.
+/// Description of the valid content.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Allowed {
-    /// A value of this description, such as `a whole number from 1 to 10`.
+    /// A value that matches this description, such as `a whole number from 1 to 10`.
     Value(SmolStr),
-    /// Nothing was found; this must be there.
+    /// Required content that is missing.
     Needed(SmolStr),
-    /// A name out of a known list.
+    /// A name from a list of known names.
     Known {
-        /// What is named, such as `key` or `section`.
+        /// The kind of name, such as `key` or `section`.
         noun: SmolStr,
-        /// The known name that is most like the one found.
+        /// The known name that is most similar to the one found.
         nearest: Option<SmolStr>,
     },
-    /// A name that stands only once.
+    /// A name that may appear only once.
     Once {
-        /// The line where it stands first.
+        /// The line of the first appearance.
         first: usize,
     },
-    /// A relation to other lines, told in whole.
+    /// A rule about the relation to other lines, as a full sentence part.
     Rule(SmolStr),
 }
 
-/// Faults gathered while a text is read; reading goes on after each.
+/// Faults collected while a text is read; reading continues after each fault.
 #[derive(Clone, Debug, Default)]
 pub struct List {
     faults: Vec<Fault>,
     omitted: usize,
-    asked: usize,
+    suggestions: usize,
 }
 
 impl Fault {
-    /// A fault outside of any section.
+    /// Creates a fault outside of any section.
     #[must_use]
     pub fn new(line: usize, allowed: Allowed) -> Self {
         Self {
@@ -78,30 +80,30 @@
         }
     }
 
-    /// The same in a section.
+    /// Sets the section.
     #[must_use]
     pub fn with_section(mut self, section: impl Into<SmolStr>) -> Self {
         self.section = section.into();
         self
     }
 
-    /// The same about a key.
+    /// Sets the key.
     #[must_use]
     pub fn with_key(mut self, key: impl Into<SmolStr>) -> Self {
         self.key = key.into();
         self
     }
 
-    /// The same with what stands there.
+    /// Sets the text found.
     #[must_use]
     pub fn with_found(mut self, found: &str) -> Self {
-        self.found = shortened(found);
+        self.found = truncate(found);
         self
     }
 }
 
 impl List {
-    /// Adds a fault; beyond [`LIMIT`] it is only counted.
+    /// Adds a fault; beyond [`LIMIT`] faults are only counted.
     pub fn push(&mut self, fault: Fault) {
         if self.faults.len() < LIMIT {
             self.faults.push(fault);
@@ -110,21 +112,21 @@
         }
     }
 
-    /// The known name that was probably meant; none once 100 suggestions were asked for.
+    /// Returns the known name that was probably intended; `None` once 100 suggestions have been requested.
     #[must_use]
     pub fn suggest<'a, I>(&mut self, found: &str, known: I) -> Option<SmolStr>
     where
         I: IntoIterator<Item = &'a str>,
     {
-        if self.asked >= SUGGESTION_LIMIT {
+        if self.suggestions >= MAX_SUGGESTIONS {
             return None;
         }
-        self.asked += 1;
-        nearest(found, known)
+        self.suggestions += 1;
+        find_nearest(found, known)
     }
 
-    /// The names of the sections that have a fault. What other sections say about these need not be checked:
-    /// the faults that this would bring may well go away with the first.
+    /// Returns the names of the sections with a fault. References to these sections need not be checked,
+    /// since the resulting faults may disappear once the first ones are fixed.
     #[must_use]
     pub fn sections(&self) -> BTreeSet<SmolStr> {
         self.faults
@@ -133,11 +135,11 @@
             .collect()
     }
 
-    /// The value when there is no fault.
+    /// Returns the value if there is no fault.
     ///
     /// # Errors
     ///
-    /// The faults in the order of their lines, and last how many more there are, if any.
+    /// The faults in the order of their lines, followed by the number of omitted faults, if any.
     pub fn finish<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
         if self.faults.is_empty() {
             return Ok(value);
@@ -165,8 +167,8 @@
         write!(f, ": ")?;
         let found = &self.found;
         match &self.allowed {
-            Allowed::Value(what) => write!(f, "{found:?} is not {what}"),
-            Allowed::Needed(what) => write!(f, "missing; needed is {what}"),
+            Allowed::Value(expected) => write!(f, "{found:?} is not {expected}"),
+            Allowed::Needed(expected) => write!(f, "missing; needed is {expected}"),
             Allowed::Known {
                 noun,
                 nearest: Some(nearest),
@@ -188,27 +190,27 @@
 
 impl std::error::Error for Fault {}
 
-/// The known name that `found` was probably meant to be, if any is near.
-fn nearest<'a, I>(found: &str, known: I) -> Option<SmolStr>
+/// Returns the known name that `found` was probably intended to be, if any is similar.
+fn find_nearest<'a, I>(found: &str, known: I) -> Option<SmolStr>
 where
     I: IntoIterator<Item = &'a str>,
 {
-    if found.len() > NAME_LIMIT {
+    if found.len() > MAX_SUGGESTED_NAME_BYTES {
         return None;
     }
     let limit = (found.len() / 3).max(1);
     known
         .into_iter()
         .filter(|name| name.len().abs_diff(found.len()) <= limit)
-        .take(KNOWN_LIMIT)
-        .map(|name| (distance(found, name), name))
+        .take(MAX_COMPARED_NAMES)
+        .map(|name| (levenshtein_distance(found, name), name))
         .filter(|(distance, _)| *distance <= limit)
         .min()
         .map(|(_, name)| SmolStr::new(name))
 }
 
-/// The Levenshtein distance in bytes.
-fn distance(a: &str, b: &str) -> usize {
+/// Returns the Levenshtein distance in bytes.
+fn levenshtein_distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.bytes().enumerate() {
         let mut diagonal = row[0];
@@ -222,8 +224,8 @@
     row[b.len()]
 }
 
-fn shortened(text: &str) -> SmolStr {
-    match text.char_indices().nth(FOUND_LIMIT) {
+fn truncate(text: &str) -> SmolStr {
+    match text.char_indices().nth(MAX_FOUND_CHARS) {
         Some((end, _)) => SmolStr::from(format!("{}…", &text[..end])),
         None => SmolStr::new(text),
     }
--- a/crates/fireflywheel/src/field.rs
+++ b/crates/fireflywheel/src/field.rs
@@ -1,7 +1,7 @@
-//! Reads the values of one section of an INI text, key by key.
+//! Reader of the values of one section of an INI text, key by key.
 //!
-//! A value that isn't allowed becomes a fault and the fallback takes its place, so that reading goes on and
-//! every fault of the text is found.
+//! An invalid value is recorded as a fault and replaced by a fallback, so that reading continues and every
+//! fault of the text is found.
 
 use std::{net::SocketAddr, ops::RangeInclusive, str::FromStr, time::Duration};
 
@@ -9,93 +9,93 @@
 
 use crate::{fault, ini_text};
 
-/// The longest name, in characters.
-pub const NAME_LIMIT: usize = 64;
+/// Maximum length of a name, in characters.
+pub const MAX_NAME_CHARS: usize = 64;
 
-/// What a name may be, for people.
+/// Description of a valid name, for fault messages.
 pub const NAME_RULE: &str = "a name of 1 to 64 letters, digits, `-`, `_` and `.`";
 
-/// The longest URL, in characters.
-pub const URL_LIMIT: usize = 512;
+/// Maximum length of a URL, in characters.
+pub const MAX_URL_CHARS: usize = 512;
 
-/// What [`url`] takes, for people.
+/// Description of the URLs that [`url`] accepts, for fault messages.
 pub const URL_RULE: &str =
     "an address such as `http://10.0.0.5:7000`, without user, query or fragment";
 
-/// Why an `https:` URL is not taken, for people.
+/// Explanation for the rejection of an `https:` URL, for fault messages.
 pub const HTTPS_RULE: &str = "an `http://` address: https is not supported yet";
 
-/// A word that a key takes, with its meaning.
+/// A keyword that a key accepts, with its value.
 pub type Word<T> = (&'static str, T);
 
-/// Reads the keys of one section.
+/// Reader of the keys of one section.
 pub struct Reader<'a> {
     section: &'a ini_text::Section,
     faults: &'a mut fault::List,
-    known: Vec<&'static str>,
+    known_keys: Vec<&'static str>,
 }
 
 impl<'a> Reader<'a> {
-    /// Reads this section; faults go to the list.
+    /// Creates a reader of this section; faults are added to the list.
     #[must_use]
     pub fn new(section: &'a ini_text::Section, faults: &'a mut fault::List) -> Self {
         Self {
             section,
             faults,
-            known: Vec::new(),
+            known_keys: Vec::new(),
         }
     }
 
-    /// The value of a key that may be left out. Makes the key a known one.
+    /// Returns the value of an optional key, and marks the key as known.
     pub fn text(&mut self, key: &'static str) -> Option<&'a str> {
-        self.known.push(key);
+        self.known_keys.push(key);
         let pair = self.section.pairs.iter().find(|pair| pair.key == key)?;
         Some(pair.value.as_str())
     }
 
-    /// A value that `read` makes something of, if the key is there. `what` says what is allowed.
-    pub fn optional<F, T>(&mut self, key: &'static str, what: &str, read: F) -> Option<T>
+    /// Reads an optional value with `read`. `expected` describes the valid values.
+    pub fn optional<F, T>(&mut self, key: &'static str, expected: &str, read: F) -> Option<T>
     where
         F: FnOnce(&str) -> Option<T>,
     {
         let text = self.text(key)?;
         let value = read(text);
         if value.is_none() {
-            self.refuse(key, text, what);
+            self.report_invalid(key, text, expected);
         }
         value
     }
 
-    /// The same for a key that must be there; gives the fallback after a fault.
-    pub fn required<F, T>(&mut self, key: &'static str, what: &str, fallback: T, read: F) -> T
+    /// Reads a required value with `read`; returns the fallback after a fault.
+    pub fn required<F, T>(&mut self, key: &'static str, expected: &str, fallback: T, read: F) -> T
     where
         F: FnOnce(&str) -> Option<T>,
     {
-        if !self.has(key) {
-            self.missing(key, what);
+        if !self.contains(key) {
+            self.report_missing(key, expected);
         }
-        self.optional(key, what, read).unwrap_or(fallback)
+        self.optional(key, expected, read).unwrap_or(fallback)
     }
 
-    /// A whole number, if the key is there.
+    /// Reads an optional whole number.
     pub fn optional_whole<T>(&mut self, key: &'static str, range: RangeInclusive<u64>) -> Option<T>
     where
         T: TryFrom<u64>,
     {
-        let what = whole_rule(&range);
-        self.optional(key, &what, |text| whole(text, &range))
+        let expected = whole_number_rule(&range);
+        self.optional(key, &expected, |text| whole(text, &range))
     }
 
-    /// A whole number that must be there.
+    /// Reads a required whole number.
     pub fn whole<T>(&mut self, key: &'static str, range: RangeInclusive<u64>, fallback: T) -> T
     where
         T: TryFrom<u64>,
     {
-        let what = whole_rule(&range);
-        self.required(key, &what, fallback, |text| whole(text, &range))
+        let expected = whole_number_rule(&range);
+        self.required(key, &expected, fallback, |text| whole(text, &range))
     }
 
-    /// A duration in milliseconds, if the key is there.
+    /// Reads an optional duration in milliseconds.
     pub fn optional_millis(
         &mut self,
         key: &'static str,
@@ -104,7 +104,7 @@
         self.optional_whole(key, range).map(Duration::from_millis)
     }
 
-    /// A duration in seconds, if the key is there.
+    /// Reads an optional duration in seconds.
     pub fn optional_seconds(
         &mut self,
         key: &'static str,
@@ -113,52 +113,53 @@
         self.optional_whole(key, range).map(Duration::from_secs)
     }
 
-    /// A number that need not be whole, if the key is there.
+    /// Reads an optional number, which may have a fraction.
     pub fn optional_number(
         &mut self,
         key: &'static str,
         range: RangeInclusive<f64>,
     ) -> Option<f64> {
-        let what = format!("a number from {} to {}", range.start(), range.end());
-        self.optional(key, &what, |text| {
+        let expected = format!("a number from {} to {}", range.start(), range.end());
+        self.optional(key, &expected, |text| {
             let number: f64 = text.parse().ok()?;
             range.contains(&number).then_some(number)
         })
     }
 
-    /// One of some words, if the key is there.
+    /// Reads an optional keyword.
     pub fn optional_word<T>(&mut self, key: &'static str, words: &[Word<T>]) -> Option<T>
     where
         T: Copy,
     {
-        let what = word_rule(words);
-        self.optional(key, &what, |text| word(text, words))
+        let expected = word_rule(words);
+        self.optional(key, &expected, |text| parse_word(text, words))
     }
 
-    /// One of some words, which must be there.
+    /// Reads a required keyword.
     pub fn word<T>(&mut self, key: &'static str, words: &[Word<T>], fallback: T) -> T
     where
         T: Copy,
     {
-        let what = word_rule(words);
-        self.required(key, &what, fallback, |text| word(text, words))
+        let expected = word_rule(words);
+        self.required(key, &expected, fallback, |text| parse_word(text, words))
     }
 
-    /// A name that must be there; empty after a fault.
+    /// Reads a required name; returns an empty name after a fault.
     pub fn name(&mut self, key: &'static str) -> SmolStr {
         self.required(key, NAME_RULE, SmolStr::default(), name)
     }
 
-    /// An address `IP:PORT`, if the key is there.
+    /// Reads an optional address `IP:PORT`.
     pub fn optional_address(&mut self, key: &'static str) -> Option<SocketAddr> {
         self.optional(key, "an address `IP:PORT`", parsed)
     }
 
-    /// Values between commas, each read by `read`; none when the value is empty.
+    /// Reads an optional list of values separated by commas, each with `read`. An empty value is an empty
+    /// list.
     pub fn optional_list<F, T>(
         &mut self,
         key: &'static str,
-        what: &str,
+        expected: &str,
         mut read: F,
     ) -> Option<Vec<T>>
     where
@@ -172,34 +173,36 @@
             }
             match read(part) {
                 Some(value) => values.push(value),
-                None => self.refuse(key, part, what),
+                None => self.report_invalid(key, part, expected),
             }
         }
         Some(values)
     }
 
-    /// A fault for a key that must not be there, with the reason.
+    /// Adds a fault with the reason if the key is present.
     pub fn forbid(&mut self, key: &'static str, rule: &str) {
         if self.text(key).is_some() {
             self.rule(key, rule);
         }
     }
 
-    /// A fault about a key's relation to others.
+    /// Adds a fault about a key's relation to other keys.
     pub fn rule(&mut self, key: &'static str, rule: &str) {
-        let fault = self.fault(key, fault::Allowed::Rule(rule.into()));
+        let fault = self.new_fault(key, fault::Allowed::Rule(rule.into()));
         self.faults.push(fault);
     }
 
-    /// Names every key that was not asked for. To be called last.
+    /// Adds a fault for each key that was not read. Must be called last.
     pub fn finish(self) {
         for pair in &self.section.pairs {
-            if self.known.contains(&pair.key.as_str()) {
+            if self.known_keys.contains(&pair.key.as_str()) {
                 continue;
             }
             let allowed = fault::Allowed::Known {
                 noun: SmolStr::from("key"),
-                nearest: self.faults.suggest(&pair.key, self.known.iter().copied()),
+                nearest: self
+                    .faults
+                    .suggest(&pair.key, self.known_keys.iter().copied()),
             };
             self.faults.push(
                 fault::Fault::new(pair.line, allowed)
@@ -209,52 +212,52 @@
         }
     }
 
-    fn has(&self, key: &str) -> bool {
+    fn contains(&self, key: &str) -> bool {
         self.section.pairs.iter().any(|pair| pair.key == key)
     }
 
-    fn refuse(&mut self, key: &'static str, found: &str, what: &str) {
-        let fault = self.fault(key, fault::Allowed::Value(what.into()));
+    fn report_invalid(&mut self, key: &'static str, found: &str, expected: &str) {
+        let fault = self.new_fault(key, fault::Allowed::Value(expected.into()));
         self.faults.push(fault.with_found(found));
     }
 
-    fn missing(&mut self, key: &'static str, what: &str) {
-        let fault = self.fault(key, fault::Allowed::Needed(what.into()));
+    fn report_missing(&mut self, key: &'static str, expected: &str) {
+        let fault = self.new_fault(key, fault::Allowed::Needed(expected.into()));
         self.faults.push(fault);
     }
 
-    fn fault(&self, key: &'static str, allowed: fault::Allowed) -> fault::Fault {
+    fn new_fault(&self, key: &'static str, allowed: fault::Allowed) -> fault::Fault {
         fault::Fault::new(self.section.line_of(key), allowed)
             .with_section(self.section.name.clone())
             .with_key(key)
     }
 }
 
-/// A name that follows [`NAME_RULE`].
+/// Parses a name that follows [`NAME_RULE`].
 #[must_use]
 pub fn name(text: &str) -> Option<SmolStr> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let fits = !text.is_empty() && text.len() <= NAME_LIMIT && text.chars().all(allowed);
-    fits.then(|| SmolStr::new(text))
+    let is_valid = !text.is_empty() && text.len() <= MAX_NAME_CHARS && text.chars().all(allowed);
+    is_valid.then(|| SmolStr::new(text))
 }
 
-/// The URL of a service, without the `/` at its end; see [`URL_RULE`].
+/// Parses the URL of a service, and removes a trailing `/`; see [`URL_RULE`].
 #[must_use]
 pub fn url(text: &str) -> Option<SmolStr> {
     let url = text.trim_end_matches('/');
     let rest = url.strip_prefix("http://")?;
     let authority = rest.split('/').next()?;
     let (host, port) = authority.rsplit_once(':').unwrap_or((authority, "80"));
-    // A user part would put a password into logs.
+    // A user part is rejected, since it would expose a password in logs.
     let allowed = |c: char| c.is_ascii_graphic() && !"@?#\\\"<>^`{|}".contains(c);
-    let fits = url.len() <= URL_LIMIT
+    let is_valid = url.len() <= MAX_URL_CHARS
         && !host.is_empty()
         && port.parse::<u16>().is_ok_and(|port| port > 0)
         && rest.chars().all(allowed);
-    fits.then(|| SmolStr::new(url))
+    is_valid.then(|| SmolStr::new(url))
 }
 
-/// Reads by [`FromStr`].
+/// Parses a value with [`FromStr`].
 #[must_use]
 pub fn parsed<T>(text: &str) -> Option<T>
 where
@@ -263,7 +266,7 @@
     text.parse().ok()
 }
 
-/// A number with commas between thousands.
+/// Formats a number with commas between thousands.
 #[must_use]
 pub fn grouped(number: u64) -> String {
     let digits = number.to_string();
@@ -277,13 +280,13 @@
     text
 }
 
-/// A whole number in decimal digits, within the range.
+/// Parses a whole number in decimal digits within the range.
 #[must_use]
 pub fn whole<T>(text: &str, range: &RangeInclusive<u64>) -> Option<T>
 where
     T: TryFrom<u64>,
 {
-    // `u64::from_str` would take a leading `+`.
+    // `u64::from_str` would accept a leading `+`.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
     }
@@ -294,13 +297,13 @@
     T::try_from(number).ok()
 }
 
-fn whole_rule(range: &RangeInclusive<u64>) -> String {
+fn whole_number_rule(range: &RangeInclusive<u64>) -> String {
     let from = grouped(*range.start());
     let to = grouped(*range.end());
     format!("a whole number from {from} to {to}")
 }
 
-fn word<T>(text: &str, words: &[Word<T>]) -> Option<T>
+fn parse_word<T>(text: &str, words: &[Word<T>]) -> Option<T>
 where
     T: Copy,
 {
--- a/crates/fireflywheel/src/ini_text.rs
+++ b/crates/fireflywheel/src/ini_text.rs
@@ -1,9 +1,10 @@
-//! INI texts with their line numbers.
+//! Parsing of INI texts with line numbers.
 //!
-//! The `rust-ini` crate reads the syntax, but it stops at the first fault and keeps no line numbers. So a
-//! small pass over the lines comes before it: it names every line that is neither a section, a key, a comment
-//! nor blank, notes where the others stand, and hands only these on. It is narrower than the crate, on
-//! purpose: no quotes, escapes, continued lines or `key: value`, since such a text could be read in two ways.
+//! The `rust-ini` crate parses the syntax, but it stops at the first fault and keeps no line numbers. A
+//! line scan therefore runs first: it reports every line that is neither a section, a key, a comment nor
+//! blank, records the positions of sections and keys, and passes only these on. The accepted syntax is
+//! deliberately narrower than that of the crate, without quotes, escapes, continued lines or `key: value`,
+//! since such a text could be read in two ways.
 
 use std::collections::BTreeMap;
 
@@ -11,36 +12,36 @@
 
 use crate::fault;
 
-/// A section as written.
+/// A section of a text.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Section {
-    /// Where its header stands, counted from 1.
+    /// Line of the section's header, counted from 1.
     pub line: usize,
-    /// Its name, with single spaces between words.
+    /// The section's name, with single spaces between words.
     pub name: SmolStr,
-    /// Its keys, in their order; none stands twice.
+    /// The section's keys in order, without duplicates.
     pub pairs: Vec<Pair>,
 }
 
 /// A key with its value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Pair {
-    /// Where it stands, counted from 1.
+    /// Line of the key, counted from 1.
     pub line: usize,
     /// The key.
     pub key: SmolStr,
-    /// The value without the space around it; it may be empty.
+    /// The value without surrounding white space; it may be empty.
     pub value: SmolStr,
 }
 
 impl Section {
-    /// The first word of its name.
+    /// Returns the first word of the section's name.
     #[must_use]
     pub fn kind(&self) -> &str {
         self.name.split(' ').next().unwrap_or_default()
     }
 
-    /// The line of a key, or of the section when it isn't there.
+    /// Returns the line of a key, or of the section if the key is missing.
     #[must_use]
     pub fn line_of(&self, key: &str) -> usize {
         self.pairs
@@ -50,7 +51,7 @@
     }
 }
 
-/// What one line is.
+/// Classification of a line.
 enum Line<'a> {
     Blank,
     Section(&'a str),
@@ -58,12 +59,11 @@
     Malformed,
 }
 
-/// Reads a text of at most `limit` bytes. Sections and keys that stand twice are faults; the first one is
-/// kept.
+/// Reads a text of at most `limit` bytes. Duplicate sections and keys are faults; the first one is kept.
 ///
 /// # Errors
 ///
-/// The one fault of a text that is too long, which is not read at all.
+/// A single fault if the text is too long; such a text is not read at all.
 pub fn read(
     text: &str,
     limit: usize,
@@ -74,25 +74,28 @@
         let fault = fault::Fault::new(1, fault::Allowed::Rule(rule.into()));
         return Err(vec![fault]);
     }
-    // Some editors put a byte order mark in front.
+    // Some editors write a byte order mark at the start.
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
-    let (clean, sections) = locate(text, faults);
-    let values = values(&clean, faults);
-    Ok(without_doubles(filled(sections, values), faults))
-}
-
-/// Notes where sections and keys stand. Gives the text without malformed lines, and the sections with keys
-/// that have no values yet.
-fn locate(text: &str, faults: &mut fault::List) -> (String, Vec<Section>) {
-    let mut clean = String::with_capacity(text.len());
+    let (sanitized, sections) = scan(text, faults);
+    let values = read_values(&sanitized, faults);
+    Ok(remove_duplicate_sections(
+        fill_values(sections, values),
+        faults,
+    ))
+}
+
+/// Records the positions of sections and keys. Returns the text without malformed lines, and the sections
+/// with keys that have no values yet.
+fn scan(text: &str, faults: &mut fault::List) -> (String, Vec<Section>) {
+    let mut sanitized = String::with_capacity(text.len());
     let mut sections: Vec<Section> = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let number = index + 1;
-        match classify(line) {
+        match classify_line(line) {
             Line::Blank => {}
             Line::Section(name) => {
-                let name = single_spaced(name);
-                clean.push_str(&format!("[{name}]\n"));
+                let name = normalize_spaces(name);
+                sanitized.push_str(&format!("[{name}]\n"));
                 sections.push(Section {
                     line: number,
                     name,
@@ -101,27 +104,27 @@
             }
             Line::Pair(key, value) => match sections.last_mut() {
                 Some(section) => {
-                    clean.push_str(&format!("{key} = {value}\n"));
+                    sanitized.push_str(&format!("{key} = {value}\n"));
                     section.pairs.push(Pair {
                         line: number,
                         key: SmolStr::new(key),
                         value: SmolStr::default(),
                     });
                 }
-                None => faults.push(outside(number, key)),
+                None => faults.push(outside_section_fault(number, key)),
             },
-            Line::Malformed => faults.push(malformed(number, line, sections.last())),
+            Line::Malformed => faults.push(malformed_line_fault(number, line, sections.last())),
         }
     }
-    (clean, sections)
+    (sanitized, sections)
 }
 
-fn classify(line: &str) -> Line<'_> {
+fn classify_line(line: &str) -> Line<'_> {
     let line = line.trim();
     if line.is_empty() || line.starts_with(['#', ';']) {
         return Line::Blank;
     }
-    // The crate takes these for the start of a continued line or for the end of one.
+    // The crate interprets these characters as the start of a continued line or as the end of a line.
     if line.ends_with('\\') || line.chars().any(|c| c.is_control() && c != '\t') {
         return Line::Malformed;
     }
@@ -146,19 +149,19 @@
     !key.is_empty() && key.chars().all(word)
 }
 
-fn single_spaced(name: &str) -> SmolStr {
+fn normalize_spaces(name: &str) -> SmolStr {
     let words: Vec<&str> = name.split_whitespace().collect();
     SmolStr::from(words.join(" "))
 }
 
-fn outside(line: usize, key: &str) -> fault::Fault {
+fn outside_section_fault(line: usize, key: &str) -> fault::Fault {
     let rule = SmolStr::from("stands before the first [section]");
     fault::Fault::new(line, fault::Allowed::Rule(rule)).with_key(key)
 }
 
-fn malformed(line: usize, text: &str, section: Option<&Section>) -> fault::Fault {
-    let what = SmolStr::from("`[section]`, `key = value` or a comment line");
-    fault::Fault::new(line, fault::Allowed::Value(what))
+fn malformed_line_fault(line: usize, text: &str, section: Option<&Section>) -> fault::Fault {
+    let expected = SmolStr::from("`[section]`, `key = value` or a comment line");
+    fault::Fault::new(line, fault::Allowed::Value(expected))
         .with_section(
             section
                 .map(|section| section.name.clone())
@@ -167,22 +170,22 @@
         .with_found(text.trim())
 }
 
-/// The values of a clean text, in the order of its keys.
-fn values(clean: &str, faults: &mut fault::List) -> Vec<SmolStr> {
+/// Returns the values of a sanitized text, in the order of its keys.
+fn read_values(sanitized: &str, faults: &mut fault::List) -> Vec<SmolStr> {
     let option = ini::ParseOption {
         enabled_quote: false,
         enabled_escape: false,
         enabled_indented_mutiline_value: false,
         enabled_preserve_key_leading_whitespace: false,
     };
-    match ini::Ini::load_from_str_opt(clean, option) {
+    match ini::Ini::load_from_str_opt(sanitized, option) {
         Ok(parsed) => parsed
             .iter()
             .flat_map(|(_, properties)| properties.iter())
             .map(|(_, value)| SmolStr::new(value))
             .collect(),
         Err(error) => {
-            // Not expected of a clean text; refusing the text is right all the same.
+            // This is not expected for a sanitized text, but rejecting the text is correct in any case.
             let rule = SmolStr::from(error.to_string());
             faults.push(fault::Fault::new(1, fault::Allowed::Rule(rule)));
             Vec::new()
@@ -190,7 +193,7 @@
     }
 }
 
-fn filled(mut sections: Vec<Section>, values: Vec<SmolStr>) -> Vec<Section> {
+fn fill_values(mut sections: Vec<Section>, values: Vec<SmolStr>) -> Vec<Section> {
     let pairs = sections
         .iter_mut()
         .flat_map(|section| section.pairs.iter_mut());
@@ -200,11 +203,11 @@
     sections
 }
 
-fn without_doubles(sections: Vec<Section>, faults: &mut fault::List) -> Vec<Section> {
+fn remove_duplicate_sections(sections: Vec<Section>, faults: &mut fault::List) -> Vec<Section> {
     let mut seen: BTreeMap<SmolStr, usize> = BTreeMap::new();
     let mut kept = Vec::with_capacity(sections.len());
     for mut section in sections {
-        drop_doubled_keys(&mut section, faults);
+        remove_duplicate_keys(&mut section, faults);
         if let Some(first) = seen.get(&section.name) {
             faults.push(
                 fault::Fault::new(section.line, fault::Allowed::Once { first: *first })
@@ -218,7 +221,7 @@
     kept
 }
 
-fn drop_doubled_keys(section: &mut Section, faults: &mut fault::List) {
+fn remove_duplicate_keys(section: &mut Section, faults: &mut fault::List) {
     let name = section.name.clone();
     let mut seen: BTreeMap<SmolStr, usize> = BTreeMap::new();
     section.pairs.retain(|pair| {
@@ -234,7 +237,7 @@
     });
 }
 
-/// The section of this name; one without keys when it was left out.
+/// Returns the section with this name, or a section without keys if it is missing.
 #[must_use]
 pub fn find(sections: &[Section], name: &str) -> Section {
     let found = sections.iter().find(|section| section.name == name);
--- a/crates/fireflywheel/src/lib.rs
+++ b/crates/fireflywheel/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of fireflywheel, without input or output.
+//! The core of fireflywheel: all decisions, without any input or output.
 //!
-//! One [`node::Node`] is one instance. It is handed the time and an event, and gives effects; the daemon
-//! carries them out and reports back by further events. Nothing here opens a socket, reads a clock or draws a
-//! random number.
+//! A [`node::Node`] represents one instance. It receives the time and an event, and returns effects; the
+//! daemon executes them and reports the results as further events. The core opens no socket, reads no clock
+//! and draws no random numbers.
 //!
 //! ```
 //! use fireflywheel::{clock, effect, event, node, record};
@@ -33,29 +33,27 @@
 //! node.start(clock::Instant(0), &mut effects);
 //! assert_eq!(effects, [effect::Effect::ReadFrom(0)]);
 //!
-//! // An empty log: there is a ledger now, and no configuration yet.
-//! let read = event::Event::LogRead { first: 0, next: 0, records: Vec::new() };
-//! node.step(clock::Instant(5), read, &mut effects);
-//! assert!(node.check_ready().is_err());
-//! ```
+//! // An empty log yields a ledger, but no configuration yet.
 //!
-//! # One cold request, in reading order
+//! # Path of a cold request, in reading order
 //!
-//! 1. [`node::Node::handle_arrival`] takes a [`request::Arrival`]: limits ([`credit`]), a claim where it may run only
-//!    once ([`claim`]), and an [`estimate`] that refuses at once what would be late.
-//! 2. It waits in a [`queue`]. Nothing is loaded, so the group's [`steward`] is told ([`wire::Frame::Want`]).
-//! 3. The steward chooses by [`placement`], appends an intent ([`record::Entry::Grant`], by the [`writer`]), and
-//!    waits until it is read back: only the [`ledger`]'s judgement gives a [`right`].
-//! 4. Then it sends an [`order`], with a fencing number of its own, and appends the outcome.
-//! 5. The request is sent to a backend server that [`routing`] chooses; its answer is checked by [`answer`].
-//! 6. Whatever happens, the caller gets one final answer, with a [`verdict::Verdict`] when it isn't whole.
+//! 1. [`node::Node::handle_arrival`] admits a [`request::Arrival`]: it checks limits ([`credit`]), records a claim if
+//!    the request may run only once ([`claim`]), and refuses a request whose [`estimate`] misses its deadline.
+//! 2. The request waits in a [`queue`]. Since its model is not loaded, the instance notifies the group's [`steward`]
+//!    ([`wire::Frame::Want`]).
+//! 3. The steward chooses a [`placement`], appends an intent ([`record::Entry::Grant`], through the [`writer`]), and
+//!    reads it back: only the [`ledger`]'s decision on the intent grants a [`right`].
+//! 4. The steward sends an [`order`] with a unique fencing number, and appends the outcome.
+//! 5. The request is sent to a backend server chosen by [`routing`], and [`answer`] checks the answer.
+//! 6. In every case the caller gets exactly one final answer, with a [`verdict::Verdict`] if it is not complete.
 //!
-//! # What people ask
+//! # Common questions
 //!
-//! *What if the steward dies or is paused?* See [`ledger::rights`] and [`steward`].
-//! *What if the log is out?* What was granted goes on; see [`node`].
-//! *How does an instance start?* From the log or a checkpoint; see [`bootstrap`].
-//! *Who decides that an instance is dead?* Nobody for certain: [`membership`] gives hints, and the ledger decides.
+//! *What happens if the steward dies or is paused?* See [`ledger::rights`] and [`steward`].
+//! *What happens if the log is unavailable?* Existing rights stay in use; see [`node`].
+//! *How does an instance start?* From the log or from a checkpoint; see [`bootstrap`].
+//! *Which component decides that an instance is dead?* None with certainty: [`membership`] gives hints, and the
+//! ledger decides.
 
 pub mod answer;
 pub mod bootstrap;
--- a/crates/fireflywheel/src/member.rs
+++ b/crates/fireflywheel/src/member.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other about instances.
+//! Membership information that instances exchange.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -6,35 +6,35 @@
 use crate::record;
 
 slotmap::new_key_type! {
-    /// A member in the arena of a [`crate::membership::Membership`].
+    /// Identifies a member in the arena of a [`crate::membership::Membership`].
     pub struct Key;
 }
 
-/// How an instance is believed to be.
+/// Believed state of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum State {
-    /// It answers.
+    /// The instance responds to pings.
     Alive,
-    /// It did not answer in time; it may still refute that.
+    /// The instance did not respond in time, but may still refute the suspicion.
     Suspect,
-    /// It said that it stops.
+    /// The instance announced its shutdown.
     Leaving,
-    /// It is taken for dead. A hint for liveness only: it may be paused, and come back.
+    /// The instance is declared dead. This is only a hint for liveness: it may be paused and come back.
     Dead,
 }
 
-/// A change of membership, passed on by gossip.
+/// A membership change, spread by gossip.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Update {
-    /// Which process.
+    /// The process that the update is about.
     pub by: record::Incarnation,
-    /// Where its peers reach it, as `IP:PORT`.
+    /// The address for peers, as `IP:PORT`.
     pub address: SmolStr,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub failure_domain: SmolStr,
-    /// How it is believed to be.
+    /// The instance's believed state.
     pub state: State,
-    /// Raised by the instance itself to refute a suspicion; the higher number wins, and among equals the
-    /// graver state.
+    /// Raised by the instance itself to refute a suspicion. The higher number takes precedence, and among
+    /// equal numbers the graver state.
     pub refutation: u32,
 }
--- a/crates/fireflywheel/src/rendezvous.rs
+++ b/crates/fireflywheel/src/rendezvous.rs
@@ -1,18 +1,19 @@
-//! Rendezvous hashing: who is responsible for a key, agreed on by all that know the same members.
+//! Rendezvous hashing: assigns each key to a member, with the same result for all that know the same
+//! members.
 //!
-//! When a member comes or goes, only the keys that it wins change hands.
+//! When a member joins or leaves, only the keys assigned to that member move.
 
 use std::cmp::Reverse;
 
 use xxhash_rust::xxh3;
 
-/// The weight of `member` for `key`; the highest wins.
+/// Returns the weight of `member` for `key`; the highest weight wins.
 #[must_use]
 pub fn weight(key: &str, member: &str) -> u64 {
     xxh3::xxh3_64_with_seed(member.as_bytes(), xxh3::xxh3_64(key.as_bytes()))
 }
 
-/// The member that wins `key`; among equal weights the first by name.
+/// Returns the member that wins `key`; among equal weights the first by name wins.
 #[must_use]
 pub fn first<'a, I>(key: &str, members: I) -> Option<&'a str>
 where
@@ -21,10 +22,10 @@
     let seed = xxh3::xxh3_64(key.as_bytes());
     members
         .into_iter()
-        .min_by_key(|member| (Reverse(seeded(seed, member)), *member))
+        .min_by_key(|member| (Reverse(weight_with_seed(seed, member)), *member))
 }
 
-/// The first `n` members for `key`, the winner first.
+/// Returns the first `n` members for `key` by descending weight.
 #[must_use]
 pub fn ranked<'a, I>(key: &str, members: I, n: usize) -> Vec<&'a str>
 where
@@ -33,7 +34,7 @@
     let seed = xxh3::xxh3_64(key.as_bytes());
     let mut weighted: Vec<_> = members
         .into_iter()
-        .map(|member| (Reverse(seeded(seed, member)), member))
+        .map(|member| (Reverse(weight_with_seed(seed, member)), member))
         .collect();
     if n < weighted.len() {
         weighted.select_nth_unstable(n);
@@ -43,6 +44,6 @@
     weighted.into_iter().map(|(_, member)| member).collect()
 }
 
-fn seeded(seed: u64, member: &str) -> u64 {
+fn weight_with_seed(seed: u64, member: &str) -> u64 {
     xxh3::xxh3_64_with_seed(member.as_bytes(), seed)
 }
--- a/crates/fireflywheel/src/report.rs
+++ b/crates/fireflywheel/src/report.rs
@@ -1,4 +1,4 @@
-//! What the platform and the engines tell about themselves: all of it late, none of it proof.
+//! Reports of the platform and the engines about themselves. They lag and prove nothing.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -9,37 +9,37 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Report {
-    /// The engine's unix milliseconds when the report was true.
+    /// Time of the report by the engine's clock, in unix milliseconds.
     pub at_ms: u64,
-    /// Changes when the engine restarts.
+    /// Identifies the engine's process; changes when the engine restarts.
     pub boot: SmolStr,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting in the engine.
+    /// Number of requests waiting in the engine.
     pub waiting: u32,
-    /// Requests it runs at once.
+    /// Number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// What is loaded.
+    /// The loaded items.
     pub loaded: Vec<item::Item>,
-    /// Whether it takes no new work.
+    /// Whether the engine accepts no new requests.
     pub leaving: bool,
-    /// The newest events of its prefix cache.
+    /// The newest events of the engine's prefix cache.
     pub cache: Cache,
-    /// Checkpoints that lie nearer than the weight store.
+    /// Model checkpoints that the engine can load faster than from the weight store.
     pub checkpoints: Vec<Checkpoint>,
 }
 
-/// Where an engine has a checkpoint.
+/// Location of a model checkpoint available to an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Checkpoint {
-    /// Of which version of a model.
+    /// The item, which names the version of a model.
     pub item: item::Item,
-    /// Where it lies.
+    /// The location of the checkpoint.
     pub source: placement::Source,
 }
 
 impl Report {
-    /// Where the engine has the checkpoint of an item, when it is nearer than the weight store.
+    /// Returns the location of an item's checkpoint if it is faster than the weight store.
     #[must_use]
     pub fn source(&self, item: &item::Item) -> Option<placement::Source> {
         let mut checkpoints = self.checkpoints.iter();
@@ -48,62 +48,63 @@
     }
 }
 
-/// Events of an engine's prefix cache: late, and with gaps.
+/// Events of an engine's prefix cache. They lag, and some may be missing.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Cache {
     /// The number of the oldest event in the report.
     pub first: u64,
-    /// The events.
+    /// The events, in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// One change of a prefix cache.
+/// A change of a prefix cache.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CacheEvent {
-    /// Rises by one.
+    /// Sequence number of the event; increases by one.
     pub seq: u64,
     /// A hash of the prefix.
     pub prefix: SmolStr,
-    /// Stored, or dropped.
+    /// Whether the prefix was stored (true) or evicted (false).
     pub stored: bool,
 }
 
-/// One instance in the platform's list.
+/// An entry of the platform's instance list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListEntry {
-    /// Its name.
+    /// The instance's name.
     pub name: SmolStr,
-    /// `IP:PORT`: for one of ours the peer address, for a backend server its HTTP address.
+    /// The address, as `IP:PORT`: the peer address of a fireflywheel instance, or the HTTP address of a
+    /// backend server.
     pub address: SmolStr,
-    /// Ours, or a backend server.
+    /// Whether it is a fireflywheel instance or a backend server.
     pub kind: Kind,
     /// The group of a backend server.
     #[serde(default)]
     pub group: SmolStr,
-    /// Its failure domain.
+    /// The instance's failure domain.
     #[serde(default)]
     pub failure_domain: SmolStr,
-    /// Live, or leaving.
+    /// The instance's state according to the platform.
     pub state: State,
 }
 
-/// What a listed instance is.
+/// Kind of a listed instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// An instance of this system.
+    /// A fireflywheel instance.
     Router,
     /// A model engine or a plain service.
     Backend,
 }
 
-/// How the platform says it is.
+/// State of a listed instance according to the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// In service.
+    /// The instance is in service.
     Live,
-    /// Going: nothing new for it.
+    /// The instance is going away and must receive no new work.
     Leaving,
 }
--- a/crates/fireflywheel/src/request.rs
+++ b/crates/fireflywheel/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its arrival to its one final answer.
+//! A caller's request, from its arrival to its single final answer.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use crate::{claim, clock, verdict};
 
 slotmap::new_key_type! {
-    /// Names a request in progress at this instance.
+    /// Identifies a request in progress at this instance.
     pub struct Key;
 }
 
-/// What a request is for.
+/// Target of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Target {
-    /// A model, and perhaps an adapter, for the model engines.
+    /// A model, optionally with an adapter, served by model engines.
     Model {
         /// The model's name.
         model: SmolStr,
         /// The adapter's name.
         adapter: Option<SmolStr>,
     },
-    /// A path for the plain services.
+    /// A path served by plain services.
     Path {
         /// The HTTP method.
         method: SmolStr,
@@ -30,128 +30,129 @@
     },
 }
 
-/// A request as the door took it in.
+/// A request as received from the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// The request id, the caller's or a new one; unique in time.
+    /// The request id, given by the caller or generated; unique over time.
     pub id: SmolStr,
-    /// Who sends it.
+    /// The tenant that sends the request.
     pub tenant: SmolStr,
-    /// Its class; `None` takes the route's or, for models, `interactive`.
+    /// The request's class; `None` selects the route's class or, for models, `interactive`.
     pub class: Option<SmolStr>,
-    /// What it is for.
+    /// The target of the request.
     pub target: Target,
-    /// How long from its arrival until the whole answer must be there; `None` takes the class's.
+    /// Time from the arrival until the complete answer is due; `None` selects the class's deadline.
     pub deadline: Option<Duration>,
     /// The caller's `Idempotency-Key`.
     pub key: Option<SmolStr>,
     /// A hash of method, path and body.
     pub fingerprint: u64,
-    /// A hash of the prompt's beginning, for requests to models.
+    /// A hash of the prompt's prefix, for requests to models.
     pub prefix: Option<u64>,
-    /// Whether the answer streams.
+    /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-/// What came of an attempt at a backend server.
+/// Progress or result of an attempt at a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Attempt {
-    /// The answer began and was checked; bytes of a stream may now go to the caller.
+    /// The answer started and passed its first check; bytes of a stream may now be sent to the caller.
     Began,
-    /// The whole answer was checked; for a claim with what a repeat is to get.
+    /// The complete answer was checked. For a claim it comes with the outcome that a repeated request
+    /// receives.
     Done(claim::Outcome),
-    /// No whole answer.
+    /// The attempt has no complete answer.
     Failed(Failure),
 }
 
-/// Why an attempt has no whole answer.
+/// Failure of an attempt that has no complete answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Failure {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: verdict::Verdict,
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: Cause,
-    /// Events of the stream that went to the caller already. None of them may be sent twice.
+    /// Number of stream events that the caller already received. None of them may be sent twice.
     pub events_delivered: u64,
 }
 
-/// What went wrong with an attempt.
+/// Cause of a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// No connection.
+    /// The connection could not be opened.
     Connect,
-    /// The connection ended before the answer did.
+    /// The connection closed before the end of the answer.
     Disconnected,
-    /// The backend server hasn't loaded the item.
+    /// The backend server has not loaded the item.
     NotLoaded,
-    /// The backend server is leaving.
+    /// The backend server is draining.
     Draining,
-    /// The backend server takes no more for now.
+    /// The backend server accepts no further requests for now.
     Overloaded,
-    /// Another request's answer, a gap, a doubled part, or no end marker.
+    /// The answer belongs to another request, has a missing or duplicate part, or has no end marker.
     AnswerFlawed,
-    /// The backend server's own failure (5xx).
+    /// The backend server reported a failure (5xx).
     BackendFailed,
-    /// The deadline came first.
+    /// The deadline passed before the end of the answer.
     DeadlinePassed,
-    /// The caller went away or reads too slowly.
+    /// The caller disconnected or reads too slowly.
     CallerGone,
 }
 
-/// Why a request is refused.
+/// Reason for refusing a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Code {
-    /// No such model, adapter or route in the configuration.
+    /// The configuration has no such model, adapter or route.
     UnknownTarget,
-    /// No such tenant.
+    /// The configuration has no such tenant.
     UnknownTenant,
-    /// No such class.
+    /// The configuration has no such class.
     UnknownClass,
     /// Neither the request nor its class has a deadline.
     MissingDeadline,
     /// This instance has no configuration yet.
     NotReady,
-    /// This instance stops.
+    /// This instance is shutting down.
     Stopping,
-    /// It would be answered too late.
+    /// The answer is expected to miss the deadline.
     TooLate,
     /// The deadline passed.
     DeadlinePassed,
     /// The queue is full.
     QueueFull,
-    /// The tenant's limit.
+    /// The tenant's limit is reached.
     TenantLimit,
-    /// The class's limit.
+    /// The class's limit is reached.
     ClassLimit,
-    /// The key was used for another request.
+    /// The idempotency key was used for a different request.
     KeyMismatch,
-    /// The key's first request is in progress, or how it ended isn't known.
+    /// The first request with the key is in progress, or its outcome is unknown.
     KeyOpen,
-    /// No more keys are remembered.
+    /// The maximum number of retained keys is reached.
     KeysFull,
-    /// The claim can't be made while the log can't be reached.
+    /// The claim cannot be recorded while the log is unreachable.
     LogOutage,
-    /// The backend server failed, and trying again isn't allowed or didn't help.
+    /// The backend server failed, and a retry is not allowed or failed too.
     BackendFailed,
-    /// The answer was not whole.
+    /// The answer was incomplete or invalid.
     AnswerFlawed,
 }
 
-/// The final answer to a request that isn't served.
+/// The final answer to a request that is not served.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: verdict::Verdict,
-    /// Why.
+    /// The reason.
     pub code: Code,
-    /// For the caller, in a sentence.
+    /// Explanation for the caller, in one sentence.
     pub message: SmolStr,
-    /// When it is worth coming back.
+    /// Time after which a retry is worthwhile.
     pub retry_after: Option<Duration>,
 }
 
 impl Code {
-    /// The `code` member of an error body.
+    /// Returns the `code` member of an error body.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The HTTP status that fits.
+    /// Returns the HTTP status for the reason.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -195,7 +196,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that has not run.
+    /// Creates a refusal of a request that has not run.
     #[must_use]
     pub fn new(code: Code, message: impl Into<SmolStr>) -> Self {
         Self {
@@ -206,14 +207,14 @@
         }
     }
 
-    /// The same with another verdict.
+    /// Sets the verdict.
     #[must_use]
     pub fn with_verdict(mut self, verdict: verdict::Verdict) -> Self {
         self.verdict = verdict;
         self
     }
 
-    /// The same with a time to come back.
+    /// Sets the time after which a retry is worthwhile.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
@@ -221,11 +222,11 @@
     }
 }
 
-/// How far the door has to wait for a request at most.
+/// An admitted request, with the time by which its final answer is due.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Admitted {
-    /// Names it from now on.
+    /// Identifies the request while it is in progress.
     pub key: Key,
-    /// The moment by which its final answer has to leave: a little before the caller's deadline.
+    /// The time by which the final answer must be sent: shortly before the caller's deadline.
     pub deadline: clock::Instant,
 }
--- a/crates/fireflywheel/src/server.rs
+++ b/crates/fireflywheel/src/server.rs
@@ -1,6 +1,6 @@
-//! Backend servers as one router sees them.
+//! Keys of backend servers in the routing table of an instance.
 
 slotmap::new_key_type! {
-    /// A backend server in the arena of a [`crate::routing::Table`].
+    /// Identifies a backend server in the arena of a [`crate::routing::Table`].
     pub struct Key;
 }
--- a/crates/fireflywheel/src/status.rs
+++ b/crates/fireflywheel/src/status.rs
@@ -1,89 +1,89 @@
-//! What an instance tells operators about itself: the body of `GET /v1/status`.
+//! Status of an instance for operators: the body of `GET /v1/status`.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
 use crate::{item, member};
 
-/// The state of one instance.
+/// Status of one instance.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Status {
     /// The instance's name.
     pub instance: SmolStr,
-    /// Unix milliseconds at the start of its process.
+    /// Start time of the instance's process, in unix milliseconds.
     pub incarnation: u64,
-    /// Whether the balancer may send it callers.
+    /// Whether the load balancer may send requests to the instance.
     pub ready: bool,
-    /// Why it is not ready; empty when it is.
+    /// Reason for not being ready; empty if the instance is ready.
     #[serde(default)]
     pub reason: SmolStr,
-    /// The version of the configuration in force here; 0 for none.
+    /// Version of the configuration in use; 0 for none.
     pub version: u64,
-    /// How far it has read the log.
+    /// The instance's progress in reading the log.
     pub log: Log,
-    /// Who serves which group.
+    /// The stewards of the groups.
     #[serde(default)]
     pub stewards: Vec<Steward>,
-    /// What may be loaded where.
+    /// The rights to have items loaded on backend servers.
     #[serde(default)]
     pub rights: Vec<Right>,
-    /// The instances that it knows.
+    /// The known instances.
     #[serde(default)]
     pub members: Vec<Member>,
-    /// Who waits here for what.
+    /// The queues of waiting requests at the instance.
     #[serde(default)]
     pub queues: Vec<Queue>,
 }
 
-/// How far an instance has read the log.
+/// Progress of an instance in reading the log.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Log {
-    /// Whether its last reading was answered.
+    /// Whether the last read of the log succeeded.
     pub reading: bool,
-    /// The first offset that it has not folded.
+    /// The first offset that the instance has not folded.
     pub next: u64,
 }
 
-/// Who serves a group.
+/// The steward of a group.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Steward {
     /// The group.
     pub group: SmolStr,
     /// The instance's name.
     pub by: SmolStr,
-    /// The epoch.
+    /// The steward's epoch.
     pub epoch: u64,
 }
 
-/// A placement that is counted against memory and cap.
+/// A placement that counts towards memory and replica caps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Right {
     /// The backend server's address.
     pub server: SmolStr,
-    /// What is or may be loaded.
+    /// The item that is or may be loaded.
     pub item: item::Item,
     /// `loading`, `loaded`, `unloading` or `empty`.
     pub state: SmolStr,
-    /// Orders that may still arrive.
+    /// Number of orders that may still take effect.
     pub pins: usize,
-    /// Memory held.
+    /// Reserved memory, in MB.
     pub memory_mb: u64,
 }
 
-/// Another instance, as this one believes it to be.
+/// An instance as seen by the reporting instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     /// The instance's name.
     pub instance: SmolStr,
-    /// How it is believed to be.
+    /// The instance's believed state.
     pub state: member::State,
 }
 
-/// Requests that wait at one instance.
+/// Requests waiting at one instance.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Queue {
     /// The model.
     pub model: SmolStr,
-    /// How many wait.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
--- a/crates/fireflywheel/src/verdict.rs
+++ b/crates/fireflywheel/src/verdict.rs
@@ -1,23 +1,24 @@
-//! Whether a request may have run: the one thing a caller must know before trying again.
+//! Whether a request may have run, which a caller must know before a retry.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about the execution of a request that has no whole answer.
+/// Knowledge about the execution of a request that has no complete answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Proven not to have run: no byte left this instance, or the backend server said so in its protocol.
+    /// The request has provably not run: no byte left this instance, or the backend server reported so in
+    /// its protocol.
     NotRun,
-    /// It may or may not have run. A request that isn't idempotent must not be sent again blindly.
+    /// The request may or may not have run. A request that is not idempotent must not be retried blindly.
     MayHaveRun,
-    /// It ran, though the answer could not be handed on whole.
+    /// The request ran, but the complete answer could not be delivered.
     Ran,
 }
 
 impl Verdict {
-    /// The value of the `x-verdict` header and of the `verdict` member in an error body.
+    /// Returns the value of the `x-verdict` header and of the `verdict` member in an error body.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/fireflywheel/src/wire.rs
+++ b/crates/fireflywheel/src/wire.rs
@@ -1,65 +1,67 @@
-//! Frames between instances, one CBOR value in each binary websocket message.
+//! Frames between instances. Each binary websocket message holds one CBOR value.
 //!
-//! A frame is a hint or a hand-over of what its receiver can check; none of them gives a right. They may be
-//! lost, doubled or late without harm.
+//! A frame is a hint, or carries data that its receiver can verify; no frame grants a right. Frames may be
+//! lost, duplicated or delayed without harm.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
 use crate::{item, member, record};
 
-/// The largest frame taken from a peer, in bytes; a larger one ends the link.
+/// Maximum size of a frame from a peer, in bytes; a larger frame closes the link.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// What one instance tells another.
+/// A message from one instance to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// Are you alive? Answered by [`Frame::Pong`] with the same number.
+    /// Liveness check, answered by [`Frame::Pong`] with the same number.
     Ping {
-        /// Chosen by the sender.
+        /// The ping's number, chosen by the sender.
         number: u64,
-        /// What the sender knows.
+        /// Summary of the sender's knowledge.
         digest: Digest,
-        /// Recent changes of membership.
+        /// Recent membership changes.
         gossip: Vec<member::Update>,
     },
     /// The answer to [`Frame::Ping`].
     Pong {
         /// The ping's number.
         number: u64,
-        /// What the sender knows.
+        /// Summary of the sender's knowledge.
         digest: Digest,
-        /// Recent changes of membership.
+        /// Recent membership changes.
         gossip: Vec<member::Update>,
     },
-    /// Callers wait for something that isn't loaded; sent to the group's steward, again while they wait.
+    /// Callers wait for an item that is not loaded. Sent to the group's steward, repeatedly while they
+    /// wait.
     Want(Want),
-    /// A steward to those who sent [`Frame::Want`]: loaded under a right, though perhaps not yet recorded so.
+    /// Sent by a steward to the senders of [`Frame::Want`]: the item is loaded under a right, although the
+    /// outcome may not be recorded yet.
     Ready {
         /// The backend server's address.
         server: SmolStr,
         /// The item.
         item: item::Item,
     },
-    /// A steward to those who sent [`Frame::Want`]: it won't be loaded in time.
+    /// Sent by a steward to the senders of [`Frame::Want`]: the item will not be loaded in time.
     Busy {
         /// The group.
         group: SmolStr,
         /// The item.
         item: item::Item,
-        /// Milliseconds until it is worth asking again.
+        /// Milliseconds after which a retry is worthwhile.
         retry_ms: u64,
-        /// Why, in a few words for the caller.
+        /// The reason in a few words, for the caller.
         reason: SmolStr,
     },
-    /// What an instance ran since its last such frame; sent to the group's steward.
+    /// Usage of an instance since its last such frame; sent to the group's steward.
     Usage {
         /// The group.
         group: SmolStr,
-        /// Requests finished and in progress for each item.
+        /// Finished and active requests for each item.
         items: Vec<Usage>,
     },
-    /// Send the document with a version above this one.
+    /// Requests the document with a version above this one.
     AskDocument {
         /// The sender's newest version.
         above: u64,
@@ -68,113 +70,115 @@
     Document {
         /// Its version.
         version: u64,
-        /// The whole text.
+        /// The full text of the document.
         text: String,
     },
-    /// Send a checkpoint of the ledger that covers more than this.
+    /// Requests a checkpoint of the ledger that covers more than this offset.
     AskState {
         /// The first offset that the sender has not folded.
         next: u64,
     },
     /// A part of a checkpoint; see [`record::Part`].
     State(record::Part),
-    /// Send what you know of the members whose hash differs from these; see
+    /// Requests the known members of the buckets whose hash differs from these; see
     /// [`crate::membership::Membership::hashes`]. Answered by [`Frame::Members`].
     AskMembers {
-        /// One for each bucket of members.
+        /// One hash per bucket of members.
         hashes: Vec<u64>,
     },
-    /// Members in the buckets that differ; each is taken in like gossip.
+    /// Members of the buckets that differ; each is handled like a gossiped update.
     Members(Vec<member::Update>),
-    /// Asks the home of a shared limit for credits, or gives some back; see [`crate::credit`].
+    /// Requests credits of a shared limit from the instance that manages it, or returns some; see
+    /// [`crate::credit`].
     Credit(Credit),
 }
 
-/// What an instance knows, in a few bytes, carried by each ping and pong.
+/// A short summary of what an instance knows, carried by each ping and pong.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
-    /// The newest version of the configuration in force here; 0 for none.
+    /// The newest version of the configuration in use; 0 for none.
     pub version: u64,
-    /// The first offset of the log not folded here.
+    /// The first offset of the log that the sender has not folded.
     pub next: u64,
-    /// Whether this instance reads the log at present.
+    /// Whether the sender can currently read the log.
     #[serde(rename = "log")]
     pub log_readable: bool,
 }
 
-/// Callers wait for an item.
+/// Demand of waiting callers for an item.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Want {
     /// The group.
     pub group: SmolStr,
     /// The item.
     pub item: item::Item,
-    /// How many wait at the sender.
+    /// Number of requests that wait at the sender.
     pub waiting: u32,
-    /// Milliseconds until the first of their deadlines.
+    /// Milliseconds until the earliest of their deadlines.
     pub left_ms: u64,
 }
 
-/// How much an item was used.
+/// Usage of an item.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
     /// The item.
     pub item: item::Item,
-    /// Finished since the last frame.
+    /// Number of requests finished since the last frame.
     pub finished: u32,
-    /// In progress or waiting now.
+    /// Number of requests in progress or waiting.
     pub active: u32,
 }
 
-/// Credits of a shared limit.
+/// A request for, or a loan of, credits of a shared limit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Credit {
-    /// The sender needs to hold this many of the limit's credits in all.
+    /// The sender needs this number of the limit's credits in total.
     Need {
-        /// Names the limit, such as `tenant/tran-gia`.
+        /// The name of the limit, such as `tenant/tran-gia`.
         limit: SmolStr,
-        /// In all, with those it holds.
+        /// Total number of credits, including those that the sender already holds.
         hold: u32,
-        /// Rises with each frame about the limit, so that a late one is told from a new one.
+        /// Sequence number that increases with each frame about the limit, so that an outdated frame is
+        /// recognised.
         number: u64,
     },
-    /// The sender lets the receiver hold this many for so long.
+    /// The sender lends this number of credits to the receiver for a limited time.
     Lend {
-        /// Names the limit.
+        /// The name of the limit.
         limit: SmolStr,
-        /// In all.
+        /// Total number of credits.
         hold: u32,
-        /// The number of the need that this answers.
+        /// The number of the [`Credit::Need`] that this frame answers.
         number: u64,
-        /// Milliseconds from the moment the need was sent; the holder counts from there, the lender from
-        /// when it answered, so the holder always stops first.
+        /// Lease duration in milliseconds. The holder counts from the time when it sent the need, the
+        /// lender from the time when it answered, so the holder always stops first.
         lease_ms: u64,
     },
 }
 
-/// A message that isn't a frame.
+/// A message that is not a frame.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Malformed {
-    /// Longer than [`MAX_FRAME_BYTES`].
+    /// The message is longer than [`MAX_FRAME_BYTES`]; holds its length in bytes.
     TooLong(usize),
-    /// Not the CBOR of a frame.
+    /// The message is not the CBOR encoding of a frame.
     Cbor(String),
 }
 
 impl Frame {
-    /// The bytes of one websocket message.
+    /// Encodes the frame as one websocket message.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a frame always has a CBOR form");
+        ciborium::into_writer(self, &mut bytes).expect("a frame can always be encoded as CBOR");
         bytes
     }
 
-    /// Reads one websocket message.
+    /// Decodes one websocket message.
     ///
     /// # Errors
     ///
-    /// [`Malformed`] when it is too long or not a frame.
+    /// [`Malformed`] if the message is too long or not a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(Malformed::TooLong(bytes.len()));
