--- a/crates/fireflywheel/src/lib.rs
+++ b/crates/fireflywheel/src/lib.rs
@@ -34,6 +34,10 @@
 //! assert_eq!(effects, [effect::Effect::ReadFrom(0)]);
 //!
 //! // An empty log yields a ledger, but no configuration yet.
+//! let read = event::Event::LogRead { first: 0, next: 0, records: Vec::new() };
+//! node.step(clock::Instant(5), read, &mut effects);
+//! assert!(node.check_ready().is_err());
+//! ```
 //!
 //! # Path of a cold request, in reading order
 //!
