--- a/crates/fireflywheel/tests/answer.rs
+++ b/crates/fireflywheel/tests/answer.rs
@@ -1,4 +1,5 @@
-//! Answers that are crossed, short, doubled, or not what the protocol says, cut into any pieces.
+//! Answers that belong to another request, are truncated, duplicated or malformed, split into arbitrary
+//! pieces.
 
 use fireflywheel::answer;
 
@@ -16,9 +17,9 @@
     chunks + "data: [DONE]\n\n"
 }
 
-/// The number of events and the verdict, with the bytes pushed in pieces of the given lengths.
+/// Returns the number of events and the result, with the bytes pushed in pieces of the given lengths.
 fn check<I>(
-    mut check: answer::StreamChecker,
+    mut checker: answer::StreamChecker,
     bytes: &[u8],
     pieces: I,
 ) -> (usize, Result<(), answer::Flaw>)
@@ -28,63 +29,63 @@
     let mut rest = bytes;
     let mut events = 0;
     for piece in pieces {
-        let (now, later) = rest.split_at(piece.min(rest.len()));
-        rest = later;
-        events += check.push(now).map_or(0, |events| events.len());
+        let (head, tail) = rest.split_at(piece.min(rest.len()));
+        rest = tail;
+        events += checker.push(head).map_or(0, |events| events.len());
     }
-    events += check.push(rest).map_or(0, |events| events.len());
-    (events, check.end())
+    events += checker.push(rest).map_or(0, |events| events.len());
+    (events, checker.end())
 }
 
 macro_rules! streams {
-    ($($name:ident: $bytes:expr => $events:expr, $verdict:expr;)*) => {
-        /// Each case is a way in which a backend server or a reused connection goes wrong. A caller that was
-        /// handed it as whole would take another's quote, or half of one, for its own.
+    ($($name:ident: $bytes:expr => $events:expr, $result:expr;)*) => {
+        /// Each case is a fault of a backend server or of a reused connection. A caller that received such
+        /// a stream as complete would take another caller's answer, or part of one, for its own.
         mod streams {
             use super::*;
 
             $(#[test]
             fn $name() {
                 let bytes: String = $bytes;
-                let whole = check(answer::StreamChecker::new(ID), bytes.as_bytes(), []);
-                assert_eq!(whole, ($events, $verdict));
+                let unsplit = check(answer::StreamChecker::new(ID), bytes.as_bytes(), []);
+                assert_eq!(unsplit, ($events, $result));
                 let single = check(answer::StreamChecker::new(ID), bytes.as_bytes(), vec![1; bytes.len()]);
-                assert_eq!(single, whole);
+                assert_eq!(single, unsplit);
             })*
         }
     };
 }
 
 streams! {
-    whole: stream(&[0, 1, 2]) => 4, Ok(());
-    crossed: chunk(ID, 0) + &chunk("r-18", 1) => 1, Err(answer::Flaw::WrongRequest);
-    crossed_from_the_start: chunk("r-1", 0) => 0, Err(answer::Flaw::WrongRequest);
-    cut_between_chunks: chunk(ID, 0) + &chunk(ID, 1) => 2, Err(answer::Flaw::Truncated);
-    cut_within_a_chunk: stream(&[0, 1])[..60].to_owned() => 1, Err(answer::Flaw::Truncated);
-    end_marker_cut: stream(&[0])[..stream(&[0]).len() - 1].to_owned() => 1, Err(answer::Flaw::Truncated);
+    complete: stream(&[0, 1, 2]) => 4, Ok(());
+    chunk_of_another_request: chunk(ID, 0) + &chunk("r-18", 1) => 1, Err(answer::Flaw::WrongRequest);
+    first_chunk_of_another_request: chunk("r-1", 0) => 0, Err(answer::Flaw::WrongRequest);
+    truncated_between_chunks: chunk(ID, 0) + &chunk(ID, 1) => 2, Err(answer::Flaw::Truncated);
+    truncated_within_a_chunk: stream(&[0, 1])[..60].to_owned() => 1, Err(answer::Flaw::Truncated);
+    truncated_end_marker: stream(&[0])[..stream(&[0]).len() - 1].to_owned() => 1, Err(answer::Flaw::Truncated);
     empty: String::new() => 0, Err(answer::Flaw::Truncated);
     end_marker_alone: stream(&[]) => 0, Err(answer::Flaw::Truncated);
-    doubled: stream(&[0, 1, 1, 2]) => 2, Err(answer::Flaw::DuplicateChunk);
-    doubled_from_before: stream(&[0, 1, 0]) => 2, Err(answer::Flaw::DuplicateChunk);
-    gap: stream(&[0, 2]) => 1, Err(answer::Flaw::MissingChunk);
-    gap_at_the_start: stream(&[1, 2]) => 0, Err(answer::Flaw::MissingChunk);
-    goes_on_after_the_end: stream(&[0]) + &chunk(ID, 1) => 2, Err(answer::Flaw::TooLong);
-    two_ends: stream(&[0]) + "data: [DONE]\n\n" => 2, Err(answer::Flaw::TooLong);
-    no_json: "data: {\"id\":\n\n".to_owned() => 0, Err(answer::Flaw::Malformed);
-    no_id: "data: {\"seq\":0}\n\n".to_owned() => 0, Err(answer::Flaw::Malformed);
-    sequence_stops: chunk(ID, 0) + "data: {\"id\":\"r-17\"}\n\n" => 1, Err(answer::Flaw::Malformed);
-    endless_event: "data: ".to_owned() + &"x".repeat(answer::MAX_EVENT_BYTES) => 0, Err(answer::Flaw::TooLong);
-    endless_lines: "data: x\n".repeat(answer::MAX_EVENT_BYTES / 2) => 0, Err(answer::Flaw::TooLong);
-    other_line_ends: stream(&[0, 1]).replace('\n', "\r\n") => 3, Ok(());
-    carriage_returns: stream(&[0, 1]).replace('\n', "\r") => 3, Ok(());
+    duplicate_chunk: stream(&[0, 1, 1, 2]) => 2, Err(answer::Flaw::DuplicateChunk);
+    earlier_chunk_repeated: stream(&[0, 1, 0]) => 2, Err(answer::Flaw::DuplicateChunk);
+    missing_chunk: stream(&[0, 2]) => 1, Err(answer::Flaw::MissingChunk);
+    missing_first_chunk: stream(&[1, 2]) => 0, Err(answer::Flaw::MissingChunk);
+    data_after_the_end_marker: stream(&[0]) + &chunk(ID, 1) => 2, Err(answer::Flaw::TooLong);
+    duplicate_end_marker: stream(&[0]) + "data: [DONE]\n\n" => 2, Err(answer::Flaw::TooLong);
+    invalid_json: "data: {\"id\":\n\n".to_owned() => 0, Err(answer::Flaw::Malformed);
+    missing_id: "data: {\"seq\":0}\n\n".to_owned() => 0, Err(answer::Flaw::Malformed);
+    later_chunk_without_sequence_number: chunk(ID, 0) + "data: {\"id\":\"r-17\"}\n\n" => 1, Err(answer::Flaw::Malformed);
+    oversized_event: "data: ".to_owned() + &"x".repeat(answer::MAX_EVENT_BYTES) => 0, Err(answer::Flaw::TooLong);
+    oversized_event_of_many_lines: "data: x\n".repeat(answer::MAX_EVENT_BYTES / 2) => 0, Err(answer::Flaw::TooLong);
+    crlf_line_ends: stream(&[0, 1]).replace('\n', "\r\n") => 3, Ok(());
+    cr_line_ends: stream(&[0, 1]).replace('\n', "\r") => 3, Ok(());
     comments_and_fields: format!(": ping\n\nevent: chunk\nid: 4\n{}", stream(&[0])) => 2, Ok(());
-    data_over_two_lines: "data:{\"id\":\ndata:\"r-17\"}\n\ndata:[DONE]\n\n".to_owned() => 2, Ok(());
+    data_on_two_lines: "data:{\"id\":\ndata:\"r-17\"}\n\ndata:[DONE]\n\n".to_owned() => 2, Ok(());
 }
 
-/// A stream broke and goes on at the engine's own resume. A chunk sent again or left out on the way would
-/// spoil the answer unseen.
+/// A stream broke and is resumed at the engine. A duplicate or missing chunk at the resume would corrupt
+/// the answer unnoticed.
 #[test]
-fn resumed_stream_goes_on_where_it_broke() {
+fn resumed_stream_continues_after_the_last_chunk() {
     let resumed = || answer::StreamChecker::new(ID).with_resume(2);
     assert_eq!(
         check(resumed(), stream(&[2, 3]).as_bytes(), []),
@@ -105,27 +106,32 @@
     assert_eq!((broken.chunks(), broken.is_ended()), (1, false));
 }
 
-/// Bytes arrive in pieces that depend on the network. Were the verdict to depend on them, an answer would be
-/// whole on one day and flawed on the next.
+/// Bytes arrive in pieces that depend on the network. If the result depended on the pieces, the same answer
+/// would be complete one time and flawed another time.
 #[test]
-fn verdict_does_not_depend_on_the_pieces() {
-    const BYTES: u64 = 1024;
+fn result_does_not_depend_on_how_bytes_are_split() {
+    const INPUT_BYTES: u64 = 1024;
     for seed in 0..400 {
         let property = |u: &mut arbitrary::Unstructured<'_>| {
-            let bytes = spoiled(u)?;
-            let whole = check(answer::StreamChecker::new(ID), &bytes, []);
+            let bytes = corrupted_stream(u)?;
+            let unsplit = check(answer::StreamChecker::new(ID), &bytes, []);
             let pieces: Vec<usize> = (0..40)
                 .map(|_| u.int_in_range(0..=60))
                 .collect::<Result<_, _>>()?;
-            assert_eq!(check(answer::StreamChecker::new(ID), &bytes, pieces), whole);
+            assert_eq!(
+                check(answer::StreamChecker::new(ID), &bytes, pieces),
+                unsplit
+            );
             Ok(())
         };
-        arbtest::arbtest(property).seed(seed << 32 | BYTES).run();
+        arbtest::arbtest(property)
+            .seed(seed << 32 | INPUT_BYTES)
+            .run();
     }
 }
 
-/// A good stream with a few bytes changed, or plain garbage.
-fn spoiled(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<Vec<u8>> {
+/// Returns a valid stream with a few bytes changed, or random bytes.
+fn corrupted_stream(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<Vec<u8>> {
     if u.ratio(1, 4)? {
         return (0..200)
             .map(|_| u.choose(b"data: {}\"id\n\r\xff[DONE]").copied())
@@ -134,15 +140,15 @@
     let count = u.int_in_range(0..=6)?;
     let mut bytes = stream(&(0..count).collect::<Vec<_>>()).into_bytes();
     for _ in 0..u.int_in_range(0..=2)? {
-        let place = u.choose_index(bytes.len())?;
-        bytes[place] = u.arbitrary()?;
+        let index = u.choose_index(bytes.len())?;
+        bytes[index] = u.arbitrary()?;
     }
     Ok(bytes)
 }
 
 macro_rules! bodies {
-    ($($name:ident: $header:expr, $body:expr => $verdict:expr;)*) => {
-        /// The same for answers in one piece.
+    ($($name:ident: $header:expr, $body:expr => $result:expr;)*) => {
+        /// The same kinds of faults in answers in a single body.
         mod bodies {
             use super::*;
 
@@ -150,20 +156,20 @@
             fn $name() {
                 let mut body = answer::BodyChecker::new(ID, 64).with_header($header);
                 let _ = $body.as_bytes().chunks(3).try_for_each(|piece| body.push(piece));
-                assert_eq!(body.end().map(|_| ()), $verdict);
+                assert_eq!(body.end().map(|_| ()), $result);
             })*
         }
     };
 }
 
 bodies! {
-    whole: Some(ID), r#"{"id":"r-17","body":"x"}"# => Ok(());
-    crossed_in_the_header: Some("r-1"), r#"{"id":"r-17"}"# => Err(answer::Flaw::WrongRequest);
-    crossed_in_the_body: Some(ID), r#"{"id":"r-1"}"# => Err(answer::Flaw::WrongRequest);
-    no_header: None, r#"{"id":"r-17"}"# => Err(answer::Flaw::Malformed);
-    no_id: Some(ID), r#"{"body":"x"}"# => Err(answer::Flaw::Malformed);
-    short: Some(ID), r#"{"id":"r-17","body":"x"# => Err(answer::Flaw::Truncated);
+    complete: Some(ID), r#"{"id":"r-17","body":"x"}"# => Ok(());
+    header_of_another_request: Some("r-1"), r#"{"id":"r-17"}"# => Err(answer::Flaw::WrongRequest);
+    body_of_another_request: Some(ID), r#"{"id":"r-1"}"# => Err(answer::Flaw::WrongRequest);
+    missing_header: None, r#"{"id":"r-17"}"# => Err(answer::Flaw::Malformed);
+    missing_id: Some(ID), r#"{"body":"x"}"# => Err(answer::Flaw::Malformed);
+    truncated: Some(ID), r#"{"id":"r-17","body":"x"# => Err(answer::Flaw::Truncated);
     empty: Some(ID), "" => Err(answer::Flaw::Truncated);
-    goes_on: Some(ID), r#"{"id":"r-17"}{"id":"r-17"}"# => Err(answer::Flaw::Malformed);
-    long: Some(ID), "x".repeat(65) => Err(answer::Flaw::TooLong);
+    data_after_the_body: Some(ID), r#"{"id":"r-17"}{"id":"r-17"}"# => Err(answer::Flaw::Malformed);
+    oversized: Some(ID), "x".repeat(65) => Err(answer::Flaw::TooLong);
 }
--- a/crates/fireflywheel/tests/document.rs
+++ b/crates/fireflywheel/tests/document.rs
@@ -1,4 +1,5 @@
-//! The serving configuration: what is taken, what is refused and with which words, and what a change brings.
+//! The serving configuration: accepted and rejected documents with their faults, and the changes and
+//! warnings of an update.
 
 use arbitrary::Unstructured;
 use fireflywheel::{document, fault};
@@ -33,51 +34,51 @@
 class = quote
 ";
 
-fn texts<T>(values: &[T]) -> Vec<String>
+fn to_strings<T>(values: &[T]) -> Vec<String>
 where
     T: ToString,
 {
     values.iter().map(ToString::to_string).collect()
 }
 
-/// The base with one text in place of another.
-fn changed(from: &str, to: &str) -> String {
-    assert!(BASE.contains(from), "{from:?} is not in the base");
+/// Returns the base document with one text replaced by another.
+fn base_with(from: &str, to: &str) -> String {
+    assert!(BASE.contains(from), "the base does not contain {from:?}");
     BASE.replacen(from, to, 1)
 }
 
 fn parsed(text: &str) -> document::Document {
-    document::Document::parse(text).unwrap_or_else(|faults| panic!("{:#?}", texts(&faults)))
+    document::Document::parse(text).unwrap_or_else(|faults| panic!("{:#?}", to_strings(&faults)))
 }
 
-/// Each case changes the base in one place and names every fault that this must bring.
-macro_rules! refused {
+/// Each case changes the base document in one place and lists all resulting faults.
+macro_rules! rejected {
     ($($name:ident: $from:expr => $to:expr, [$($fault:expr),+ $(,)?];)+) => {
-        mod refused {
+        mod rejected {
             $(
                 #[test]
                 fn $name() {
-                    let text = super::changed($from, $to);
+                    let text = super::base_with($from, $to);
                     let faults = super::document::Document::parse(&text).unwrap_err();
-                    assert_eq!(super::texts(&faults), [$($fault),+]);
+                    assert_eq!(super::to_strings(&faults), [$($fault),+]);
                 }
             )+
         }
     };
 }
 
-refused! {
-    word_for_a_number: "memory_mb = 14000" => "memory_mb = lots",
+rejected! {
+    non_numeric_value: "memory_mb = 14000" => "memory_mb = lots",
         ["line 15, [model quote-small] memory_mb: \"lots\" is not a whole number from 1 to 1,000,000"];
-    number_beyond_its_range: "replicas = 2" => "replicas = 100001",
+    number_out_of_range: "replicas = 2" => "replicas = 100001",
         ["line 16, [model quote-small] replicas: \"100001\" is not a whole number from 0 to 100,000"];
-    number_with_a_sign: "replicas = 2" => "replicas = +2",
+    signed_number: "replicas = 2" => "replicas = +2",
         ["line 16, [model quote-small] replicas: \"+2\" is not a whole number from 0 to 100,000"];
     number_beyond_64_bits: "slots = 16" => "slots = 99999999999999999999",
         ["line 9, [group quote-llm] slots: \"99999999999999999999\" is not a whole number from 1 to 10,000"];
     empty_value: "slots = 16" => "slots =",
         ["line 9, [group quote-llm] slots: \"\" is not a whole number from 1 to 10,000"];
-    weight_that_is_no_number: "[serving]" => "[serving]\ncold_start_weight = nan",
+    nan_weight: "[serving]" => "[serving]\ncold_start_weight = nan",
         ["line 2, [serving] cold_start_weight: \"nan\" is not a number from 0 to 1"];
     missing_key: "replicas = 2\n" => "",
         ["line 13, [model quote-small] replicas: missing; needed is a whole number from 0 to 100,000"];
@@ -87,9 +88,9 @@
         ["line 6, [tenant guides]: \"colour\" is not a known key"];
     misspelled_section: "[tenant guides]" => "[tennant guides]",
         ["line 4: \"tennant guides\" is not a known section; did you mean `tenant`?"];
-    doubled_key: "replicas = 2" => "replicas = 2\nreplicas = 3",
+    duplicate_key: "replicas = 2" => "replicas = 2\nreplicas = 3",
         ["line 17, [model quote-small] replicas: stands already in line 16"];
-    doubled_section: "[route bookings]" => "[class  quote]\nin_flight = 1\n[route bookings]",
+    duplicate_section: "[route bookings]" => "[class  quote]\nin_flight = 1\n[route bookings]",
         ["line 20, [class quote]: stands already in line 2"];
     key_outside_of_sections: "[serving]" => "keys = 5\n[serving]",
         ["line 1 keys: stands before the first [section]"];
@@ -98,7 +99,7 @@
     continued_line: "slots = 16" => "slots = 16\\",
         ["line 6, [group quote-llm] slots: missing; needed is a whole number from 1 to 10,000",
          "line 9, [group quote-llm]: \"slots = 16\\\\\" is not `[section]`, `key = value` or a comment line"];
-    open_bracket: "[tenant guides]" => "[tenant guides",
+    unclosed_bracket: "[tenant guides]" => "[tenant guides",
         ["line 4, [class quote]: \"[tenant guides\" is not `[section]`, `key = value` or a comment line",
          "line 5, [class quote] in_flight: stands already in line 3"];
     no_serving_section: "[serving]\n" => "",
@@ -125,29 +126,29 @@
         ["line 15, [model quote-small] memory_mb: 24001 MB in all don't fit the 24000 MB of a backend server of [group quote-llm]"];
     adapter_that_does_not_fit_beside_its_model: "memory_mb = 200" => "memory_mb = 10001",
         ["line 18, [adapter quote-small:tone] memory_mb: 24001 MB in all don't fit the 24000 MB of a backend server of [group quote-llm]"];
-    memory_of_a_service: "slots = 8" => "slots = 8\nmemory_mb = 5",
+    engine_key_in_a_service_group: "slots = 8" => "slots = 8\nmemory_mb = 5",
         ["line 13, [group desk-app] memory_mb: only groups of kind `engine` have this key"];
     unknown_kind: "kind = service" => "kind = plain",
         ["line 11, [group desk-app] kind: \"plain\" is not one of `engine`, `service`"];
     unknown_fencing: "slots = 16" => "slots = 16\nfencing = perhaps",
         ["line 10, [group quote-llm] fencing: \"perhaps\" is not one of `checked`, `forgets`, `ignored`"];
-    pins_that_end_at_once: "slots = 16" => "slots = 16\npin_release = 0",
+    zero_pin_release: "slots = 16" => "slots = 16\npin_release = 0",
         ["line 10, [group quote-llm] pin_release: \"0\" is not `acknowledged` or a whole number of seconds from 1 to 604,800"];
     prefix_without_a_slash: "prefix = /bookings" => "prefix = bookings",
         ["line 21, [route bookings] prefix: \"bookings\" is not a path such as `/bookings`: `/` and letters, digits, `-`, `_`, `.`, `~`, without empty or dot segments"];
-    prefix_that_climbs: "prefix = /bookings" => "prefix = /a/../v1",
+    prefix_with_dot_segments: "prefix = /bookings" => "prefix = /a/../v1",
         ["line 21, [route bookings] prefix: \"/a/../v1\" is not a path such as `/bookings`: `/` and letters, digits, `-`, `_`, `.`, `~`, without empty or dot segments"];
-    prefix_of_the_models: "prefix = /bookings" => "prefix = /v1/chat/completions",
+    prefix_reserved_for_models: "prefix = /bookings" => "prefix = /v1/chat/completions",
         ["line 21, [route bookings] prefix: /v1/chat belongs to the models"];
-    prefix_of_the_models_with_a_slash: "prefix = /bookings" => "prefix = /v1/chat/",
+    prefix_reserved_for_models_with_a_slash: "prefix = /bookings" => "prefix = /v1/chat/",
         ["line 21, [route bookings] prefix: /v1/chat belongs to the models"];
-    prefixes_alike: "[route bookings]" => "[route a]\nprefix = /bookings/\ngroup = desk-app\nclass = quote\n[route bookings]",
+    duplicate_prefix: "[route bookings]" => "[route a]\nprefix = /bookings/\ngroup = desk-app\nclass = quote\n[route bookings]",
         ["line 25, [route bookings] prefix: `/bookings` is the prefix of [route a] too"];
     unknown_method: "class = quote" => "class = quote\nidempotent = GET, get",
         ["line 24, [route bookings] idempotent: \"get\" is not one of GET, HEAD, OPTIONS, PUT, DELETE, POST, PATCH"];
-    doubled_method: "class = quote" => "class = quote\nidempotent = GET, GET",
+    duplicate_method: "class = quote" => "class = quote\nidempotent = GET, GET",
         ["line 24, [route bookings] idempotent: a method stands twice"];
-    every_fault_is_named: "[serving]" => "[serving]\nkeys = 0\nstore_loads_at_once = none\n[clas x]\n[tenant a b]",
+    all_faults_are_reported: "[serving]" => "[serving]\nkeys = 0\nstore_loads_at_once = none\n[clas x]\n[tenant a b]",
         ["line 2, [serving] keys: \"0\" is not a whole number from 1 to 1,000,000",
          "line 3, [serving] store_loads_at_once: \"none\" is not a whole number from 1 to 10,000",
          "line 4: \"clas x\" is not a known section; did you mean `class`?",
@@ -155,14 +156,14 @@
          "line 5, [tenant a b] in_flight: missing; needed is a whole number from 0 to 1,000,000"];
 }
 
-/// Each case changes the base in one place and stays a document.
-macro_rules! taken {
+/// Each case changes the base document in one place and yields a valid document.
+macro_rules! accepted {
     ($($name:ident: $from:expr => $to:expr;)+) => {
-        mod taken {
+        mod accepted {
             $(
                 #[test]
                 fn $name() {
-                    let document = super::parsed(&super::changed($from, $to));
+                    let document = super::parsed(&super::base_with($from, $to));
                     assert_eq!(super::parsed(&document.to_string()), document);
                 }
             )+
@@ -170,22 +171,22 @@
     };
 }
 
-taken! {
-    comments_and_indents: "slots = 16" => "  ; a comment\n\t# another\n   slots=16";
+accepted! {
+    comments_and_indentation: "slots = 16" => "  ; a comment\n\t# another\n   slots=16";
     windows_line_ends: "[serving]\n" => "[serving]\r\n\r\n";
     byte_order_mark: "[serving]" => "\u{feff}[serving]";
     spaces_in_a_header: "[tenant guides]" => "  [ tenant   guides ]  ";
-    cap_of_none: "replicas = 2" => "replicas = 0";
-    pins_that_end_by_time: "slots = 16" => "slots = 16\nfencing = forgets\npin_release = 900";
-    no_method_may_be_repeated: "class = quote" => "class = quote\nidempotent =";
-    path_that_only_looks_like_the_models: "prefix = /bookings" => "prefix = /v1/chatter";
-    every_path: "prefix = /bookings" => "prefix = /";
+    zero_replicas: "replicas = 2" => "replicas = 0";
+    timed_pin_release: "slots = 16" => "slots = 16\nfencing = forgets\npin_release = 900";
+    no_idempotent_methods: "class = quote" => "class = quote\nidempotent =";
+    prefix_resembling_the_model_prefix: "prefix = /bookings" => "prefix = /v1/chatter";
+    root_prefix: "prefix = /bookings" => "prefix = /";
     deadline: "in_flight = 10" => "in_flight = 10\ndeadline_ms = 8000\nqueue = 0";
     equals_sign_in_a_comment: "[serving]" => "# a = [b\n[serving]";
 }
 
 #[test]
-fn values_stand_where_they_belong() {
+fn values_are_read_into_their_fields() {
     let document = parsed(BASE);
     assert_eq!(document.serving, document::Serving::default());
     assert_eq!(document.classes["quote"].in_flight, 10);
@@ -202,7 +203,7 @@
 }
 
 #[test]
-fn examples_have_the_sizes_of_today() {
+fn examples_have_the_expected_sizes() {
     for text in [TRAN_GIA, GRANITE_GRIT] {
         let document = parsed(text);
         assert_eq!(document.models.len(), 65);
@@ -215,15 +216,15 @@
     }
 }
 
-/// An operator publishes a file that was cut to nothing, or sends megabytes by mistake. Without these limits
-/// every model would be unloaded, or each instance would spend its memory on the text.
+/// An operator publishes an empty file or, by mistake, megabytes of text. Without these limits every model
+/// would be unloaded, or each instance would exhaust its memory on the text.
 #[test]
-fn empty_and_oversized_texts_are_refused() {
+fn empty_and_oversized_texts_are_rejected() {
     assert!(document::Document::parse("").is_err());
     let long = "#".repeat(document::MAX_BYTES + 1);
     let faults = document::Document::parse(&long).unwrap_err();
     assert_eq!(
-        texts(&faults),
+        to_strings(&faults),
         ["line 1: the text is longer than 921600 bytes, the most that is allowed"]
     );
     let full = format!("{BASE}{}", "#".repeat(document::MAX_BYTES - BASE.len()));
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn faults_without_end_are_counted() {
+fn excess_faults_are_counted() {
     let text = format!("{BASE}{}", "x\n".repeat(5000));
     let faults = document::Document::parse(&text).unwrap_err();
     assert_eq!(faults.len(), fault::LIMIT + 1);
@@ -239,29 +240,29 @@
     assert!(last.ends_with("4000 more faults are not shown"), "{last}");
 }
 
-/// Each case changes the base and names the changes and the warnings that operators see.
-macro_rules! differs {
+/// Each case changes the base document and lists the changes and warnings shown to operators.
+macro_rules! changes {
     ($($name:ident: $from:expr => $to:expr, [$($change:expr),*], [$($warning:expr),*];)+) => {
-        mod differs {
+        mod changes {
             $(
                 #[test]
                 fn $name() {
                     let old = super::parsed(super::BASE);
-                    let new = super::parsed(&super::changed($from, $to));
-                                        let changes = super::document::diff(&old, &new);
+                    let new = super::parsed(&super::base_with($from, $to));
+                    let changes = super::document::diff(&old, &new);
                     let expected: Vec<&str> = vec![$($change),*];
-                    assert_eq!(super::texts(&changes), expected);
+                    assert_eq!(super::to_strings(&changes), expected);
                     let warnings = super::document::warnings(&old, &new);
                     let expected: Vec<&str> = vec![$($warning),*];
-                    assert_eq!(super::texts(&warnings), expected);
+                    assert_eq!(super::to_strings(&warnings), expected);
                 }
             )+
         }
     };
 }
 
-differs! {
-    spelling_only: "slots = 16" => "# same\nslots   =   0016", [], [];
+changes! {
+    formatting_only: "slots = 16" => "# same\nslots   =   0016", [], [];
     cap_lowered: "replicas = 2" => "replicas = 1",
         ["replica cap of model quote-small: 2 -> 1"],
         ["model quote-small: cap lowered from 2 to 1; replicas beyond it will be unloaded"];
@@ -275,7 +276,7 @@
     class_added: "[class quote]" => "[class slow]\nin_flight = 1\n[class quote]", ["class slow: added"], [];
     deadline_added: "in_flight = 10" => "in_flight = 10\ndeadline_ms = 50",
         ["deadline_ms of class quote: none -> 50"], [];
-    group_removed: "[group desk-app]\nkind = service\nslots = 8\n" => "[group desk-two]\nkind = service\nslots = 8\n[group desk-app]\nkind = service\nslots = 8\n",
+    group_added: "[group desk-app]\nkind = service\nslots = 8\n" => "[group desk-two]\nkind = service\nslots = 8\n[group desk-app]\nkind = service\nslots = 8\n",
         ["group desk-two: added"], [];
     memory_lowered: "memory_mb = 24000" => "memory_mb = 16000",
         ["memory_mb of each backend server of group quote-llm: 24000 -> 16000"],
@@ -285,25 +286,25 @@
          "pin_release of group quote-llm: acknowledged -> 60"],
         ["group quote-llm: its engines are trusted to refuse old fencing numbers, also after a restart; if they don't, a late order can exceed a cap or the memory",
          "group quote-llm: pins end after 60 s of silence; an order held up longer can exceed a cap or the memory"];
-    booking_made_repeatable: "class = quote" => "class = quote\nidempotent = GET, POST\ndeduplicates = yes",
+    methods_made_idempotent: "class = quote" => "class = quote\nidempotent = GET, POST\ndeduplicates = yes",
         ["idempotent of route bookings: GET, HEAD -> GET, POST",
          "deduplicates of route bookings: no -> yes"],
         ["route bookings: POST may be sent again now after a failure, and so run more than once",
          "route bookings: its service is trusted to run an Idempotency-Key at most once; no claim is recorded any more"];
-    keys_forgotten_sooner: "[serving]" => "[serving]\nkey_memory_s = 3600",
+    key_memory_shortened: "[serving]" => "[serving]\nkey_memory_s = 3600",
         ["key_memory_s of serving: 86400 -> 3600"],
         ["serving: outcomes of idempotency keys are remembered for 3600 s instead of 86400 s; a repeat after that runs again"];
 }
 
 #[test]
-fn removal_of_a_group_and_a_route_is_warned_of() {
+fn removing_a_group_and_a_route_gives_warnings() {
     let old = parsed(BASE);
     let route = "[route bookings]\nprefix = /bookings\ngroup = desk-app\nclass = quote\n";
     let group = "[group desk-app]\nkind = service\nslots = 8\n";
     let text = BASE.replace(route, "").replace(group, "");
     let warnings = document::warnings(&old, &parsed(&text));
     assert_eq!(
-        texts(&warnings),
+        to_strings(&warnings),
         [
             "group desk-app: removed; its backend servers get no more work, and their replicas are unloaded",
             "route bookings: removed; requests for its paths will be refused",
@@ -311,8 +312,8 @@
     );
 }
 
-/// A document with some lines lost, doubled, swapped, cut or replaced by noise.
-fn mangled(u: &mut Unstructured<'_>) -> arbitrary::Result<String> {
+/// Returns a document with some lines removed, duplicated, swapped, extended or replaced by random text.
+fn mutated_text(u: &mut Unstructured<'_>) -> arbitrary::Result<String> {
     let mut lines: Vec<String> = BASE.lines().map(str::to_owned).collect();
     for _ in 0..u.int_in_range(1..=6)? {
         let at = u.choose_index(lines.len())?;
@@ -332,21 +333,21 @@
     Ok(lines.join("\n"))
 }
 
-/// Operators' files arrive cut, doubled or full of foreign bytes. A text that panics the parser would end
-/// every instance at the same record of the log, so callers would find none that serves.
+/// Operators' files may be truncated, duplicated or corrupted. A text that panicked the parser would stop
+/// every instance at the same record of the log, so that no instance could serve callers.
 #[test]
-fn any_text_is_taken_or_refused() {
-    let mut taken = 0;
+fn any_text_is_accepted_or_rejected() {
+    let mut accepted = 0;
     for seed in 0..3000 {
-        once(seed, |u| {
+        run_property(seed, |u| {
             let text = if u.ratio(1, 4)? {
                 u.arbitrary()?
             } else {
-                mangled(u)?
+                mutated_text(u)?
             };
             match document::Document::parse(&text) {
                 Ok(document) => {
-                    taken += 1;
+                    accepted += 1;
                     assert_eq!(parsed(&document.to_string()), document, "seed {seed}");
                     assert!(document::diff(&document, &document).is_empty());
                 }
@@ -355,7 +356,7 @@
             Ok(())
         });
     }
-    assert!(taken > 100, "only {taken} texts were taken");
+    assert!(accepted > 100, "only {accepted} texts were accepted");
 }
 
 fn check_faults(text: &str, faults: &[fault::Fault], seed: u64) {
@@ -370,8 +371,9 @@
     }
 }
 
-/// Runs a property on 2 KiB of one fixed seed; arbtest takes the length from the seed's low half.
-fn once<F>(seed: u64, property: F)
+/// Runs a property on 2 KiB of random data with a fixed seed; arbtest takes the length from the seed's low
+/// half.
+fn run_property<F>(seed: u64, property: F)
 where
     F: FnMut(&mut Unstructured<'_>) -> arbitrary::Result<()>,
 {
