--- a/crates/fireflywheel/benches/frames.rs
+++ b/crates/fireflywheel/benches/frames.rs
@@ -1,4 +1,4 @@
-//! Encoding and reading of frames between instances, at 1, 10 and 100 times today's sizes.
+//! Encoding and decoding of frames between instances, at 1, 10 and 100 times the current size.
 #![allow(
     missing_docs,
     reason = "criterion's macros make undocumented functions"
@@ -72,7 +72,7 @@
             group.bench_function(
                 BenchmarkId::new(format!("decode_{name}"), factor),
                 |bencher| {
-                    bencher.iter(|| wire::Frame::decode(&bytes).expect("a frame"));
+                    bencher.iter(|| wire::Frame::decode(&bytes).expect("the bytes encode a frame"));
                 },
             );
         }
--- a/crates/fireflywheel/benches/ledger.rs
+++ b/crates/fireflywheel/benches/ledger.rs
@@ -1,5 +1,5 @@
-//! Folding, checkpoints and the reading of a document, at 1, 10 and 100 times today's sizes and at the
-//! target's.
+//! Folding of records, checkpoints and parsing of a document, at 1, 10 and 100 times the current size and
+//! at the target size.
 #![allow(
     missing_docs,
     reason = "criterion's macros make undocumented functions"
@@ -25,7 +25,8 @@
     ]
 }
 
-/// A grant, its close, a withdrawal and its close, each a record; the time is of all four.
+/// Folds a load and an unload: a grant, its close, a withdrawal and its close, each in one record. The time
+/// is that of all four records.
 fn fold(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("fold");
     for (name, size) in sizes() {
@@ -70,11 +71,11 @@
         });
         let parts = writer.ledger.checkpoint();
         group.bench_function(BenchmarkId::new("restore", name), |bencher| {
-            bencher.iter(|| ledger::Ledger::restore(&parts).expect("a whole checkpoint"));
+            bencher.iter(|| ledger::Ledger::restore(&parts).expect("the checkpoint is complete"));
         });
         let text = size.document();
         group.bench_function(BenchmarkId::new("parse_document", name), |bencher| {
-            bencher.iter(|| document::Document::parse(&text).expect("no faults"));
+            bencher.iter(|| document::Document::parse(&text).expect("the document has no faults"));
         });
     }
     group.finish();
--- a/crates/fireflywheel/benches/plan.rs
+++ b/crates/fireflywheel/benches/plan.rs
@@ -1,4 +1,4 @@
-//! One plan of a steward, by the number of engines, and what it needs of the demands of all instances.
+//! Planning of a steward by number of engines, and aggregation of the demand of all instances.
 #![allow(
     missing_docs,
     reason = "criterion's macros make undocumented functions"
@@ -15,15 +15,15 @@
 use fireflywheel::fleet::plan::{self, EngineState, View};
 use smol_str::{SmolStr, format_smolstr};
 
-/// Engines and models.
+/// Numbers of engines and models.
 const SIZES: [(usize, usize); 3] = [(12, 65), (60, 185), (500, 185)];
-/// Instances and engines.
-const FLEETS: [(usize, usize); 3] = [(12, 12), (195, 124), (1100, 2000)];
-/// Engines at which one instance has requests in progress.
-const IN_USE: usize = 8;
-/// Copies of models on an engine's disk.
-const COPIES: usize = 12;
-/// Time since the models were loaded.
+/// Numbers of instances and engines.
+const FLEET_SIZES: [(usize, usize); 3] = [(12, 12), (195, 124), (1100, 2000)];
+/// Number of engines at which one instance has requests in progress.
+const ACTIVE_ENGINES_PER_INSTANCE: usize = 8;
+/// Number of model copies on an engine's disk.
+const DISK_COPIES_PER_ENGINE: usize = 12;
+/// Current time of the plan; the models were loaded at time 0.
 const NOW: Instant = Instant(100_000);
 
 fn name(model: usize) -> SmolStr {
@@ -43,26 +43,27 @@
         memory_mb: 83_000.0,
         adapter_slots: 8,
         loads_per_second: 4.9,
-        models: (0..models).map(|place| (name(place), model)).collect(),
+        models: (0..models).map(|index| (name(index), model)).collect(),
     }
 }
 
-/// Two models in memory, one of them in use, and copies of others on disk.
-fn engine(place: usize, models: usize) -> EngineState {
+/// Returns an engine with two models in memory, one of them in use, and copies of others on disk.
+fn engine(index: usize, models: usize) -> EngineState {
     let mut engine = EngineState {
         usable: true,
         ..EngineState::default()
     };
-    for held in [place % models, (place * 7 + 1) % models] {
+    for held in [index % models, (index * 7 + 1) % models] {
         engine.held.models.insert(name(held), BTreeSet::new());
     }
-    let copies = (0..COPIES).map(|copy| name((place * COPIES + copy) % models));
+    let copies = (0..DISK_COPIES_PER_ENGINE)
+        .map(|copy| name((index * DISK_COPIES_PER_ENGINE + copy) % models));
     engine.held.on_disk.extend(copies);
-    engine.running.insert((name(place % models), None), 5);
+    engine.running.insert((name(index % models), None), 5);
     engine
 }
 
-/// As many models are waited for as there are engines, at most all.
+/// Returns pending demand for as many models as there are engines, limited to the number of models.
 fn wants(engines: usize, models: usize) -> Vec<Pending> {
     let wanted = (0..engines.min(models)).rev();
     wanted
@@ -80,7 +81,7 @@
     let mut group = criterion.benchmark_group("plan");
     for (count, models) in SIZES {
         let config = config(models);
-        let engines: Vec<EngineState> = (0..count).map(|place| engine(place, models)).collect();
+        let engines: Vec<EngineState> = (0..count).map(|index| engine(index, models)).collect();
         let wants = wants(count, models);
         let rates: BTreeMap<SmolStr, f64> = (0..models)
             .map(|model| (name(model), 10.0 / (model + 1) as f64))
@@ -102,13 +103,16 @@
     group.finish();
 }
 
-/// Demands of instances that each have requests at a few engines.
+/// Returns the demand of instances that each have requests at a few engines.
 fn demands(instances: usize, engines: usize) -> Aggregator {
     let mut demands = Aggregator::default();
     for instance in 0..instances {
-        let running = (0..IN_USE).map(|place| Running {
-            server: format_smolstr!("e{}", (instance * IN_USE + place) % engines),
-            model: name(place),
+        let running = (0..ACTIVE_ENGINES_PER_INSTANCE).map(|index| Running {
+            server: format_smolstr!(
+                "e{}",
+                (instance * ACTIVE_ENGINES_PER_INSTANCE + index) % engines
+            ),
+            model: name(index),
             adapter: None,
             count: 1,
             prefill_tokens: 600,
@@ -124,7 +128,7 @@
 
 fn counts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("running");
-    for (instances, engines) in FLEETS {
+    for (instances, engines) in FLEET_SIZES {
         let demands = demands(instances, engines);
         let size = format!("{instances}x{engines}");
         group.bench_function(BenchmarkId::from_parameter(size), |bencher| {
--- a/crates/fireflywheel/benches/requests.rs
+++ b/crates/fireflywheel/benches/requests.rs
@@ -1,5 +1,6 @@
-//! What a request and the events round it cost a node, at 1, 10 and 100 times today's sizes and at the
-//! target's: routing choice, queue, admission with dispatch, ticks, reports and readings of log and list.
+//! Cost of a request and of the related events for a node, at 1, 10 and 100 times the current size and at
+//! the target size: routing choice, queue, admission with dispatch, ticks, load reports, and reads of the
+//! log and the instance list.
 #![allow(
     missing_docs,
     reason = "criterion's macros make undocumented functions"
@@ -29,16 +30,16 @@
     ]
 }
 
-/// A choice among all workers of a group that has so many times twelve.
+/// Routing choice among all backend servers of a group with a multiple of 12 servers.
 fn routing_choice(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("routing");
     for factor in FACTORS {
         let mut table = routing::Table::new(routing::Options::default());
-        let join = |worker| {
-            let address = Size::times(factor).server(worker);
+        let add_server = |server_index| {
+            let address = Size::times(factor).server(server_index);
             table.add_server(clock::Instant(0), address, SmolStr::new_static("fd0"), 16)
         };
-        let candidates: Vec<_> = (0..12 * factor).map(join).collect();
+        let candidates: Vec<_> = (0..12 * factor).map(add_server).collect();
         let now = clock::Instant(60_000);
         let mut seed = 0;
         group.bench_function(BenchmarkId::new("choose", factor), |bencher| {
@@ -57,8 +58,8 @@
     group.finish();
 }
 
-/// A push and a pop of a queue in which so many times a hundred wait.
-fn queue_turn(criterion: &mut Criterion) {
+/// Push and pop on a queue with a multiple of 100 waiting requests.
+fn queue_push_and_pop(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue");
     for factor in FACTORS {
         let mut keys: SlotMap<request::Key, ()> = SlotMap::with_key();
@@ -72,7 +73,7 @@
                 share: 1,
                 deadline: clock::Instant(count * 7919 % 100_000),
             };
-            queue.push(entry).expect("there is no bound");
+            queue.push(entry).expect("the queue is unbounded");
         };
         (0..100 * factor).for_each(|_| push(&mut queue));
         group.bench_function(BenchmarkId::new("push_and_pop", factor), |bencher| {
@@ -85,7 +86,7 @@
     group.finish();
 }
 
-/// Steps of a router.
+/// Steps of a node that is not a steward.
 fn router(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("router");
     for (name, size) in sizes() {
@@ -95,16 +96,16 @@
             bencher.iter(|| fleet.serve(0));
         });
         group.bench_function(BenchmarkId::new("read_then_request", name), |bencher| {
-            bencher.iter_custom(|count| timed(&mut fleet, count, true));
+            bencher.iter_custom(|count| measure_reads(&mut fleet, count, true));
         });
         group.bench_function(BenchmarkId::new("read", name), |bencher| {
-            bencher.iter_custom(|count| timed(&mut fleet, count, false));
+            bencher.iter_custom(|count| measure_reads(&mut fleet, count, false));
         });
         group.bench_function(BenchmarkId::new("tick", name), |bencher| {
             bencher.iter(|| fleet.tick());
         });
         group.bench_function(BenchmarkId::new("report", name), |bencher| {
-            bencher.iter(|| fleet.report(0));
+            bencher.iter(|| fleet.deliver_report(0));
         });
         let entries = fleet.entries();
         group.bench_function(BenchmarkId::new("list", name), |bencher| {
@@ -118,14 +119,14 @@
     group.finish();
 }
 
-/// Reads a record of one claim, and serves a request after it where `request` says so.
-fn timed(fleet: &mut Fleet, count: u64, request: bool) -> Duration {
+/// Measures reading a record of one claim, followed by a request if `request` is set.
+fn measure_reads(fleet: &mut Fleet, count: u64, request: bool) -> Duration {
     let mut time = Duration::ZERO;
     for _ in 0..count {
         let entries = fleet.writer.claim();
         let stored = fleet.writer.record(entries);
         let start = Instant::now();
-        fleet.read(stored);
+        fleet.deliver_record(stored);
         if request {
             fleet.serve(0);
         }
@@ -134,7 +135,7 @@
     time
 }
 
-/// A tick of the instance that holds one group.
+/// Tick of the instance that is the steward of one group.
 fn steward(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("steward");
     for (name, size) in sizes() {
@@ -146,7 +147,7 @@
     group.finish();
 }
 
-/// A second of membership: a tick with its pings, their pongs, and as many pings of others.
+/// One second of membership: a tick with its pings, their pongs, and as many pings from others.
 fn membership_round(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("membership");
     for instances in [16, 256, 1_100] {
@@ -158,7 +159,7 @@
     group.finish();
 }
 
-/// One member with links to all whom it wants to reach.
+/// A member with links to all members that it wants to be linked with.
 struct Round {
     membership: membership::Membership,
     now: clock::Instant,
@@ -213,6 +214,6 @@
         .sample_size(10)
         .warm_up_time(Duration::from_millis(200))
         .measurement_time(Duration::from_millis(500));
-    targets = routing_choice, queue_turn, router, steward, membership_round
+    targets = routing_choice, queue_push_and_pop, router, steward, membership_round
 }
 criterion_main!(benches);
--- a/crates/fireflywheel/benches/sized/fleet.rs
+++ b/crates/fireflywheel/benches/sized/fleet.rs
@@ -1,4 +1,4 @@
-//! A node amid a fleet of a given size.
+//! A node in a fleet of a given size.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 
 use super::{Size, Writer, incarnation};
 
-/// Members told in one frame.
-const TOLD: usize = 96;
+/// Number of members in one frame.
+const MAX_MEMBERS_PER_FRAME: usize = 96;
 
-/// A node with everything that it is told.
+/// A node with the log and the events that it receives.
 pub struct Fleet {
     pub writer: Writer,
     pub node: node::Node,
     pub now: clock::Instant,
-    pub out: Vec<effect::Effect>,
+    pub effects: Vec<effect::Effect>,
     calls: u64,
 }
 
 impl Fleet {
-    /// Instance 0 of a fleet, ready. Instance 1 holds all groups, but instance 0 itself the first one if it is
-    /// a `steward`.
+    /// Creates instance 0 of a fleet in the ready state. Instance 1 is the steward of all groups, except
+    /// that instance 0 is the steward of the first group if `steward` is set.
     pub fn new(size: Size, steward: bool) -> Self {
         let mut writer = Writer::new(size, incarnation(1));
         if steward {
@@ -41,13 +41,13 @@
             writer,
             node,
             now: clock::Instant(10_000),
-            out: Vec::new(),
+            effects: Vec::new(),
             calls: 0,
         };
-        fleet.node.start(fleet.now, &mut fleet.out);
+        fleet.node.start(fleet.now, &mut fleet.effects);
         fleet.read_all();
-        fleet.list();
-        fleet.meet();
+        fleet.deliver_list();
+        fleet.receive_members();
         assert_eq!(fleet.node.check_ready(), Ok(()));
         fleet
     }
@@ -55,88 +55,90 @@
     fn read_all(&mut self) {
         for _ in 0..2 {
             let mut newest = None;
-            for effect in self.out.drain(..) {
+            for effect in self.effects.drain(..) {
                 if let effect::Effect::ReadFrom(from) = effect {
                     newest = Some(from);
                 }
             }
             let Some(from) = newest else { return };
-            let records = self.writer.log[usize::try_from(from).expect("small")..].to_vec();
+            let records =
+                self.writer.log[usize::try_from(from).expect("offsets are small")..].to_vec();
             let read = event::Event::LogRead {
                 first: 0,
                 next: self.writer.log.len() as u64,
                 records,
             };
-            self.node.step(self.now, read, &mut self.out);
+            self.node.step(self.now, read, &mut self.effects);
         }
-        self.out.clear();
+        self.effects.clear();
     }
 
-    /// The platform's list.
+    /// Returns the entries of the platform's instance list.
     pub fn entries(&self) -> Vec<report::ListEntry> {
         let size = self.writer.size;
         let routers = (0..size.instances).map(|instance| {
             let name = incarnation(instance).instance;
-            listed(
+            list_entry(
                 name,
                 address(instance),
                 report::Kind::Router,
                 SmolStr::default(),
             )
         });
-        let backends = (0..size.workers).map(|worker| {
-            let server = size.server(worker);
-            listed(
+        let backends = (0..size.servers).map(|server_index| {
+            let server = size.server(server_index);
+            list_entry(
                 server.clone(),
                 server,
                 report::Kind::Backend,
-                size.group(worker),
+                size.group(server_index),
             )
         });
         routers.chain(backends).collect()
     }
 
-    pub fn list(&mut self) {
+    pub fn deliver_list(&mut self) {
         let entries = self.entries();
         self.step(event::Event::InstancesListed(entries));
     }
 
-    /// Learns of all members from instance 1.
-    fn meet(&mut self) {
+    /// Receives all members from instance 1.
+    fn receive_members(&mut self) {
         self.step(event::Event::LinkUp(update(1)));
         let members: Vec<_> = (1..self.writer.size.instances).map(update).collect();
-        for told in members.chunks(TOLD) {
+        for chunk in members.chunks(MAX_MEMBERS_PER_FRAME) {
             self.step(event::Event::Frame {
                 from: incarnation(1),
-                frame: wire::Frame::Members(told.to_vec()),
+                frame: wire::Frame::Members(chunk.to_vec()),
             });
         }
     }
 
     pub fn step(&mut self, event: event::Event) {
-        self.out.clear();
-        self.node.step(self.now, event, &mut self.out);
+        self.effects.clear();
+        self.node.step(self.now, event, &mut self.effects);
     }
 
-    /// A tick, 10 ms after the last event.
+    /// Runs a tick, 10 ms after the last event.
     pub fn tick(&mut self) {
         self.now = self.now.after(node::TICK_INTERVAL);
         self.step(event::Event::Tick);
     }
 
-    /// A worker's report.
-    pub fn report(&mut self, worker: usize) {
+    /// Delivers the load report of a backend server.
+    pub fn deliver_report(&mut self, server_index: usize) {
         let report = report::Report {
             slots: 16,
             ..report::Report::default()
         };
         self.step(event::Event::ReportReceived {
-            server: self.writer.size.server(worker),
+            server: self.writer.size.server(server_index),
             report,
         });
     }
 
-    /// One request from its arrival to its whole answer; panics unless it is dispatched at once.
+    /// Serves one request from its arrival to its complete answer; panics unless it is dispatched
+    /// immediately.
     pub fn serve(&mut self, model: usize) {
         self.calls += 1;
         let arrival = request::Arrival {
@@ -153,13 +155,15 @@
             prefix: None,
             stream: false,
         };
-        self.out.clear();
-        let admitted = self.node.handle_arrival(self.now, arrival, &mut self.out);
+        self.effects.clear();
+        let admitted = self
+            .node
+            .handle_arrival(self.now, arrival, &mut self.effects);
         let dispatched = self
-            .out
+            .effects
             .iter()
             .any(|effect| matches!(effect, effect::Effect::Dispatch { .. }));
-        assert!(dispatched, "{:?}", self.out);
+        assert!(dispatched, "{:?}", self.effects);
         let outcome = claim::Outcome::Answered {
             status: 200,
             content_type: SmolStr::new_static("application/json"),
@@ -171,8 +175,8 @@
         });
     }
 
-    /// A record is read.
-    pub fn read(&mut self, stored: record::Stored) {
+    /// Delivers a record read from the log.
+    pub fn deliver_record(&mut self, stored: record::Stored) {
         self.step(event::Event::LogRead {
             first: 0,
             next: stored.offset + 1,
@@ -194,7 +198,7 @@
     }
 }
 
-fn listed(
+fn list_entry(
     name: SmolStr,
     address: SmolStr,
     kind: report::Kind,
--- a/crates/fireflywheel/benches/sized/mod.rs
+++ b/crates/fireflywheel/benches/sized/mod.rs
@@ -10,31 +10,31 @@
 
 /// Log time of the first record, in unix milliseconds.
 const TIME_MS: u64 = 1_700_000_000_000;
-/// Entries in one record of the log that builds a ledger.
-const BATCH: usize = 100;
-/// Workers in one of today's groups of model engines.
-const WORKERS: usize = 12;
+/// Number of entries in one record of the log that builds a ledger.
+const ENTRIES_PER_RECORD: usize = 100;
+/// Number of backend servers in a current group of model engines.
+const SERVERS_PER_GROUP: usize = 12;
 
-/// How many there are of what.
+/// Size of a system.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub instances: usize,
     pub groups: usize,
-    pub workers: usize,
+    pub servers: usize,
     pub models: usize,
     pub adapters: usize,
     pub keys: usize,
-    /// Models loaded on each worker.
+    /// Number of models loaded on each backend server.
     pub loaded: usize,
 }
 
 impl Size {
-    /// So many times today's sizes; groups grow in number and keep their size.
+    /// Returns a multiple of the current size. The number of groups grows, and their size stays the same.
     pub fn times(factor: usize) -> Self {
         Self {
             instances: 16 * factor,
             groups: factor,
-            workers: WORKERS * factor,
+            servers: SERVERS_PER_GROUP * factor,
             models: 65 * factor,
             adapters: 75 * factor,
             keys: 1_000 * factor,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// The size that `docs/CAPACITY.md` is worked out for. The number of groups, the models on one worker and
-    /// the keys are assumed there.
+    /// Returns the target size of `docs/CAPACITY.md`. The number of groups, the number of models on one
+    /// backend server and the number of keys are assumptions of that document.
     pub fn target() -> Self {
         Self {
             instances: 1_100,
             groups: 24,
-            workers: 12_000,
+            servers: 12_000,
             models: 130,
             adapters: 9_300,
             keys: 100_000,
@@ -60,7 +60,7 @@
         format_smolstr!("g{}", number % self.groups)
     }
 
-    /// The serving configuration with as few words as it can have.
+    /// Returns a minimal serving configuration of this size.
     pub fn document(&self) -> String {
         let mut text = format!(
             "[serving]\nkeys = 1000000\nkey_memory_s = {}\n\n[class interactive]\ndeadline_ms = 5000\n\
@@ -72,7 +72,7 @@
                 text,
                 "\n[group g{group}]\nkind = engine\nfencing = checked\nmemory_mb = 24000\nslots = 16\n"
             )
-            .expect("a string takes text");
+            .expect("writing to a string succeeds");
         }
         for model in 0..self.models {
             let group = self.group(model);
@@ -80,7 +80,7 @@
                 text,
                 "\n[model m{model}]\ngroup = {group}\nmemory_mb = 4000\nreplicas = 1000\n"
             )
-            .expect("a string takes text");
+            .expect("writing to a string succeeds");
         }
         for adapter in 0..self.adapters {
             let model = adapter % self.models;
@@ -88,54 +88,54 @@
                 text,
                 "\n[adapter m{model}:a{adapter}]\nmemory_mb = 50\nreplicas = 1\n"
             )
-            .expect("a string takes text");
+            .expect("writing to a string succeeds");
         }
         text
     }
 
-    pub fn server(&self, worker: usize) -> SmolStr {
+    pub fn server(&self, server_index: usize) -> SmolStr {
         format_smolstr!(
             "10.{}.{}.{}:80",
-            worker >> 16,
-            (worker >> 8) & 255,
-            worker & 255
+            server_index >> 16,
+            (server_index >> 8) & 255,
+            server_index & 255
         )
     }
 
-    /// Each placement: group, worker and item; models before the adapters on them.
+    /// Returns all placements as group, backend server and item, with models before the adapters on them.
     pub fn placements(&self) -> Vec<(usize, usize, item::Item)> {
         let mut placements = Vec::new();
         let mut holders = vec![Vec::new(); self.models];
-        for worker in 0..self.workers {
-            let group = worker % self.groups;
-            let own = (self.models - group).div_ceil(self.groups);
-            let turn = worker / self.groups;
-            for place in 0..self.loaded.min(own) {
-                let model = group + self.groups * ((turn * self.loaded + place) % own);
-                holders[model].push(worker);
+        for server_index in 0..self.servers {
+            let group = server_index % self.groups;
+            let group_models = (self.models - group).div_ceil(self.groups);
+            let round = server_index / self.groups;
+            for index in 0..self.loaded.min(group_models) {
+                let model = group + self.groups * ((round * self.loaded + index) % group_models);
+                holders[model].push(server_index);
                 let item = item::Item::new(format_smolstr!("m{model}"), 1);
-                placements.push((group, worker, item));
+                placements.push((group, server_index, item));
             }
         }
         for adapter in 0..self.adapters {
             let model = adapter % self.models;
-            let turn = adapter / self.models;
-            let Some(worker) = holders[model].get(turn % holders[model].len().max(1)) else {
+            let round = adapter / self.models;
+            let Some(server_index) = holders[model].get(round % holders[model].len().max(1)) else {
                 continue;
             };
             let item = item::Item::new(format_smolstr!("m{model}"), 1)
                 .with_adapter(format_smolstr!("a{adapter}"));
-            placements.push((model % self.groups, *worker, item));
+            placements.push((model % self.groups, *server_index, item));
         }
         placements
     }
 }
 
-/// Writes the records of a log, and folds them.
+/// Writer of a log that folds the records into a ledger.
 pub struct Writer {
     pub size: Size,
     pub ledger: ledger::Ledger,
-    /// Every record, where they are kept.
+    /// All folded records.
     pub log: Vec<record::Stored>,
     by: record::Incarnation,
     sequence: u64,
@@ -146,7 +146,7 @@
 }
 
 impl Writer {
-    /// The log of a system of this size in full use, all groups held by `by`.
+    /// Creates the log of a fully used system of this size in which `by` is the steward of all groups.
     pub fn new(size: Size, by: record::Incarnation) -> Self {
         let mut writer = Self {
             size,
@@ -169,12 +169,12 @@
         });
         writer.write(groups.collect());
         for instance in 0..size.instances {
-            writer.mention(instance);
+            writer.add_incarnation(instance);
         }
-        for placements in size.placements().chunks(BATCH / 2) {
+        for placements in size.placements().chunks(ENTRIES_PER_RECORD / 2) {
             let mut entries = Vec::new();
-            for (group, worker, item) in placements {
-                entries.extend(writer.load(*group, *worker, item));
+            for (group, server_index, item) in placements {
+                entries.extend(writer.load(*group, *server_index, item));
             }
             writer.write(entries);
         }
@@ -185,8 +185,8 @@
         writer
     }
 
-    /// Another incarnation that the ledger remembers.
-    fn mention(&mut self, instance: usize) {
+    /// Adds a further incarnation to the ledger.
+    fn add_incarnation(&mut self, instance: usize) {
         let by = record::Incarnation {
             instance: format_smolstr!("i{instance:04}"),
             number: TIME_MS + 1,
@@ -200,7 +200,7 @@
         self.fold(stored);
     }
 
-    /// A group goes from this writer to another process, in its first record.
+    /// Hands a group over from this writer to another process, in that process's first record.
     pub fn hand_over(&mut self, group: usize, by: record::Incarnation) {
         let record = record::Record {
             rule: record::RULES_VERSION,
@@ -214,7 +214,7 @@
         self.fold(stored);
     }
 
-    /// The next record of this writer.
+    /// Creates the next record of this writer.
     pub fn record(&mut self, entries: Vec<record::Entry>) -> record::Stored {
         self.sequence += 1;
         let record = record::Record {
@@ -238,12 +238,12 @@
         stored
     }
 
-    /// Folds a record and keeps it; panics where an entry is void.
+    /// Folds and stores a record; panics if an entry is rejected.
     pub fn fold(&mut self, stored: record::Stored) {
         let folded = self.ledger.fold(&stored).expect("the next record");
-        let folded = folded.expect("a record of ours");
-        for (entry, judgement) in &folded.entries {
-            assert_eq!(*judgement, ledger::Decision::Accepted, "{entry:?}");
+        let folded = folded.expect("the record is valid");
+        for (entry, decision) in &folded.entries {
+            assert_eq!(*decision, ledger::Decision::Accepted, "{entry:?}");
         }
         self.log.push(stored);
     }
@@ -253,31 +253,47 @@
         self.fold(stored);
     }
 
-    fn order(&mut self, group: usize, worker: usize, item: &item::Item) -> record::Order {
+    fn order(&mut self, group: usize, server_index: usize, item: &item::Item) -> record::Order {
         self.numbers[group] += 1;
         record::Order {
             group: self.size.group(group),
             epoch: 1,
             number: self.numbers[group],
-            server: self.size.server(worker),
+            server: self.size.server(server_index),
             item: item.clone(),
         }
     }
 
-    /// Intent and outcome of a load.
-    pub fn load(&mut self, group: usize, worker: usize, item: &item::Item) -> [record::Entry; 2] {
-        let order = self.order(group, worker, item);
-        [record::Entry::Grant(order.clone()), close(order, true)]
+    /// Returns the intent and the outcome of a load.
+    pub fn load(
+        &mut self,
+        group: usize,
+        server_index: usize,
+        item: &item::Item,
+    ) -> [record::Entry; 2] {
+        let order = self.order(group, server_index, item);
+        [
+            record::Entry::Grant(order.clone()),
+            close_entry(order, true),
+        ]
     }
 
-    /// Intent and outcome of an unload.
-    pub fn unload(&mut self, group: usize, worker: usize, item: &item::Item) -> [record::Entry; 2] {
-        let order = self.order(group, worker, item);
-        [record::Entry::Withdraw(order.clone()), close(order, false)]
+    /// Returns the intent and the outcome of an unload.
+    pub fn unload(
+        &mut self,
+        group: usize,
+        server_index: usize,
+        item: &item::Item,
+    ) -> [record::Entry; 2] {
+        let order = self.order(group, server_index, item);
+        [
+            record::Entry::Withdraw(order.clone()),
+            close_entry(order, false),
+        ]
     }
 
-    /// A claim and its outcome; a second of log time passes, so that the oldest key expires once there are as
-    /// many as the size names.
+    /// Returns a claim and its outcome. The log time advances by one second, so that the oldest key expires
+    /// once the number of keys of the size is reached.
     pub fn claim(&mut self) -> Vec<record::Entry> {
         use fireflywheel::claim;
         self.time_ms += 1_000;
@@ -300,23 +316,23 @@
         ]
     }
 
-    /// One round of what happens to placements, each entry in a record of its own: a load's intent and
-    /// outcome, and an unload's, on the last worker.
+    /// Returns one round of changes to placements, each entry in its own record: intent and outcome of an
+    /// unload and of a load of the last placement.
     pub fn round(&mut self) -> Vec<record::Stored> {
-        let (group, worker, item) = self.last_placement();
-        let unload = self.unload(group, worker, &item);
-        let load = self.load(group, worker, &item);
+        let (group, server_index, item) = self.last_placement();
+        let unload = self.unload(group, server_index, &item);
+        let load = self.load(group, server_index, &item);
         let entries = unload.into_iter().chain(load);
         entries.map(|entry| self.record(vec![entry])).collect()
     }
 
     fn last_placement(&self) -> (usize, usize, item::Item) {
         let last = self.size.placements().pop();
-        last.expect("a size has placements")
+        last.expect("the size has placements")
     }
 }
 
-fn close(order: record::Order, loaded: bool) -> record::Entry {
+fn close_entry(order: record::Order, loaded: bool) -> record::Entry {
     record::Entry::Close {
         order,
         epoch: 1,
@@ -325,7 +341,7 @@
     }
 }
 
-/// The process that holds the groups.
+/// Returns the incarnation of an instance.
 pub fn incarnation(instance: usize) -> record::Incarnation {
     record::Incarnation {
         instance: format_smolstr!("i{instance:04}"),
