--- a/crates/fireflywheel/src/document/mod.rs
+++ b/crates/fireflywheel/src/document/mod.rs
@@ -278,11 +278,11 @@
     /// the end of the path.
     #[must_use]
     pub fn route(&self, path: &str) -> Option<(&SmolStr, &Route)> {
-        let fits = self.routes.iter().filter(|(_, route)| {
+        let matching = self.routes.iter().filter(|(_, route)| {
             let rest = path.strip_prefix(route.prefix.as_str());
-            let whole = |rest: &str| rest.is_empty() || rest.starts_with('/');
-            rest.is_some_and(|rest| route.prefix.ends_with('/') || whole(rest))
+            let at_boundary = |rest: &str| rest.is_empty() || rest.starts_with('/');
+            rest.is_some_and(|rest| route.prefix.ends_with('/') || at_boundary(rest))
         });
-        fits.max_by_key(|(_, route)| route.prefix.len())
+        matching.max_by_key(|(_, route)| route.prefix.len())
     }
 }
--- a/crates/fireflywheel/src/fault.rs
+++ b/crates/fireflywheel/src/fault.rs
@@ -15,7 +15,8 @@
 /// Maximum number of characters of the found text that a fault repeats.
 const MAX_FOUND_CHARS: usize = 80;
 
-/// Maximum length in bytes of a name that gets a suggestion, which bounds the cost of a comparison.
+/// Maximum length in bytes of a name that gets a suggestion, which bounds the cost of a comparison with a
+/// crafted text.
 const MAX_SUGGESTED_NAME_BYTES: usize = 32;
 /// Maximum number of known names compared for one suggestion, which bounds its cost.
 const MAX_COMPARED_NAMES: usize = 1000;
@@ -55,7 +56,7 @@
         /// The line of the first appearance.
         first: usize,
     },
-    /// A rule about the relation to other lines, as a full sentence part.
+    /// A rule about the relation to other lines; holds the full text of the message.
     Rule(SmolStr),
 }
 
--- a/crates/fireflywheel/src/membership/mod.rs
+++ b/crates/fireflywheel/src/membership/mod.rs
@@ -293,7 +293,7 @@
             self.syncs.insert(to.instance.clone());
         }
         // A new neighbour may not know this instance. Without this, an instance that no other knew at its
-        // start could use up its own update on the one neighbour that it knew.
+        // start could spend all transmissions of its own update on the one neighbour that it knew.
         if !self.gossip_queue.contains(self.me) {
             self.gossip_queue.push(self.me);
         }
@@ -331,8 +331,8 @@
     /// that this instance holds of others are then unreliable, and it should not take over work from them.
     #[must_use]
     pub fn is_isolated(&self, now: clock::Instant) -> bool {
-        let heard = self.last_contact.unwrap_or_default();
-        self.table.len() > 1 && now.since(heard) >= self.options.suspect_timeout
+        let last_contact = self.last_contact.unwrap_or_default();
+        self.table.len() > 1 && now.since(last_contact) >= self.options.suspect_timeout
     }
 
     /// Returns whether a later incarnation of this instance exists, so that this process must stop.
--- a/crates/fireflywheel/src/wire.rs
+++ b/crates/fireflywheel/src/wire.rs
@@ -68,7 +68,7 @@
     },
     /// An accepted document.
     Document {
-        /// Its version.
+        /// The document's version.
         version: u64,
         /// The full text of the document.
         text: String,
