--- a/crates/fireflywheel_daemon/src/backend/mod.rs
+++ b/crates/fireflywheel_daemon/src/backend/mod.rs
@@ -1,5 +1,5 @@
-//! Attempts at backend servers: a request is sent once, and each answer is checked before anything of it is
-//! handed on.
+//! Attempts at backend servers. A request is sent once, and every part of its answer is checked before it is
+//! forwarded.
 
 mod stream;
 
@@ -21,17 +21,17 @@
 
 use crate::{client, errors};
 
-/// The largest whole answer taken, in bytes.
+/// The largest full answer that is accepted, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// How long a cancellation may take.
-const CANCEL_WAIT: Duration = Duration::from_secs(2);
-/// The largest answer to a cancellation, in bytes.
-const CANCEL_LIMIT: usize = 4096;
-/// The header that asks to go on with a stream.
-const RESUME_FROM: &str = "x-resume-from";
+/// The time limit for a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest answer to a cancellation that is read, in bytes.
+const MAX_CANCEL_ANSWER_BYTES: usize = 4096;
+/// The header that asks an engine to resume a stream.
+const RESUME_FROM_HEADER: &str = "x-resume-from";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Headers that concern one connection and go no further.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -49,63 +49,63 @@
     "expect",
 ];
 
-/// A request as it goes to a backend server.
+/// A request to a backend server.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
     /// The request id.
     pub id: SmolStr,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path with its query.
+    /// The path with the query.
     pub path: String,
-    /// Headers that are handed on.
+    /// The forwarded headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Who answers.
+    /// The kind of the backend server.
     pub kind: Kind,
 }
 
-/// Who answers, which decides how the answer is checked.
+/// The kind of a backend server, which decides how its answers are checked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// A model engine: each part of its answer names the request.
+    /// A model engine: each part of an answer carries the request id.
     Engine,
-    /// A plain service: its header names the request.
+    /// A plain service: the header of an answer carries the request id.
     Service,
 }
 
-/// An attempt without a whole answer.
+/// The failure of an attempt, which brought no complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Failure {
     /// Whether the request may have run.
     pub verdict: verdict::Verdict,
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: request::Cause,
 }
 
-/// An answer that began.
+/// An answer whose head has arrived.
 #[derive(Debug)]
 pub enum Answer {
-    /// It is whole, and was checked.
+    /// A full answer that was checked.
     Full(FullAnswer),
-    /// A stream, to be checked as it comes.
+    /// A stream, whose events are checked as they arrive.
     Stream(Stream),
 }
 
-/// A whole, checked answer.
+/// A complete answer that was checked.
 #[derive(Clone, Debug)]
 pub struct FullAnswer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Headers that may be handed on.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
 impl Failure {
-    /// A fault after which the request may have run.
+    /// Creates a failure after which the request may have run.
     #[must_use]
     pub fn may_have_run(cause: request::Cause) -> Self {
         Self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A fault that proves that the request has not run.
+    /// Creates a failure that proves that the request has not run.
     #[must_use]
     pub fn not_run(cause: request::Cause) -> Self {
         Self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The same for the node, which also wants to know how much of a stream went to the caller.
+    /// Converts the failure for the node, which also needs the number of stream events sent to the caller.
     #[must_use]
     pub fn with_events_delivered(self, events_delivered: u64) -> request::Failure {
         request::Failure {
@@ -135,8 +135,8 @@
 }
 
 impl From<client::Fault> for Failure {
-    fn from(fault: client::Fault) -> Self {
-        match fault {
+    fn from(error: client::Fault) -> Self {
+        match error {
             client::Fault::Unsent => Self::not_run(request::Cause::Connect),
             client::Fault::Lost => Self::may_have_run(request::Cause::Disconnected),
         }
@@ -153,26 +153,28 @@
 }
 
 impl FullAnswer {
-    /// What a repeat of the request is to get.
+    /// Returns the outcome to store for replays of the request. A body that is larger than
+    /// [`claim::MAX_BODY_BYTES`] or not UTF-8 is not kept.
     #[must_use]
     pub fn outcome(&self) -> claim::Outcome {
-        let kept = (self.body.len() <= claim::MAX_BODY_BYTES)
+        let body = (self.body.len() <= claim::MAX_BODY_BYTES)
             .then(|| String::from_utf8(self.body.to_vec()).ok())
             .flatten();
         claim::Outcome::Answered {
             status: self.status.as_u16(),
             content_type: content_type(&self.headers).into(),
-            body: kept,
+            body,
         }
     }
 }
 
 impl OutgoingRequest {
-    /// Sends it once to `server`; with `resume` asks to go on after so many events of the stream.
+    /// Sends the request once to `server`. With `resume`, the engine is asked to resume the stream after that
+    /// many events.
     ///
     /// # Errors
     ///
-    /// [`Failure`] when there is no whole answer.
+    /// Returns a [`Failure`] when the answer is missing, incomplete or flawed.
     pub async fn send(
         &self,
         client: &client::Client,
@@ -180,24 +182,24 @@
         resume: Option<u64>,
     ) -> Result<Answer, Failure> {
         let request = self
-            .request(server, resume)
+            .build_request(server, resume)
             .ok_or(Failure::not_run(request::Cause::Connect))?;
         let answer = client.send(request).await?;
-        self.own_header(answer.headers())?;
+        self.check_request_id(answer.headers())?;
         if answer.status().is_client_error() || answer.status().is_server_error() {
-            return self.refused(answer).await.map(Answer::Full);
+            return self.handle_error(answer).await.map(Answer::Full);
         }
         if self.kind == Kind::Engine && content_type(answer.headers()).starts_with(EVENT_STREAM) {
             return Ok(Answer::Stream(Stream::new(answer, &self.id, resume)));
         }
-        let whole = match self.kind {
-            Kind::Engine => self.engine_answer(answer).await,
-            Kind::Service => self.service_answer(answer).await,
+        let full = match self.kind {
+            Kind::Engine => self.read_engine_answer(answer).await,
+            Kind::Service => self.read_service_answer(answer).await,
         };
-        whole.map(Answer::Full)
+        full.map(Answer::Full)
     }
 
-    /// Tells an engine to end the request's stream. Whether it heard is not known.
+    /// Asks an engine to end the request's stream. Whether the engine received the cancellation is unknown.
     pub fn cancel(
         &self,
         client: &client::Client,
@@ -207,13 +209,15 @@
         let client = client.clone();
         async move {
             if let Ok(request) = client::bare(Method::DELETE, &url) {
-                // Nobody waits for it: the engine's own time limit ends the stream otherwise.
-                let _ = client.call(request, CANCEL_LIMIT, CANCEL_WAIT).await;
+                // The result is ignored: without a cancellation, the engine's own time limit ends the stream.
+                let _ = client
+                    .call(request, MAX_CANCEL_ANSWER_BYTES, CANCEL_TIMEOUT)
+                    .await;
             }
         }
     }
 
-    fn request(&self, server: &str, resume: Option<u64>) -> Option<Request<Full<Bytes>>> {
+    fn build_request(&self, server: &str, resume: Option<u64>) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(format!("http://{server}{}", self.path))
@@ -223,13 +227,13 @@
         *headers = self.headers.clone();
         headers.insert(errors::REQUEST_ID, self.id.parse().ok()?);
         if let Some(from) = resume {
-            headers.insert(RESUME_FROM, from.into());
+            headers.insert(RESUME_FROM_HEADER, from.into());
         }
         Some(request)
     }
 
-    // A refusal that belongs to another request says nothing about this one.
-    fn own_header(&self, headers: &HeaderMap) -> Result<(), Failure> {
+    // An error answer to another request says nothing about this one.
+    fn check_request_id(&self, headers: &HeaderMap) -> Result<(), Failure> {
         match headers.get(errors::REQUEST_ID) {
             Some(id) if id.as_bytes() != self.id.as_bytes() => {
                 Err(answer::Flaw::WrongRequest.into())
@@ -238,10 +242,10 @@
         }
     }
 
-    async fn refused(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
+    async fn handle_error(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let status = answer.status();
-        let read = client::collect(answer, MAX_ANSWER_BYTES).await;
-        let code = read
+        let collected = client::collect(answer, MAX_ANSWER_BYTES).await;
+        let code = collected
             .as_ref()
             .ok()
             .and_then(|answer| client::error_code(&answer.body));
@@ -251,7 +255,7 @@
         if status.is_server_error() {
             return Err(Failure::may_have_run(request::Cause::BackendFailed));
         }
-        let answer = read?;
+        let answer = collected?;
         Ok(FullAnswer {
             status,
             headers: passed_on(&answer.headers),
@@ -259,25 +263,25 @@
         })
     }
 
-    async fn engine_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
+    async fn read_engine_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let (head, mut body) = answer.into_parts();
-        let mut check = answer::BodyChecker::new(self.id.clone(), MAX_ANSWER_BYTES);
+        let mut checker = answer::BodyChecker::new(self.id.clone(), MAX_ANSWER_BYTES);
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| Failure::from(client::Fault::Lost))?;
             if let Ok(bytes) = frame.into_data() {
-                check.push(&bytes)?;
+                checker.push(&bytes)?;
             }
         }
         Ok(FullAnswer {
             status: head.status,
             headers: passed_on(&head.headers),
-            body: check.end()?.into(),
+            body: checker.end()?.into(),
         })
     }
 
-    // The bodies of plain services are their own, so the header must name the request, and the length must be
-    // announced: a body that lasts until the connection ends would look whole where it was cut.
-    async fn service_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
+    // The body format of plain services is unknown, so the header must carry the request id. The body must be
+    // framed, too: a body that lasts until the connection closes would look complete when it is truncated.
+    async fn read_service_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let headers = answer.headers();
         let is_named = headers.contains_key(errors::REQUEST_ID);
         let is_bounded = headers.contains_key(CONTENT_LENGTH)
@@ -299,7 +303,7 @@
     }
 }
 
-/// Whether an error is one by which a backend server says that it did not run the request.
+/// Returns the cause if the error states that the backend server did not run the request.
 fn not_run_cause(status: StatusCode, code: Option<&str>) -> Option<request::Cause> {
     match (status, code?) {
         (StatusCode::CONFLICT, "model_not_loaded") => Some(request::Cause::NotLoaded),
@@ -309,21 +313,21 @@
     }
 }
 
-/// The headers that go from one side to the other.
+/// Returns the end-to-end headers, which are forwarded.
 #[must_use]
 pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = connection_options(headers);
-    let mut passed = headers.clone();
-    for name in HOP_BY_HOP.iter().chain(&named) {
-        passed.remove(name);
+    let connection_headers: Vec<HeaderName> = connection_options(headers);
+    let mut forwarded = headers.clone();
+    for name in HOP_BY_HOP.iter().chain(&connection_headers) {
+        forwarded.remove(name);
     }
     for name in OTHER_HOP_BY_HOP {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
-/// Headers that the `connection` header names concern the connection too.
+/// Returns the headers that the `connection` header names, which apply only to the connection as well.
 fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).into_iter();
     let texts = values.filter_map(|value| value.to_str().ok());
@@ -331,7 +335,7 @@
     names.filter_map(|name| name.trim().parse().ok()).collect()
 }
 
-/// The content type, empty when there is none.
+/// Returns the content type, or an empty string if there is none.
 fn content_type(headers: &HeaderMap) -> &str {
     let value = headers.get(CONTENT_TYPE);
     value
--- a/crates/fireflywheel_daemon/src/backend/stream.rs
+++ b/crates/fireflywheel_daemon/src/backend/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer, checked event by event.
+//! Streamed answers, which are checked event by event.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,55 +13,54 @@
 use super::{Failure, passed_on};
 use crate::client;
 
-/// How long a stream may take to end after its end marker.
-const RELEASE_WAIT: Duration = Duration::from_secs(1);
+/// The time within which a stream must end after its end marker.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A streamed answer of a model engine.
 #[derive(Debug)]
 pub struct Stream {
     headers: HeaderMap,
     body: Incoming,
-    check: answer::StreamChecker,
-    ready: VecDeque<answer::Event>,
+    checker: answer::StreamChecker,
+    checked: VecDeque<answer::Event>,
 }
 
 impl Stream {
-    /// The stream of the request `id`, perhaps resumed after so many events.
+    /// Creates the stream of the request `id`; `resume` is the number of events after which it was resumed.
     pub(super) fn new(answer: Response<Incoming>, id: &str, resume: Option<u64>) -> Self {
         let (head, body) = answer.into_parts();
         Self {
             headers: passed_on(&head.headers),
             body,
-            check: answer::StreamChecker::new(id).with_resume(resume.unwrap_or_default()),
-            ready: VecDeque::new(),
+            checker: answer::StreamChecker::new(id).with_resume(resume.unwrap_or_default()),
+            checked: VecDeque::new(),
         }
     }
 
-    /// Headers that may be handed on.
+    /// Returns the end-to-end headers of the answer.
     #[must_use]
     pub fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// The next event, once it was checked. Nothing is to be read after [`answer::Event::End`].
+    /// Waits for the next event and checks it. Must not be called after [`answer::Event::End`].
     ///
     /// # Errors
     ///
-    /// [`Failure`] when the stream broke off or isn't the request's own.
+    /// Returns a [`Failure`] when the stream is truncated or flawed, or belongs to another request.
     pub async fn next(&mut self) -> Result<answer::Event, Failure> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.checked.pop_front() {
                 return Ok(event);
             }
             let bytes = self.read().await?;
-            self.ready.extend(self.check.push(&bytes)?);
+            self.checked.extend(self.checker.push(&bytes)?);
         }
     }
 
-    /// Lets go of a stream whose end marker came: once its last bytes are read, the connection can be used
-    /// again.
+    /// Reads the rest of a stream after its end marker, so that its connection can be reused.
     pub fn release(mut self) {
-        tokio::spawn(time::timeout(RELEASE_WAIT, async move {
+        tokio::spawn(time::timeout(RELEASE_TIMEOUT, async move {
             while let Some(Ok(_)) = self.body.frame().await {}
         }));
     }
@@ -71,21 +70,21 @@
             Some(Ok(frame)) => Ok(frame.into_data().unwrap_or_default()),
             Some(Err(_)) => Err(client::Fault::Lost.into()),
             None => {
-                // Ended without its marker, or the marker would have been returned before.
-                self.check.end()?;
+                // The stream ended without its end marker; otherwise `next` would have returned the marker.
+                self.checker.end()?;
                 Err(answer::Flaw::Truncated.into())
             }
         }
     }
 }
 
-/// An event as it goes over the wire.
+/// Encodes an event as a server-sent event.
 #[must_use]
 pub fn encode(event: &answer::Event) -> Bytes {
     let data = match event {
         answer::Event::Chunk(data) => data.as_str(),
         answer::Event::End => answer::END_MARKER,
     };
-    // Data with line ends takes one field a line.
+    // Data with line breaks takes one `data` field per line.
     format!("data: {}\n\n", data.replace('\n', "\ndata: ")).into()
 }
--- a/crates/fireflywheel_daemon/src/callers/chat.rs
+++ b/crates/fireflywheel_daemon/src/callers/chat.rs
@@ -1,4 +1,4 @@
-//! The body of a request to a model: as much of it as routing needs.
+//! Parses the body of a chat completion request as far as routing needs it.
 
 use fireflywheel::{request, routing};
 use serde::Deserialize;
@@ -7,14 +7,14 @@
 
 use crate::errors;
 
-/// What routing needs of a request to a model.
+/// The properties of a request that routing uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chat {
-    /// What it is for.
+    /// The model, with its adapter, or the path that the request addresses.
     pub target: request::Target,
-    /// Whether the answer streams.
+    /// Whether the caller asks for a streamed answer.
     pub stream: bool,
-    /// A hash of the prompt's beginning.
+    /// A hash of the prompt's first [`routing::PREFIX_CHARS`] characters; `None` without a text prompt.
     pub prefix: Option<u64>,
 }
 
@@ -36,12 +36,12 @@
     content: Content,
 }
 
-/// A text, or parts of several kinds that only the engine understands.
+/// Message content: a text, or parts of several kinds that only the engine interprets.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Content {
     Text(String),
-    Parts(#[expect(dead_code, reason = "read to be checked")] Vec<IgnoredAny>),
+    Parts(#[expect(dead_code, reason = "parsed only to validate the body")] Vec<IgnoredAny>),
     None(()),
 }
 
@@ -52,11 +52,11 @@
 }
 
 impl Chat {
-    /// Reads the body.
+    /// Parses the JSON body.
     ///
     /// # Errors
     ///
-    /// The [`errors::Problem`] to answer with.
+    /// Returns the [`errors::Problem`] to answer with when the body is invalid.
     pub fn parse(body: &[u8]) -> Result<Self, errors::Problem> {
         let body: Body = serde_json::from_slice(body).map_err(|error| {
             errors::Problem::bad_request("bad_body", format!("the body can't be read: {error}"))
@@ -68,14 +68,14 @@
             ));
         }
         Ok(Self {
-            prefix: prefix(&body),
-            target: target(&body.model)?,
+            prefix: hash_prefix(&body),
+            target: parse_target(&body.model)?,
             stream: body.stream.unwrap_or_default(),
         })
     }
 }
 
-fn target(name: &str) -> Result<request::Target, errors::Problem> {
+fn parse_target(name: &str) -> Result<request::Target, errors::Problem> {
     let (model, adapter) = match name.split_once(':') {
         Some((model, adapter)) => (model, Some(adapter)),
         None => (name, None),
@@ -92,11 +92,11 @@
     })
 }
 
-fn prefix(body: &Body) -> Option<u64> {
+fn hash_prefix(body: &Body) -> Option<u64> {
     let Content::Text(text) = &body.messages.first()?.content else {
         return None;
     };
     let start: String = text.chars().take(routing::PREFIX_CHARS).collect();
-    let named = format!("{}|{start}", body.model);
-    Some(routing::prefix(&named))
+    let keyed = format!("{}|{start}", body.model);
+    Some(routing::prefix(&keyed))
 }
--- a/crates/fireflywheel_daemon/src/callers/delivery.rs
+++ b/crates/fireflywheel_daemon/src/callers/delivery.rs
@@ -1,4 +1,4 @@
-//! An answer on its way from a backend server to the caller.
+//! Forwards the answer of a backend server to the caller.
 
 use std::sync::Arc;
 
@@ -14,27 +14,27 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// How far the caller's answer is.
+/// The state of the answer to the caller.
 #[derive(Debug)]
 pub(super) enum Reply {
-    /// Nothing of it was sent.
+    /// Nothing was sent yet.
     Pending(oneshot::Sender<Response<door::Body>>),
-    /// Its stream began.
+    /// A stream has started.
     Streaming(door::Sender),
-    /// It has ended.
+    /// The answer has ended.
     Closed,
 }
 
-/// What an attempt brought.
+/// The result of a successful attempt.
 #[derive(Debug)]
-pub(super) enum Handed {
-    /// A whole answer, not handed on yet.
-    Whole(backend::FullAnswer),
-    /// A stream, handed on to its end marker.
+pub(super) enum Delivered {
+    /// A full answer that was not forwarded yet.
+    Full(backend::FullAnswer),
+    /// A stream that was forwarded up to its end marker.
     Streamed,
 }
 
-/// What an attempt needs to hand its answer on.
+/// The state that attempts need to forward their answer.
 #[derive(Debug)]
 pub(super) struct Delivery {
     pub(super) core: Arc<core::Core>,
@@ -45,36 +45,37 @@
     pub(super) arrived: clock::Instant,
     pub(super) key: request::Key,
     pub(super) reply: Reply,
-    /// Events that went to the caller, over all attempts.
+    /// The number of events sent to the caller, over all attempts.
     pub(super) events_delivered: u64,
     pub(super) stream: Option<metrics::StreamGuard>,
 }
 
 impl Delivery {
-    /// Sends the request once. A stream is handed on event by event; dropping the future leaves a count of
-    /// what was.
+    /// Sends the request once and forwards a stream event by event. When the future is dropped,
+    /// `events_delivered` still counts the events that were forwarded.
     pub(super) async fn attempt(
         &mut self,
         server: &SmolStr,
         resume: Option<u64>,
-    ) -> Result<Handed, backend::Failure> {
-        self.check_open(resume)?;
-        let answering = self.outgoing.send(&self.client, server, resume).await?;
-        match answering {
-            // Only a stream can go on where a stream began; an engine that has lost it says so in one piece.
+    ) -> Result<Delivered, backend::Failure> {
+        self.check_deliverable(resume)?;
+        let answer = self.outgoing.send(&self.client, server, resume).await?;
+        match answer {
+            // A started stream can only be continued by a stream; an engine that has lost the stream sends a
+            // full answer that says so.
             backend::Answer::Full(_) if matches!(self.reply, Reply::Streaming(_)) => {
                 Err(backend::Failure::may_have_run(request::Cause::Disconnected))
             }
-            backend::Answer::Full(whole) => Ok(Handed::Whole(whole)),
+            backend::Answer::Full(full) => Ok(Delivered::Full(full)),
             backend::Answer::Stream(stream) => {
-                self.hand_on(stream).await?;
-                Ok(Handed::Streamed)
+                self.forward_stream(stream).await?;
+                Ok(Delivered::Streamed)
             }
         }
     }
 
-    // A second beginning after the first events went out would give the caller a doubled answer.
-    fn check_open(&self, resume: Option<u64>) -> Result<(), backend::Failure> {
+    // Starting from the beginning after events were sent would give the caller a duplicated answer.
+    fn check_deliverable(&self, resume: Option<u64>) -> Result<(), backend::Failure> {
         match (&self.reply, resume) {
             (Reply::Pending(_), _) | (Reply::Streaming(_), Some(_)) => Ok(()),
             (Reply::Streaming(_), None) => {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// What a repeat of a streamed request is to get: its body is not kept.
+    /// Returns the outcome to store for replays of a streamed request: the body is not kept.
     pub(super) fn streamed_outcome(&self) -> claim::Outcome {
         claim::Outcome::Answered {
             status: 200,
@@ -93,31 +94,34 @@
         }
     }
 
-    /// Gives the caller its final answer, if it waits for one.
+    /// Sends the final answer to the caller if the caller still waits for one.
     pub(super) fn finish(self, ending: Ending) {
         match self.reply {
             Reply::Pending(sender) => {
-                if let Some(answer) = ending.answer() {
-                    // A caller that has gone misses its answer; the node knows already.
+                if let Some(answer) = ending.into_answer() {
+                    // The send fails when the caller has disconnected, which the node knows already.
                     let _ = sender.send(answer);
                 }
             }
             Reply::Streaming(sender) => match ending {
                 Ending::Streamed => {}
                 Ending::Refused(problem) => sender.finish(problem.event()),
-                Ending::Whole(_) | Ending::Replayed(_) | Ending::Gone => sender.cut(),
+                Ending::Full(_) | Ending::Replayed(_) | Ending::CallerGone => sender.cut(),
             },
             Reply::Closed => {}
         }
     }
 
-    async fn hand_on(&mut self, mut stream: backend::Stream) -> Result<(), backend::Failure> {
+    async fn forward_stream(
+        &mut self,
+        mut stream: backend::Stream,
+    ) -> Result<(), backend::Failure> {
         loop {
             let event = stream.next().await?;
             if matches!(self.reply, Reply::Pending(_)) {
-                self.begin(stream.headers());
+                self.start_stream(stream.headers());
             }
-            self.pass(&event).await?;
+            self.forward_event(&event).await?;
             if event == answer::Event::End {
                 stream.release();
                 return Ok(());
@@ -126,8 +130,8 @@
         }
     }
 
-    /// Sends the head of the answer, now that its first event was checked.
-    fn begin(&mut self, headers: &HeaderMap) {
+    /// Sends the head of the answer. It is sent only after the first event was checked.
+    fn start_stream(&mut self, headers: &HeaderMap) {
         self.core.step(event::Event::AttemptUpdated {
             request: self.key,
             attempt: request::Attempt::Began,
@@ -140,21 +144,21 @@
         *answer.headers_mut() = headers.clone();
         let content_type = HeaderValue::from_static(EVENT_STREAM);
         answer.headers_mut().insert(CONTENT_TYPE, content_type);
-        let before = std::mem::replace(&mut self.reply, Reply::Streaming(sender));
-        if let Reply::Pending(pending) = before {
-            // A caller that has gone is noticed by the next part.
+        let previous = std::mem::replace(&mut self.reply, Reply::Streaming(sender));
+        if let Reply::Pending(pending) = previous {
+            // If the caller has disconnected, forwarding the next event fails.
             let _ = pending.send(answer);
         }
     }
 
-    async fn pass(&mut self, event: &answer::Event) -> Result<(), backend::Failure> {
+    async fn forward_event(&mut self, event: &answer::Event) -> Result<(), backend::Failure> {
         let Reply::Streaming(sender) = &self.reply else {
             return Err(backend::Failure::may_have_run(request::Cause::CallerGone));
         };
         let bytes = backend::encode(event);
-        // A caller that doesn't read would hold the engine's stream and its place in the batch.
-        let passed = time::timeout(self.limits.idle, sender.send(bytes)).await;
-        if matches!(passed, Ok(Ok(()))) {
+        // A caller that does not read would block the engine's stream and occupy a slot of its batch.
+        let sent = time::timeout(self.limits.idle, sender.send(bytes)).await;
+        if matches!(sent, Ok(Ok(()))) {
             return Ok(());
         }
         if let Reply::Streaming(sender) = std::mem::replace(&mut self.reply, Reply::Closed) {
--- a/crates/fireflywheel_daemon/src/callers/ending.rs
+++ b/crates/fireflywheel_daemon/src/callers/ending.rs
@@ -1,4 +1,4 @@
-//! How a request ends.
+//! The ways in which a request ends.
 
 use fireflywheel::{claim, request, verdict};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -6,67 +6,67 @@
 
 use crate::{backend, door, errors};
 
-/// The final answer of a request.
+/// The final result of a request.
 #[derive(Debug)]
 pub(super) enum Ending {
-    /// A whole answer.
-    Whole(backend::FullAnswer),
-    /// A stream that the caller has got to its end marker.
+    /// A full answer of a backend server.
+    Full(backend::FullAnswer),
+    /// A stream that was sent to the caller up to its end marker.
     Streamed,
-    /// Not served.
+    /// The request is refused.
     Refused(errors::Problem),
-    /// The outcome of the first request of the key.
+    /// The stored outcome of the first request with the same idempotency key.
     Replayed(claim::Outcome),
-    /// Nobody is there to answer.
-    Gone,
+    /// The caller has disconnected.
+    CallerGone,
 }
 
 impl Ending {
-    /// A refusal that says no less than the request's attempts came to.
+    /// Creates a refusal whose verdict is at least as severe as the verdict of the request's attempts.
     pub(super) fn refused(refusal: request::Refusal, attempts: verdict::Verdict) -> Self {
         let verdict = refusal.verdict.max(attempts);
         Self::Refused(errors::Problem::from(refusal).with_verdict(verdict))
     }
 
-    /// The refusal of a request whose deadline passed.
-    pub(super) fn late(attempts: verdict::Verdict) -> Self {
+    /// Creates the refusal of a request whose deadline has passed.
+    pub(super) fn deadline_passed(attempts: verdict::Verdict) -> Self {
         let refusal = request::Refusal::new(request::Code::DeadlinePassed, "the deadline passed");
         Self::refused(refusal, attempts)
     }
 
-    /// Whether a backend server answered in full.
-    pub(super) fn is_answer(&self) -> bool {
-        matches!(self, Self::Whole(_) | Self::Streamed)
+    /// Returns whether a backend server answered completely.
+    pub(super) fn is_served(&self) -> bool {
+        matches!(self, Self::Full(_) | Self::Streamed)
     }
 
-    /// Code and verdict, unless it is a whole answer.
+    /// Returns the code and the verdict to report, or `None` when the request was served.
     pub(super) fn failure(&self) -> Option<(&'static str, verdict::Verdict)> {
         match self {
-            Self::Whole(whole) if whole.status.is_client_error() => {
+            Self::Full(full) if full.status.is_client_error() => {
                 Some(("backend_rejected", verdict::Verdict::Ran))
             }
-            Self::Whole(_) | Self::Streamed => None,
+            Self::Full(_) | Self::Streamed => None,
             Self::Refused(problem) => Some((problem.code, problem.verdict)),
             Self::Replayed(_) => Some(("replayed", verdict::Verdict::Ran)),
-            Self::Gone => Some(("caller_gone", verdict::Verdict::MayHaveRun)),
+            Self::CallerGone => Some(("caller_gone", verdict::Verdict::MayHaveRun)),
         }
     }
 
-    /// The answer, unless the caller has got it.
-    pub(super) fn answer(self) -> Option<Response<door::Body>> {
+    /// Returns the answer to send, or `None` when it was sent already or the caller has disconnected.
+    pub(super) fn into_answer(self) -> Option<Response<door::Body>> {
         match self {
-            Self::Whole(whole) => Some(hand_on(whole)),
-            Self::Streamed | Self::Gone => None,
+            Self::Full(full) => Some(to_response(full)),
+            Self::Streamed | Self::CallerGone => None,
             Self::Refused(problem) => Some(problem.answer()),
             Self::Replayed(outcome) => Some(replay(outcome)),
         }
     }
 }
 
-fn hand_on(whole: backend::FullAnswer) -> Response<door::Body> {
-    let mut answer = Response::new(door::Body::whole(whole.body));
-    *answer.status_mut() = whole.status;
-    *answer.headers_mut() = whole.headers;
+fn to_response(full: backend::FullAnswer) -> Response<door::Body> {
+    let mut answer = Response::new(door::Body::whole(full.body));
+    *answer.status_mut() = full.status;
+    *answer.headers_mut() = full.headers;
     answer
 }
 
@@ -85,9 +85,9 @@
             answer
         }
         claim::Outcome::Answered { body: None, .. } => {
-            ran_before(StatusCode::CONFLICT, "key_ran", verdict::Verdict::Ran)
+            not_replayable(StatusCode::CONFLICT, "key_ran", verdict::Verdict::Ran)
         }
-        claim::Outcome::Failed(verdict) => ran_before(
+        claim::Outcome::Failed(verdict) => not_replayable(
             StatusCode::BAD_GATEWAY,
             request::Code::BackendFailed.as_str(),
             verdict,
@@ -95,7 +95,7 @@
     }
 }
 
-fn ran_before(
+fn not_replayable(
     status: StatusCode,
     code: &'static str,
     verdict: verdict::Verdict,
--- a/crates/fireflywheel_daemon/src/callers/exchange.rs
+++ b/crates/fireflywheel_daemon/src/callers/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its one final answer.
+//! Runs one request from its admission to its only final answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time;
 
-use super::delivery::{Delivery, Handed, Reply};
+use super::delivery::{Delivered, Delivery, Reply};
 use super::ending::Ending;
 use crate::{backend, client, core, door, metrics};
 
-/// How long after the deadline the node may take to refuse, which it does with its next tick.
-const GRACE: Duration = Duration::from_millis(250);
+/// The time after the deadline within which the node must refuse the request. The node refuses on its next
+/// tick.
+const REFUSAL_GRACE: Duration = Duration::from_millis(250);
 
-/// The caller's side of a request.
+/// The channels to the caller of a request.
 #[derive(Debug)]
 pub(super) struct Caller {
     answer: oneshot::Sender<Response<door::Body>>,
@@ -24,7 +25,8 @@
 }
 
 impl Caller {
-    /// A caller that gets its answer through `answer` and has gone when `gone` resolves.
+    /// Creates the channels: the caller gets its answer through `answer` and has disconnected when `gone`
+    /// resolves.
     pub(super) fn new(
         answer: oneshot::Sender<Response<door::Body>>,
         gone: oneshot::Receiver<()>,
@@ -33,7 +35,7 @@
     }
 }
 
-/// A request that the node took in.
+/// A request that was handed to the node.
 #[derive(Debug)]
 pub(super) struct Exchange {
     core: Arc<core::Core>,
@@ -48,32 +50,32 @@
     progress: Progress,
 }
 
-/// What its attempts came to.
+/// The state of the attempts of a request.
 #[derive(Debug)]
 struct Progress {
     attempts: u32,
-    /// The gravest verdict of its attempts: a later refusal must not say less.
+    /// The most severe verdict of the attempts; a later refusal must not report a weaker one.
     verdict: verdict::Verdict,
-    /// The engine that may still work on it.
-    busy: Option<SmolStr>,
+    /// The engine that may still be working on the request.
+    busy_engine: Option<SmolStr>,
 }
 
-/// How an attempt ended.
+/// The way in which an attempt ended.
 enum Step {
-    /// With a whole answer, which the caller is to get now.
-    Whole(backend::FullAnswer),
-    /// With the end of the stream, which the caller has got.
+    /// The attempt returned a full answer, which is still to be sent to the caller.
+    Full(backend::FullAnswer),
+    /// The attempt streamed its answer to the caller up to the end marker.
     Streamed,
-    /// Without a whole answer.
+    /// The attempt brought no complete answer.
     Failed(backend::Failure),
-    /// The node spoke first.
+    /// The node sent an instruction before the attempt ended.
     Instruction(core::Instruction),
-    /// The caller went first.
-    Gone,
+    /// The caller disconnected before the attempt ended.
+    CallerGone,
 }
 
 impl Exchange {
-    /// Gives the request to the node.
+    /// Hands the request to the node.
     pub(super) fn new(
         core: Arc<core::Core>,
         client: client::Client,
@@ -96,12 +98,12 @@
             progress: Progress {
                 attempts: 0,
                 verdict: verdict::Verdict::NotRun,
-                busy: None,
+                busy_engine: None,
             },
         }
     }
 
-    /// Does what the node says until the request has its final answer.
+    /// Follows the node's instructions until the request has its final answer.
     pub(super) async fn run(mut self, caller: Caller) {
         let mut gone = caller.gone;
         let mut delivery = Delivery {
@@ -116,25 +118,25 @@
             events_delivered: 0,
             stream: None,
         };
-        let ending = self.follow(&mut delivery, &mut gone).await;
+        let ending = self.follow_instructions(&mut delivery, &mut gone).await;
         self.core.remove_request(self.admitted.key);
-        if !ending.is_answer() {
-            self.cancel();
+        if !ending.is_served() {
+            self.cancel_busy_engine();
         }
-        self.report(&ending);
+        self.record_ending(&ending);
         delivery.finish(ending);
     }
 
-    async fn follow(
+    async fn follow_instructions(
         &mut self,
         delivery: &mut Delivery,
         gone: &mut oneshot::Receiver<()>,
     ) -> Ending {
-        let mut next = None;
+        let mut queued = None;
         loop {
-            let instruction = match next.take() {
+            let instruction = match queued.take() {
                 Some(instruction) => instruction,
-                None => match self.wait(gone).await {
+                None => match self.next_instruction(gone).await {
                     Ok(instruction) => instruction,
                     Err(ending) => return ending,
                 },
@@ -153,36 +155,38 @@
                 core::Instruction::Replay(outcome) => return Ending::Replayed(outcome),
             };
             match step {
-                Step::Whole(whole) => return Ending::Whole(whole),
+                Step::Full(full) => return Ending::Full(full),
                 Step::Streamed => return Ending::Streamed,
                 Step::Failed(_) => {}
-                Step::Instruction(instruction) => next = Some(instruction),
-                Step::Gone => return self.abandon(),
+                Step::Instruction(instruction) => queued = Some(instruction),
+                Step::CallerGone => return self.abandon(),
             }
         }
     }
 
-    /// Waits for the node's word.
-    async fn wait(
+    /// Waits for the node's next instruction.
+    async fn next_instruction(
         &mut self,
         gone: &mut oneshot::Receiver<()>,
     ) -> Result<core::Instruction, Ending> {
-        let left = self.core.clock().until(self.admitted.deadline);
+        let remaining = self.core.clock().until(self.admitted.deadline);
         tokio::select! {
-            instruction = self.instructions.recv() => instruction.ok_or_else(|| Ending::late(self.progress.verdict)),
+            instruction = self.instructions.recv() => {
+                instruction.ok_or_else(|| Ending::deadline_passed(self.progress.verdict))
+            }
             _ = gone => Err(self.abandon()),
-            () = time::sleep(left + GRACE) => {
-                // The node refuses by itself at the deadline. Should it ever fail to, the caller still gets
-                // an answer.
+            () = time::sleep(remaining + REFUSAL_GRACE) => {
+                // The node refuses the request at its deadline. The caller gets an answer even if the node
+                // fails to do so.
                 let _ = self.abandon();
-                Err(Ending::late(self.progress.verdict))
+                Err(Ending::deadline_passed(self.progress.verdict))
             }
         }
     }
 
     fn abandon(&self) -> Ending {
         self.core.step(event::Event::CallerGone(self.admitted.key));
-        Ending::Gone
+        Ending::CallerGone
     }
 
     async fn attempt(
@@ -192,13 +196,13 @@
         server: SmolStr,
         resume: Option<u64>,
     ) -> Step {
-        self.begin(&server);
-        let step = self.try_once(delivery, gone, &server, resume).await;
-        self.settle(delivery, &step);
+        self.prepare_attempt(&server);
+        let step = self.run_attempt(delivery, gone, &server, resume).await;
+        self.record_attempt(delivery, &step);
         step
     }
 
-    fn begin(&mut self, server: &SmolStr) {
+    fn prepare_attempt(&mut self, server: &SmolStr) {
         if self.progress.attempts == 0 {
             let wait = self.core.clock().now().since(self.arrived);
             self.core
@@ -206,69 +210,70 @@
                 .observe_dispatch(&self.labels, wait, self.is_cold);
         }
         self.progress.attempts += 1;
-        // At the same engine a cancellation could overtake the new attempt, which has the same id.
-        if self.progress.busy.as_ref() != Some(server) {
-            self.cancel();
+        // The previous attempt is not cancelled at the same engine: the cancellation could arrive after the new
+        // attempt, which has the same id, and end it.
+        if self.progress.busy_engine.as_ref() != Some(server) {
+            self.cancel_busy_engine();
         }
     }
 
-    async fn try_once(
+    async fn run_attempt(
         &mut self,
         delivery: &mut Delivery,
         gone: &mut oneshot::Receiver<()>,
         server: &SmolStr,
         resume: Option<u64>,
     ) -> Step {
-        // The node's word may have waited here while this process was paused.
-        let left = self.core.clock().until(self.admitted.deadline);
-        if left.is_zero() {
+        // The instruction may have been queued while this process was paused.
+        let remaining = self.core.clock().until(self.admitted.deadline);
+        if remaining.is_zero() {
             return Step::Failed(backend::Failure::not_run(request::Cause::DeadlinePassed));
         }
         let is_engine = self.outgoing.kind == backend::Kind::Engine;
         if is_engine {
-            self.progress.busy = Some(server.clone());
+            self.progress.busy_engine = Some(server.clone());
         }
         tokio::select! {
             biased;
-            handed = delivery.attempt(server, resume) => self.judge(handed),
-            instruction = self.instructions.recv() => instruction.map_or(Step::Gone, Step::Instruction),
-            () = time::sleep(left) => {
+            result = delivery.attempt(server, resume) => self.classify(result),
+            instruction = self.instructions.recv() => instruction.map_or(Step::CallerGone, Step::Instruction),
+            () = time::sleep(remaining) => {
                 Step::Failed(backend::Failure::may_have_run(request::Cause::DeadlinePassed))
             }
-            // A plain service can't be told to stop. Its answer is waited for, so that a repeat under the
-            // same idempotency key gets it.
-            _ = gone, if is_engine => Step::Gone,
+            // A plain service has no cancellation. Its answer is awaited even without a caller, so that a
+            // repeat with the same idempotency key gets it.
+            _ = gone, if is_engine => Step::CallerGone,
         }
     }
 
-    fn judge(&self, handed: Result<Handed, backend::Failure>) -> Step {
+    fn classify(&self, result: Result<Delivered, backend::Failure>) -> Step {
         let is_late = self.core.clock().now() >= self.admitted.deadline;
-        match handed {
-            Ok(Handed::Whole(_)) if is_late => Step::Failed(backend::Failure {
+        match result {
+            Ok(Delivered::Full(_)) if is_late => Step::Failed(backend::Failure {
                 verdict: verdict::Verdict::Ran,
                 cause: request::Cause::DeadlinePassed,
             }),
-            Ok(Handed::Whole(whole)) => Step::Whole(whole),
-            Ok(Handed::Streamed) => Step::Streamed,
-            Err(fault) => Step::Failed(fault),
+            Ok(Delivered::Full(full)) => Step::Full(full),
+            Ok(Delivered::Streamed) => Step::Streamed,
+            Err(failure) => Step::Failed(failure),
         }
     }
 
-    /// Notes how an attempt ended, and tells the node.
-    fn settle(&mut self, delivery: &Delivery, step: &Step) {
+    /// Records how an attempt ended and reports it to the node.
+    fn record_attempt(&mut self, delivery: &Delivery, step: &Step) {
         let (attempt, cause) = match step {
-            Step::Whole(whole) => (request::Attempt::Done(whole.outcome()), None),
+            Step::Full(full) => (request::Attempt::Done(full.outcome()), None),
             Step::Streamed => (request::Attempt::Done(delivery.streamed_outcome()), None),
-            Step::Failed(fault) => {
-                self.note(fault.verdict);
-                let failure = fault.with_events_delivered(delivery.events_delivered);
-                (request::Attempt::Failed(failure), Some(fault.cause))
+            Step::Failed(failure) => {
+                self.record_verdict(failure.verdict);
+                let reported = failure.with_events_delivered(delivery.events_delivered);
+                (request::Attempt::Failed(reported), Some(failure.cause))
             }
-            Step::Instruction(_) => return self.interrupted(request::Cause::DeadlinePassed),
-            Step::Gone => return self.interrupted(request::Cause::CallerGone),
+            Step::Instruction(_) => return self.record_interrupted(request::Cause::DeadlinePassed),
+            Step::CallerGone => return self.record_interrupted(request::Cause::CallerGone),
         };
         if cause.is_none() {
-            self.progress.busy = None;
+            self.progress.busy_engine = None;
         }
         self.core.metrics().count_attempt(&self.labels, cause);
         self.core.step(event::Event::AttemptUpdated {
@@ -277,27 +282,28 @@
         });
     }
 
-    /// Notes an attempt that was dropped before it ended; the node needs no word of it.
-    fn interrupted(&mut self, cause: request::Cause) {
-        self.note(verdict::Verdict::MayHaveRun);
+    /// Records an attempt that was dropped before it ended. The node is not told, since it caused the end or
+    /// learns of it as [`event::Event::CallerGone`].
+    fn record_interrupted(&mut self, cause: request::Cause) {
+        self.record_verdict(verdict::Verdict::MayHaveRun);
         self.core.metrics().count_attempt(&self.labels, Some(cause));
     }
 
-    fn note(&mut self, verdict: verdict::Verdict) {
+    fn record_verdict(&mut self, verdict: verdict::Verdict) {
         if verdict == verdict::Verdict::NotRun {
-            self.progress.busy = None;
+            self.progress.busy_engine = None;
         }
         self.progress.verdict = self.progress.verdict.max(verdict);
     }
 
-    /// Tells the engine that may still work on the request to stop.
-    fn cancel(&mut self) {
-        if let Some(server) = self.progress.busy.take() {
+    /// Cancels the request at the engine that may still be working on it.
+    fn cancel_busy_engine(&mut self) {
+        if let Some(server) = self.progress.busy_engine.take() {
             tokio::spawn(self.outgoing.cancel(&self.client, &server));
         }
     }
 
-    fn report(&self, ending: &Ending) {
+    fn record_ending(&self, ending: &Ending) {
         let since = self.core.clock().now().since(self.arrived);
         let metrics = self.core.metrics();
         match ending.failure() {
--- a/crates/fireflywheel_daemon/src/callers/intake.rs
+++ b/crates/fireflywheel_daemon/src/callers/intake.rs
@@ -1,4 +1,5 @@
-//! The body of a caller's request, read under limits, and the request as it goes on from here.
+//! Reads the body of a caller's request under size and time limits, and builds the request that is sent to a
+//! backend server.
 
 use bytes::{Bytes, BytesMut};
 use fireflywheel::{request, settings};
@@ -14,16 +15,17 @@
 use super::chat;
 use crate::{backend, errors};
 
-/// A body must be whole after so many times the longest pause: one byte a pause would hold a place for ever.
-const PAUSES: u32 = 8;
-/// A header that only this system sends to engines.
-const RESUME_FROM: &str = "x-resume-from";
+/// The time limit for a whole body, as a multiple of the idle timeout. Without it, a sender of one byte per
+/// idle timeout would hold a connection for ever.
+const MAX_BODY_TIME_RATIO: u32 = 8;
+/// The header that asks an engine to resume a stream. Only this system may send it.
+const RESUME_FROM_HEADER: &str = "x-resume-from";
 
 /// Reads the whole body.
 ///
 /// # Errors
 ///
-/// The [`errors::Problem`] to answer with when it is too large, too slow or broken.
+/// Returns the [`errors::Problem`] to answer with when the body is too large, too slow or truncated.
 pub(crate) async fn read(
     mut body: Incoming,
     limits: &settings::Limits,
@@ -47,13 +49,13 @@
         }
         Ok(bytes.freeze())
     };
-    time::timeout(limits.idle * PAUSES, whole)
+    time::timeout(limits.idle * MAX_BODY_TIME_RATIO, whole)
         .await
         .unwrap_or_else(|_| Err(too_slow()))
 }
 
-/// A hash of method, path with query and body: what a second request under one key must equal. It is the
-/// same on every instance.
+/// Returns a hash of the method, the path with its query and the body. A second request with the same
+/// idempotency key must have the same hash. The hash is the same on every instance.
 pub(super) fn fingerprint(method: &Method, uri: &Uri, body: &[u8]) -> u64 {
     let mut hash = xxh3::Xxh3::new();
     hash.update(method.as_str().as_bytes());
@@ -64,8 +66,8 @@
     hash.digest()
 }
 
-/// What routing needs of a request to a plain service.
-pub(super) fn to_service(parts: &Parts) -> chat::Chat {
+/// Returns the routing properties of a request to a plain service.
+pub(super) fn service_request(parts: &Parts) -> chat::Chat {
     chat::Chat {
         target: request::Target::Path {
             method: parts.method.as_str().into(),
@@ -76,17 +78,17 @@
     }
 }
 
-/// The request as it goes to a backend server.
-pub(super) fn outgoing(
+/// Builds the request that is sent to a backend server.
+pub(super) fn outgoing_request(
     id: SmolStr,
     parts: Parts,
     body: Bytes,
     is_chat: bool,
 ) -> backend::OutgoingRequest {
     let mut headers = backend::passed_on(&parts.headers);
-    headers.remove(RESUME_FROM);
+    headers.remove(RESUME_FROM_HEADER);
     if is_chat {
-        headers = content_type(&headers);
+        headers = only_content_type(&headers);
     }
     let kind = if is_chat {
         backend::Kind::Engine
@@ -103,7 +105,7 @@
     }
 }
 
-fn content_type(headers: &HeaderMap) -> HeaderMap {
+fn only_content_type(headers: &HeaderMap) -> HeaderMap {
     let mut only = HeaderMap::new();
     if let Some(value) = headers.get(CONTENT_TYPE) {
         only.insert(CONTENT_TYPE, value.clone());
@@ -113,7 +115,7 @@
 
 fn path_and_query(uri: &Uri) -> &str {
     uri.path_and_query()
-        .map_or(uri.path(), |whole| whole.as_str())
+        .map_or(uri.path(), |path| path.as_str())
 }
 
 fn too_large(limits: &settings::Limits) -> errors::Problem {
--- a/crates/fireflywheel_daemon/src/callers/mod.rs
+++ b/crates/fireflywheel_daemon/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: read at the door, given to the node, and answered by a task of their own.
+//! Reads the requests of callers, hands them to the node, and answers each in a task of its own.
 
 mod chat;
 mod delivery;
@@ -20,41 +20,42 @@
 
 use crate::{backend, client, core, door, errors, metrics};
 
-/// The path of requests to models.
-const CHAT: &str = "/v1/chat/completions";
+/// The path of chat completion requests.
+const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Answers callers.
+/// The HTTP service for callers.
 #[derive(Debug)]
 pub struct Callers {
     core: Arc<core::Core>,
     client: client::Client,
     limits: settings::Limits,
-    ids: Ids,
+    ids: ActiveIds,
 }
 
-/// Ids of the requests in progress here.
+/// The ids of the requests that are in progress at this instance.
 #[derive(Clone, Debug, Default)]
-struct Ids(Arc<Mutex<HashSet<SmolStr>>>);
+struct ActiveIds(Arc<Mutex<HashSet<SmolStr>>>);
 
-/// An id in use until the guard is dropped.
+/// Reserves a request id until it is dropped.
 #[derive(Debug)]
 struct IdGuard {
-    ids: Ids,
+    ids: ActiveIds,
     id: SmolStr,
 }
 
-/// A request that was read and checked.
+/// A request that was read and validated.
 #[derive(Debug)]
-struct Taken {
+struct Accepted {
     arrival: request::Arrival,
     outgoing: backend::OutgoingRequest,
     id: IdGuard,
 }
 
-impl Ids {
-    // Answers are told apart by the request id: two requests with one id could get each other's. The id names
-    // one request, and that one may be running, so the verdict isn't "not run".
-    fn take(&self, id: &SmolStr) -> Result<IdGuard, errors::Problem> {
+impl ActiveIds {
+    // Answers are matched to requests by the request id, so two requests with the same id could get each
+    // other's answers. The verdict is not "not run", since the id names the first request, which may be
+    // running.
+    fn reserve(&self, id: &SmolStr) -> Result<IdGuard, errors::Problem> {
         if !self.lock().insert(id.clone()) {
             return Err(errors::Problem::new(
                 StatusCode::CONFLICT,
@@ -81,33 +82,33 @@
 }
 
 impl Callers {
-    /// Answers callers by what the node decides.
+    /// Creates a service whose requests are scheduled by the node in `core`.
     #[must_use]
     pub fn new(core: Arc<core::Core>, client: client::Client, limits: settings::Limits) -> Self {
         Self {
             core,
             client,
             limits,
-            ids: Ids::default(),
+            ids: ActiveIds::default(),
         }
     }
 
-    async fn take_in(
+    async fn accept(
         &self,
         id: &SmolStr,
         request: Request<Incoming>,
-    ) -> Result<Taken, errors::Problem> {
+    ) -> Result<Accepted, errors::Problem> {
         let (parts, body) = request.into_parts();
         let head = head::Head::parse(&parts.headers)?;
         head::check_path(&parts.method, &parts.uri)?;
-        let guard = self.ids.take(id)?;
+        let guard = self.ids.reserve(id)?;
         let body = intake::read(body, &self.limits).await?;
         let fingerprint = intake::fingerprint(&parts.method, &parts.uri, &body);
-        let is_chat = parts.method == Method::POST && parts.uri.path() == CHAT;
+        let is_chat = parts.method == Method::POST && parts.uri.path() == CHAT_PATH;
         let chat = if is_chat {
             chat::Chat::parse(&body)?
         } else {
-            intake::to_service(&parts)
+            intake::service_request(&parts)
         };
         let arrival = request::Arrival {
             id: id.clone(),
@@ -120,44 +121,49 @@
             prefix: chat.prefix,
             stream: chat.stream,
         };
-        Ok(Taken {
+        Ok(Accepted {
             arrival,
-            outgoing: intake::outgoing(id.clone(), parts, body, is_chat),
+            outgoing: intake::outgoing_request(id.clone(), parts, body, is_chat),
             id: guard,
         })
     }
 
-    async fn exchange(&self, taken: Taken) -> Response<door::Body> {
-        let (presence, gone) = oneshot::channel();
+    async fn exchange(&self, accepted: Accepted) -> Response<door::Body> {
+        let (drop_signal, gone) = oneshot::channel();
         let (answer, answered) = oneshot::channel();
         let exchange = exchange::Exchange::new(
             Arc::clone(&self.core),
             self.client.clone(),
-            taken.arrival,
-            taken.outgoing,
+            accepted.arrival,
+            accepted.outgoing,
             self.limits,
         );
-        let guard = taken.id;
+        let guard = accepted.id;
         let task = exchange.run(exchange::Caller::new(answer, gone));
-        // A task of its own: when the caller goes, this future is dropped, but the attempt must still be
-        // ended in order and reported.
+        // The exchange runs in a task of its own. This future is dropped when the caller disconnects, but the
+        // attempt must still be cancelled and reported.
         tokio::spawn(async move {
             task.await;
             drop(guard);
         });
         match answered.await {
-            Ok(answer) => answer.map(|body| body.with_presence(presence)),
-            Err(_) => lost().answer(),
+            Ok(answer) => answer.map(|body| body.with_drop_signal(drop_signal)),
+            Err(_) => no_answer().answer(),
         }
     }
 
-    /// The answer with what every answer carries.
-    fn complete(&self, mut answer: Response<door::Body>, id: &SmolStr) -> Response<door::Body> {
+    /// Adds the headers that every answer has.
+    fn add_common_headers(
+        &self,
+        mut answer: Response<door::Body>,
+        id: &SmolStr,
+    ) -> Response<door::Body> {
         let headers = answer.headers_mut();
         if let Ok(id) = HeaderValue::from_str(id) {
             headers.insert(errors::REQUEST_ID, id);
         }
-        // A caller that keeps its connection would come back to an instance that is going.
+        // The connection is closed, so that the caller does not send its next request to an instance that is
+        // stopping.
         if self.core.is_stopping() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -165,8 +171,8 @@
     }
 }
 
-/// The task of a request ended without an answer, which is a fault of this program.
-fn lost() -> errors::Problem {
+/// Returns the answer for a request whose task ended without one, which is a bug in this program.
+fn no_answer() -> errors::Problem {
     errors::Problem::new(
         StatusCode::INTERNAL_SERVER_ERROR,
         "internal",
@@ -178,24 +184,24 @@
 
 impl door::Service for Callers {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<door::Body> {
-        let (id, taken) = match head::request_id(request.headers()) {
+        let (id, accepted) = match head::request_id(request.headers()) {
             Ok(id) => {
-                let taken = self.take_in(&id, request).await;
-                (id, taken)
+                let accepted = self.accept(&id, request).await;
+                (id, accepted)
             }
-            Err(problem) => (errors::fresh_id(), Err(problem)),
+            Err(problem) => (errors::generate_id(), Err(problem)),
         };
-        let answer = match taken {
-            Ok(taken) => self.exchange(taken).await,
+        let answer = match accepted {
+            Ok(accepted) => self.exchange(accepted).await,
             Err(problem) => {
                 let labels = metrics::Labels::unknown();
                 self.core
                     .metrics()
                     .count_outcome(&labels, problem.code, problem.verdict);
-                // Its body may be unread.
+                // The connection is closed because the body of the request may not have been read.
                 problem.with_close().answer()
             }
         };
-        self.complete(answer, &id)
+        self.add_common_headers(answer, &id)
     }
 }
--- a/crates/fireflywheel_daemon/src/client.rs
+++ b/crates/fireflywheel_daemon/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client under everything that calls out, and what is known when a call has no answer.
+//! The HTTP client for all outgoing calls. A failed call tells whether the request may have been sent.
 
 use std::error::Error as _;
 use std::fmt;
@@ -16,32 +16,32 @@
 use smol_str::SmolStr;
 use tokio::time;
 
-/// How long a connection may take to open. A server that can't be reached must not use up a deadline.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-/// Unused connections are closed after this, well before servers close them.
-const IDLE_LIMIT: Duration = Duration::from_secs(15);
+/// The time limit for opening a connection, so that an unreachable server does not use up a request's deadline.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time after which an unused connection is closed, well before servers close it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// The largest error body that is read, in bytes.
-pub const ERROR_LIMIT: usize = 64 << 10;
+pub const MAX_ERROR_BYTES: usize = 64 << 10;
 
-/// A client with one pool of connections. It never sends a request twice.
+/// An HTTP client with a connection pool. It never sends a request twice.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
-/// Why a call has no answer.
+/// The reason why a call has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// No byte of it left this instance.
+    /// No byte of the request was sent.
     Unsent,
-    /// It may have arrived.
+    /// The request may have arrived.
     Lost,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
@@ -59,7 +59,7 @@
     code: SmolStr,
 }
 
-/// The `code` of an error body in the shape that all doors share.
+/// Returns the `code` of an error body in the format that all doors share.
 #[must_use]
 pub fn error_code(body: &[u8]) -> Option<SmolStr> {
     let envelope: Envelope = serde_json::from_slice(body).ok()?;
@@ -67,26 +67,26 @@
 }
 
 impl Client {
-    /// A client without any connection yet.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT_LIMIT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
-        // A retry by the library would be a second run of a request that may run at most once.
+        // A retry by the library could run a request twice that may run at most once.
         let inner = legacy::Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
-            .pool_idle_timeout(IDLE_LIMIT)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .build(connector);
         Self { inner }
     }
 
-    /// Sends a request once; the body of the answer is still to be read.
+    /// Sends a request once. The body of the answer is not read yet.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when there is no answer.
+    /// Returns a [`Fault`] when there is no answer.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
         self.inner
             .request(request)
@@ -94,19 +94,21 @@
             .map_err(|error| fault_of(&error))
     }
 
-    /// Sends a request once and reads an answer of at most `limit` bytes within `wait`.
+    /// Sends a request once and reads an answer of at most `max_bytes` within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when there is no whole answer.
+    /// Returns a [`Fault`] when there is no complete answer.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
-        limit: usize,
-        wait: Duration,
+        max_bytes: usize,
+        timeout: Duration,
     ) -> Result<Answer, Fault> {
-        let whole = async { collect(self.send(request).await?, limit).await };
-        time::timeout(wait, whole).await.unwrap_or(Err(Fault::Lost))
+        let answer = async { collect(self.send(request).await?, max_bytes).await };
+        time::timeout(timeout, answer)
+            .await
+            .unwrap_or(Err(Fault::Lost))
     }
 }
 
@@ -116,14 +118,14 @@
     }
 }
 
-/// Reads the rest of an answer.
+/// Reads the body of an answer.
 ///
 /// # Errors
 ///
-/// [`Fault::Lost`] when it breaks off or is larger than `limit` bytes.
-pub async fn collect(answer: Response<Incoming>, limit: usize) -> Result<Answer, Fault> {
+/// Returns [`Fault::Lost`] when the body is truncated or larger than `max_bytes`.
+pub async fn collect(answer: Response<Incoming>, max_bytes: usize) -> Result<Answer, Fault> {
     let (head, body) = answer.into_parts();
-    let collected = Limited::new(body, limit).collect().await;
+    let collected = Limited::new(body, max_bytes).collect().await;
     let body = collected.map_err(|_| Fault::Lost)?.to_bytes();
     Ok(Answer {
         status: head.status,
@@ -132,11 +134,11 @@
     })
 }
 
-/// A request with a body.
+/// Creates a request with a body.
 ///
 /// # Errors
 ///
-/// [`Malformed`] when `url` isn't one.
+/// Returns [`Malformed`] when `url` is not a valid URL.
 pub fn request(
     method: Method,
     url: &str,
@@ -151,11 +153,11 @@
         .map_err(|_| Malformed)
 }
 
-/// A request without a body.
+/// Creates a request without a body.
 ///
 /// # Errors
 ///
-/// [`Malformed`] when `url` isn't one.
+/// Returns [`Malformed`] when `url` is not a valid URL.
 pub fn bare(method: Method, url: &str) -> Result<Request<Full<Bytes>>, Malformed> {
     Request::builder()
         .method(method)
@@ -164,7 +166,7 @@
         .map_err(|_| Malformed)
 }
 
-/// A text that isn't a URL.
+/// The error for a text that is not a valid URL.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
 
@@ -176,15 +178,16 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("not a URL")
+        f.write_str("not a valid URL")
     }
 }
 
 impl std::error::Error for Malformed {}
 
-// A pooled connection may have been closed by the server at the moment it was taken. The library then gives
-// the request back unsent and calls it canceled; that, and a connection that never opened, are the only two
-// cases in which no byte can have left. Every other error may have come after the request was written.
+// The server may close a pooled connection at the moment when the connection is taken from the pool. The
+// library then reports the unsent request as canceled. This and a connection that was never opened are the
+// only two cases in which no byte can have been sent. Every other error may have occurred after the request
+// was written.
 fn fault_of(error: &legacy::Error) -> Fault {
     let canceled = error
         .source()
--- a/crates/fireflywheel_daemon/src/core.rs
+++ b/crates/fireflywheel_daemon/src/core.rs
@@ -1,8 +1,8 @@
-//! The node behind one lock, and the way of its effects.
+//! The node behind a single lock, and the dispatch of its effects.
 //!
-//! Under the lock an effect is only handed over: to a channel or a queue that never waits. It is carried out
-//! by the module that reads there, after the lock is let go. Handing over under the lock keeps the effects
-//! of two steps in the order of the steps.
+//! Under the lock an effect is only handed to a channel or a queue that never blocks. The module that reads
+//! the channel carries out the effect after the lock is released. Because effects are handed over under the
+//! lock, the effects of two steps are in the order of the steps.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,23 +16,23 @@
 use crate::metrics;
 use crate::peers::registry;
 
-/// What a request's task is told.
+/// An instruction to the task of a request.
 #[derive(Debug)]
 pub enum Instruction {
-    /// Send it to this backend server.
+    /// Send the request to this backend server.
     Dispatch(SmolStr),
-    /// Go on with its stream at this backend server, after the events that the caller has.
+    /// Resume the stream at this backend server, after the events that the caller has received.
     Resume(SmolStr),
-    /// The final answer: not served.
+    /// Answer with this refusal, which is final.
     Refuse(request::Refusal),
-    /// The final answer: the outcome of the first request of its key.
+    /// Answer with the outcome of the first request with the same idempotency key, which is final.
     Replay(claim::Outcome),
 }
 
-/// An order on its way to an engine.
+/// An attempt to send an order to an engine.
 #[derive(Debug)]
 pub struct OrderAttempt {
-    /// Names it.
+    /// The id of the attempt.
     pub attempt_id: order::AttemptId,
     /// The engine's address.
     pub server: SmolStr,
@@ -40,44 +40,44 @@
     pub command: order::Command,
 }
 
-/// Where the reader of the log is to go on.
+/// The position from which the log is to be read.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReadPosition {
-    /// The offset; `None` until the node wants to read.
+    /// The offset; `None` until the node first requests a read.
     pub from: Option<u64>,
-    /// Rises with each [`effect::Effect::ReadFrom`].
+    /// A counter that is incremented by each [`effect::Effect::ReadFrom`].
     pub generation: u64,
 }
 
-/// The ends at which effects are handed over; the modules that carry them out hold the other ends.
+/// The sending ends of the channels to the modules that carry out effects.
 #[derive(Debug)]
 pub struct EffectChannels {
-    /// Texts for the log.
+    /// Texts to append to the log.
     pub appends: mpsc::UnboundedSender<String>,
-    /// Where to read the log.
+    /// The position from which to read the log.
     pub position: watch::Sender<ReadPosition>,
-    /// Backend servers to ask for reports.
+    /// The backend servers whose load reports are polled.
     pub watched: watch::Sender<Vec<SmolStr>>,
-    /// Orders to engines.
+    /// The orders to send to engines.
     pub orders: mpsc::UnboundedSender<OrderAttempt>,
-    /// Addresses of peers to connect to.
+    /// The peers to connect to.
     pub connects: mpsc::UnboundedSender<registry::Target>,
-    /// Links that are open.
+    /// The open links to peers.
     pub links: Arc<registry::Registry>,
-    /// Set once by [`effect::Effect::Exit`].
+    /// Becomes true with [`effect::Effect::Exit`].
     pub exit: watch::Sender<bool>,
 }
 
-/// A request that the node took in.
+/// A request that was handed to the node.
 #[derive(Debug)]
 pub struct Admission {
-    /// Its name and its deadline.
+    /// The key and the deadline of the request.
     pub admitted: request::Admitted,
-    /// What its task is told.
+    /// The instructions to the task of the request.
     pub instructions: mpsc::UnboundedReceiver<Instruction>,
-    /// Whom it counts for.
+    /// The metric labels of the request.
     pub labels: metrics::Labels,
-    /// Whether it waits while what it needs is loaded nowhere.
+    /// Whether the request waits for a model or adapter that is loaded nowhere.
     pub is_cold: bool,
 }
 
@@ -89,7 +89,7 @@
     stopping: bool,
 }
 
-/// One node, shared by the tasks of a daemon.
+/// The node of a daemon, shared by its tasks.
 #[derive(Debug)]
 pub struct Core {
     clock: Clock,
@@ -100,7 +100,7 @@
 }
 
 impl Core {
-    /// A core whose effects go to `channels`.
+    /// Creates a core whose effects are sent to `channels`.
     #[must_use]
     pub fn new(
         options: node::Options,
@@ -124,25 +124,25 @@
         }
     }
 
-    /// The clock of every time handed to the node.
+    /// Returns the clock that all times passed to the node are read from.
     #[must_use]
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The daemon's metrics.
+    /// Returns the daemon's metrics.
     #[must_use]
     pub fn metrics(&self) -> &metrics::Metrics {
         &self.metrics
     }
 
-    /// The name of this instance, for logs.
+    /// Returns the name of this instance, for log lines.
     #[must_use]
     pub fn instance(&self) -> &SmolStr {
         &self.instance
     }
 
-    /// Hands over the node's first effects.
+    /// Starts the node and hands over its first effects.
     pub fn start(&self) {
         let mut inner = self.lock();
         let Inner { node, out, .. } = &mut *inner;
@@ -150,23 +150,23 @@
         self.hand_over(&mut inner);
     }
 
-    /// Lets the node take one event.
+    /// Passes an event to the node.
     pub fn step(&self, event: event::Event) {
         let mut inner = self.lock();
         self.step_locked(&mut inner, event);
     }
 
-    /// Lets the node take what the log answered, unless it has asked to read elsewhere since `generation`.
+    /// Passes an answer of the log to the node, unless the node has requested another read since `generation`.
     pub fn step_log_read(&self, generation: u64, event: event::Event) {
         let mut inner = self.lock();
-        // An answer to a poll that the node has given up would seem to be the answer to its newest ReadFrom.
-        // Under the node's lock no new one can come in between.
+        // The node would take an answer to an abandoned poll for the answer to its latest ReadFrom. The check
+        // and the step are under the same lock, so that no new ReadFrom can be issued between them.
         if self.channels.position.borrow().generation == generation {
             self.step_locked(&mut inner, event);
         }
     }
 
-    /// Takes in a request; its task is told of its effects, which may come at once.
+    /// Hands a request to the node. The first instructions may be in the channel when this function returns.
     pub fn admit(&self, arrival: request::Arrival) -> Admission {
         let (sender, instructions) = mpsc::unbounded_channel();
         let mut inner = self.lock();
@@ -175,7 +175,7 @@
         let target = arrival.target.clone();
         let admitted = node.handle_arrival(self.clock.now(), arrival, out);
         let is_cold = !out.iter().any(is_instruction) && node.waits_for_load(&target);
-        // Registered before the effects are handed over: a refusal is often among them.
+        // The sender is registered before the effects are handed over, since they may include a refusal.
         inner.instructions.insert(admitted.key, sender);
         self.hand_over(&mut inner);
         Admission {
@@ -186,28 +186,28 @@
         }
     }
 
-    /// The request has had its final answer.
+    /// Removes a request that has its final answer.
     pub fn remove_request(&self, key: request::Key) {
         self.lock().instructions.remove(&key);
     }
 
-    /// Whether new work may come.
+    /// Checks whether this instance accepts new requests.
     ///
     /// # Errors
     ///
-    /// Why it may not, in a sentence.
+    /// Returns the reason as a sentence when it does not.
     pub fn check_ready(&self) -> Result<(), SmolStr> {
         self.lock().node.check_ready()
     }
 
-    /// How this instance is, and how many requests have no final answer yet.
+    /// Returns the status of this instance and the number of requests without a final answer.
     #[must_use]
     pub fn status(&self) -> (status::Status, usize) {
         let inner = self.lock();
         (inner.node.status(), inner.node.requests_in_progress())
     }
 
-    /// Begins a planned stop; a second call changes nothing.
+    /// Begins a planned stop. A second call has no effect.
     pub fn stop(&self) {
         let mut inner = self.lock();
         if !inner.stopping {
@@ -216,13 +216,13 @@
         }
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.lock().stopping
     }
 
-    /// Sends [`event::Event::Tick`] for ever.
+    /// Passes [`event::Event::Tick`] to the node in every [`node::TICK_INTERVAL`]. Never returns.
     pub async fn tick(&self) {
         let mut ticks = time::interval(node::TICK_INTERVAL);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Skip);
@@ -235,7 +235,7 @@
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
-            .expect("a panic under the node's lock leaves no state to go on from")
+            .expect("after a panic under the lock the state of the node is unusable")
     }
 
     fn step_locked(&self, inner: &mut Inner, event: event::Event) {
@@ -252,14 +252,14 @@
         inner.out = effects;
     }
 
-    // A closed channel means that the daemon is going down; what is left then has no effect.
+    // A closed channel means that the daemon is shutting down. Remaining effects are dropped.
     fn hand_over_one(
         &self,
         instructions: &HashMap<request::Key, mpsc::UnboundedSender<Instruction>>,
         effect: effect::Effect,
     ) {
         use effect::Effect;
-        let tell = |request: request::Key, instruction: Instruction| {
+        let instruct = |request: request::Key, instruction: Instruction| {
             if let Some(sender) = instructions.get(&request) {
                 let _ = sender.send(instruction);
             }
@@ -273,8 +273,8 @@
                 position.generation += 1;
             }),
             Effect::Connect { instance, address } => {
-                let call = registry::Target { instance, address };
-                let _ = self.channels.connects.send(call);
+                let target = registry::Target { instance, address };
+                let _ = self.channels.connects.send(target);
             }
             Effect::Disconnect(name) => self.channels.links.disconnect(&name),
             Effect::Send { to, frame } => self.channels.links.send(&to, frame),
@@ -286,28 +286,30 @@
                 server,
                 command,
             } => {
-                let sending = OrderAttempt {
+                let attempt = OrderAttempt {
                     attempt_id,
                     server,
                     command,
                 };
-                let _ = self.channels.orders.send(sending);
+                let _ = self.channels.orders.send(attempt);
             }
-            Effect::Dispatch { request, server } => tell(request, Instruction::Dispatch(server)),
-            // The request's task counts itself what went to the caller.
+            Effect::Dispatch { request, server } => {
+                instruct(request, Instruction::Dispatch(server));
+            }
+            // The task of the request counts the events sent to the caller itself.
             Effect::Resume {
                 request, server, ..
-            } => tell(request, Instruction::Resume(server)),
-            Effect::Refuse { request, refusal } => tell(request, Instruction::Refuse(refusal)),
-            Effect::Replay { request, outcome } => tell(request, Instruction::Replay(outcome)),
-            Effect::Notice(notice) => self.show(&notice),
+            } => instruct(request, Instruction::Resume(server)),
+            Effect::Refuse { request, refusal } => instruct(request, Instruction::Refuse(refusal)),
+            Effect::Replay { request, outcome } => instruct(request, Instruction::Replay(outcome)),
+            Effect::Notice(notice) => self.log_notice(&notice),
             Effect::Exit => {
                 self.channels.exit.send_replace(true);
             }
         }
     }
 
-    fn show(&self, notice: &effect::Notice) {
+    fn log_notice(&self, notice: &effect::Notice) {
         let instance = self.instance.as_str();
         if notice.alarm {
             log::error!(instance; "{}", notice.text);
@@ -317,7 +319,7 @@
     }
 }
 
-/// Whether a request's task is told of the effect.
+/// Returns whether the effect becomes an instruction to the task of a request.
 fn is_instruction(effect: &effect::Effect) -> bool {
     use effect::Effect;
     matches!(
--- a/crates/fireflywheel_daemon/src/daemon.rs
+++ b/crates/fireflywheel_daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One instance, put together from its settings.
+//! Assembles one instance from its settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,46 +15,47 @@
 use crate::platform::{list, log};
 use crate::{callers, client, clock, core, door, metrics, operator, orders, peers, reports};
 
-/// How long connections may take to end after the node has: answers on their way are still read.
-const CLOSE_LIMIT: Duration = Duration::from_secs(5);
+/// The time within which connections must close after the node has stopped. Clients may still be reading
+/// answers.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A running instance. Several fit in one process. Dropping it ends it at once.
+/// A running instance. A process can run several. Dropping the value ends the instance at once.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operator: SocketAddr,
     core: Arc<core::Core>,
     exit: watch::Receiver<bool>,
     close: watch::Sender<bool>,
     doors: JoinSet<()>,
-    // Held for its drop, which ends the tasks.
+    // Dropping the set ends the tasks.
     _workers: JoinSet<()>,
 }
 
-/// Begins the planned stop of a daemon that is waited for elsewhere.
+/// A handle that begins the planned stop of a [`Daemon`].
 #[derive(Clone, Debug)]
 pub struct Stopper(Arc<core::Core>);
 
 impl Stopper {
-    /// The same as [`Daemon::stop`].
+    /// Begins a planned stop, as [`Daemon::stop`] does.
     pub fn stop(&self) {
         self.0.stop();
     }
 }
 
-/// Sockets that listen.
+/// The listening sockets of an instance.
 struct Listeners {
     caller: TcpListener,
     peer: TcpListener,
     operator: TcpListener,
 }
 
-/// The ends at which the workers take effects over.
-struct Inlets {
+/// The receiving ends of [`core::EffectChannels`], for the workers that carry out effects.
+struct EffectReceivers {
     appends: mpsc::UnboundedReceiver<String>,
     position: watch::Receiver<core::ReadPosition>,
     watched: watch::Receiver<Vec<SmolStr>>,
@@ -65,11 +66,11 @@
 }
 
 impl Daemon {
-    /// Binds the addresses of the settings and begins to serve. Instances know each other by `key`.
+    /// Binds the addresses of the settings and starts to serve. Instances authenticate each other with `key`.
     ///
     /// # Errors
     ///
-    /// When an address can't be bound.
+    /// Returns an error when an address can't be bound or the metrics can't be registered.
     pub async fn start(
         settings: settings::Settings,
         key: settings::Secret,
@@ -90,23 +91,23 @@
             settings.instance.failure_domain.clone(),
         );
         let options = node::Options::new(&settings, me, address.into(), rand::random());
-        let (channels, inlets) = channels(&settings, &metrics);
+        let (channels, receivers) = channels(&settings, &metrics);
         let core = core::Core::new(options, clock::Clock::new(), channels, metrics);
         let core = Arc::new(core);
-        let links = Arc::clone(&inlets.links);
+        let links = Arc::clone(&receivers.links);
         let peers = peers::Peers::new(Arc::clone(&core), links, key, own_update);
-        let exit = inlets.exit.clone();
-        let (close, closing) = watch::channel(false);
+        let exit = receivers.exit.clone();
+        let (close, close_receiver) = watch::channel(false);
         let client = client::Client::new();
         let doors = open_doors(
             &settings,
             &core,
             &client,
-            &closing,
+            &close_receiver,
             listeners.caller,
             listeners.operator,
         );
-        let workers = start_workers(&settings, &core, &client, inlets, peers, listeners.peer);
+        let workers = start_workers(&settings, &core, &client, receivers, peers, listeners.peer);
         core.start();
         Ok(Self {
             caller,
@@ -120,25 +121,25 @@
         })
     }
 
-    /// Begins a planned stop: not ready first, then no new work, then the end of all that is in progress.
+    /// Begins a planned stop: the instance first reports that it is not ready, then refuses new requests, then
+    /// ends all that is in progress.
     pub fn stop(&self) {
         self.core.stop();
     }
 
-    /// A handle by which to stop it while [`Self::finished`] is waited for.
+    /// Returns a handle to stop the instance while [`Self::finished`] is awaited.
     #[must_use]
     pub fn stopper(&self) -> Stopper {
         Stopper(Arc::clone(&self.core))
     }
 
-    /// Waits until a planned stop has ended: everything in progress is answered and handed over.
+    /// Waits until a planned stop has finished: everything in progress is answered and handed over.
     pub async fn finished(mut self) {
         door::stopped(&mut self.exit).await;
         self.close.send_replace(true);
-        // The node has nothing in progress any more, but the last bytes of its answers may still be on their
-        // way out.
+        // The node has nothing in progress any more, but the last bytes of answers may not have been sent yet.
         let doors = async { while self.doors.join_next().await.is_some() {} };
-        let _ = time::timeout(CLOSE_LIMIT, doors).await;
+        let _ = time::timeout(CLOSE_TIMEOUT, doors).await;
     }
 }
 
@@ -161,13 +162,13 @@
 fn channels(
     settings: &settings::Settings,
     metrics: &Arc<metrics::Metrics>,
-) -> (core::EffectChannels, Inlets) {
-    let (appends, append_texts) = mpsc::unbounded_channel();
-    let (orders, sendings) = mpsc::unbounded_channel();
-    let (connects, calls) = mpsc::unbounded_channel();
-    let (position, positions) = watch::channel(core::ReadPosition::default());
-    let (watched, watched_servers) = watch::channel(Vec::new());
-    let (exit, exited) = watch::channel(false);
+) -> (core::EffectChannels, EffectReceivers) {
+    let (appends, append_receiver) = mpsc::unbounded_channel();
+    let (orders, order_receiver) = mpsc::unbounded_channel();
+    let (connects, connect_receiver) = mpsc::unbounded_channel();
+    let (position, position_receiver) = watch::channel(core::ReadPosition::default());
+    let (watched, watched_receiver) = watch::channel(Vec::new());
+    let (exit, exit_receiver) = watch::channel(false);
     let name = settings.instance.name.clone();
     let links = Arc::new(peers::registry::Registry::new(name, Arc::clone(metrics)));
     let channels = core::EffectChannels {
@@ -179,32 +180,32 @@
         links: Arc::clone(&links),
         exit,
     };
-    let inlets = Inlets {
-        appends: append_texts,
-        position: positions,
-        watched: watched_servers,
-        orders: sendings,
-        connects: calls,
+    let receivers = EffectReceivers {
+        appends: append_receiver,
+        position: position_receiver,
+        watched: watched_receiver,
+        orders: order_receiver,
+        connects: connect_receiver,
         links,
-        exit: exited,
+        exit: exit_receiver,
     };
-    (channels, inlets)
+    (channels, receivers)
 }
 
 fn open_doors(
     settings: &settings::Settings,
     core: &Arc<core::Core>,
     client: &client::Client,
-    closing: &watch::Receiver<bool>,
+    close_receiver: &watch::Receiver<bool>,
     caller: TcpListener,
     operator: TcpListener,
 ) -> JoinSet<()> {
     let mut doors = JoinSet::new();
     let callers = callers::Callers::new(Arc::clone(core), client.clone(), settings.limits);
-    let door = door::Door::new(caller, settings.limits, closing.clone());
+    let door = door::Door::new(caller, settings.limits, close_receiver.clone());
     doors.spawn(door.serve(Arc::new(callers)));
     let operators = operator::Operator::new(Arc::clone(core));
-    let door = door::Door::new(operator, settings.limits, closing.clone());
+    let door = door::Door::new(operator, settings.limits, close_receiver.clone());
     doors.spawn(door.serve(Arc::new(operators)));
     doors
 }
@@ -213,7 +214,7 @@
     settings: &settings::Settings,
     core: &Arc<core::Core>,
     client: &client::Client,
-    inlets: Inlets,
+    receivers: EffectReceivers,
     peers: peers::Peers,
     peer: TcpListener,
 ) -> JoinSet<()> {
@@ -227,27 +228,27 @@
     workers.spawn(log::append_all(
         Arc::clone(&log),
         Arc::clone(core),
-        inlets.appends,
+        receivers.appends,
     ));
     workers.spawn(log::read_all(
         log,
         Arc::clone(core),
-        inlets.position,
+        receivers.position,
         timing.log_wait,
     ));
     workers.spawn(list::poll(list, Arc::clone(core), timing.list_interval));
     workers.spawn(reports::poll(
         client.clone(),
         Arc::clone(core),
-        inlets.watched,
+        receivers.watched,
         timing.report_interval,
     ));
     workers.spawn(orders::send_all(
         client.clone(),
         Arc::clone(core),
-        inlets.orders,
+        receivers.orders,
     ));
-    workers.spawn(Arc::new(peers).run(peer, inlets.connects));
+    workers.spawn(Arc::new(peers).run(peer, receivers.connects));
     let ticker = Arc::clone(core);
     workers.spawn(async move { ticker.tick().await });
     workers
--- a/crates/fireflywheel_daemon/src/door/body.rs
+++ b/crates/fireflywheel_daemon/src/door/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or a stream of parts with a bounded buffer.
+//! Answer bodies: either a full body or a stream of parts with a bounded buffer.
 
 use std::fmt;
 use std::pin::Pin;
@@ -15,8 +15,8 @@
 #[derive(Debug)]
 pub struct Body {
     content: Content,
-    /// Dropped with the body: tells the sender that its receiver has gone.
-    _presence: Option<oneshot::Sender<()>>,
+    /// Dropped with the body, which closes the channel and so tells its other end that the client is gone.
+    _drop_signal: Option<oneshot::Sender<()>>,
 }
 
 #[derive(Debug)]
@@ -28,89 +28,89 @@
 #[derive(Debug)]
 struct Part {
     bytes: Result<Bytes, Cut>,
-    /// Room in the buffer, given back when the part is taken.
-    _room: Option<OwnedSemaphorePermit>,
+    /// The space that the part takes in the buffer, released when the part is read.
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
-/// The stream was ended on purpose before its end.
+/// The error of a stream that was cut off on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Cut;
 
-/// The receiver has gone.
+/// The error of a send to a body that was dropped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Gone;
 
-/// The sending end of a streamed body. The stream ends when it is dropped.
+/// The sending half of a streamed body. The stream ends when the sender is dropped.
 #[derive(Debug)]
 pub struct Sender {
     parts: mpsc::UnboundedSender<Part>,
-    room: Arc<Semaphore>,
+    free_space: Arc<Semaphore>,
     capacity: u32,
 }
 
 impl Body {
-    /// A body that is there already.
+    /// Creates a full body.
     #[must_use]
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self {
             content: Content::Whole(Some(bytes.into())),
-            _presence: None,
+            _drop_signal: None,
         }
     }
 
-    /// A streamed body that holds at most `capacity` bytes which its receiver hasn't taken.
+    /// Creates a streamed body that buffers at most `capacity` bytes.
     #[must_use]
     pub fn stream(capacity: usize) -> (Sender, Self) {
         let (sender, parts) = mpsc::unbounded_channel();
         let capacity = u32::try_from(capacity).unwrap_or(u32::MAX).max(1);
         let sender = Sender {
             parts: sender,
-            room: Arc::new(Semaphore::new(capacity as usize)),
+            free_space: Arc::new(Semaphore::new(capacity as usize)),
             capacity,
         };
         let body = Self {
             content: Content::Stream(parts),
-            _presence: None,
+            _drop_signal: None,
         };
         (sender, body)
     }
 
-    /// The same, holding `presence` until it is dropped.
+    /// Attaches `drop_signal`, which is dropped together with the body.
     #[must_use]
-    pub fn with_presence(mut self, presence: oneshot::Sender<()>) -> Self {
-        self._presence = Some(presence);
+    pub fn with_drop_signal(mut self, drop_signal: oneshot::Sender<()>) -> Self {
+        self._drop_signal = Some(drop_signal);
         self
     }
 }
 
 impl Sender {
-    /// Hands on a part once there is room for it.
+    /// Sends a part as soon as the buffer has space for it.
     ///
     /// # Errors
     ///
-    /// [`Gone`] when nobody receives any more.
+    /// Returns [`Gone`] when the body was dropped.
     pub async fn send(&self, bytes: Bytes) -> Result<(), Gone> {
         let size = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
-        // A part larger than the buffer takes all of it, or it would wait for ever.
+        // A part larger than the buffer takes the whole buffer; otherwise it would wait for ever.
         let size = size.min(self.capacity);
-        let room = tokio::select! {
-            room = Arc::clone(&self.room).acquire_many_owned(size) => room.map_err(|_| Gone)?,
+        let permit = tokio::select! {
+            permit = Arc::clone(&self.free_space).acquire_many_owned(size) => permit.map_err(|_| Gone)?,
             () = self.parts.closed() => return Err(Gone),
         };
-        self.push(Ok(bytes), Some(room))
+        self.push(Ok(bytes), Some(permit))
     }
 
-    /// Waits until nobody receives any more.
+    /// Waits until the body is dropped.
     pub async fn gone(&self) {
         self.parts.closed().await;
     }
 
-    /// Hands on a last part whether or not there is room, and ends the stream.
+    /// Sends a last part even if the buffer is full, and ends the stream.
     pub fn finish(self, bytes: Bytes) {
         let _ = self.push(Ok(bytes), None);
     }
 
-    /// Ends the stream so that its receiver sees that it isn't whole.
+    /// Ends the stream with an error, so that the client sees that it is incomplete.
     pub fn cut(self) {
         let _ = self.push(Err(Cut), None);
     }
@@ -118,9 +118,12 @@
     fn push(
         &self,
         bytes: Result<Bytes, Cut>,
-        room: Option<OwnedSemaphorePermit>,
+        permit: Option<OwnedSemaphorePermit>,
     ) -> Result<(), Gone> {
-        let part = Part { bytes, _room: room };
+        let part = Part {
+            bytes,
+            _permit: permit,
+        };
         self.parts.send(part).map_err(|_| Gone)
     }
 }
@@ -154,7 +157,7 @@
     }
 }
 
-/// A body that says when the server is done with it.
+/// A body that counts its request as answered when the server drops it.
 #[derive(Debug)]
 pub(super) struct Tracked {
     inner: Body,
@@ -169,7 +172,7 @@
 
 impl Drop for Tracked {
     fn drop(&mut self) {
-        self.requests.answer();
+        self.requests.count_answered();
     }
 }
 
@@ -195,7 +198,7 @@
 
 impl fmt::Display for Cut {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the stream was ended before its end")
+        f.write_str("the stream was cut off before its end")
     }
 }
 
--- a/crates/fireflywheel_daemon/src/door/gate.rs
+++ b/crates/fireflywheel_daemon/src/door/gate.rs
@@ -1,5 +1,5 @@
-//! Limits on a connection that stand before a byte is parsed: the size and the time of a request's head, and
-//! how long a receiver may leave an answer unread.
+//! Connection limits that are enforced before a request is parsed: the size and the arrival time of a request's
+//! head, and how long a client may leave an answer unread.
 
 use std::future::Future as _;
 use std::io;
@@ -16,88 +16,88 @@
 
 use crate::errors;
 
-/// How long a connection may lie idle between two requests.
+/// How long a connection may be idle between two requests.
 pub(super) const KEEP_ALIVE: Duration = Duration::from_secs(60);
 
-/// A limit that was passed.
+/// A limit that a client has exceeded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Violation {
-    /// The head is larger than taken.
-    LongHead,
-    /// The head did not come in time.
-    SlowHead,
-    /// Nothing came between two requests: the usual end of a connection.
+    /// The head is larger than the limit.
+    HeadTooLarge,
+    /// The head did not arrive in time.
+    HeadTimeout,
+    /// No further request arrived, which is the usual end of a connection.
     Idle,
-    /// The receiver left the answer unread.
-    SlowReader,
-    /// The head announces its body in two ways.
-    Ambiguous,
+    /// The client left the answer unread.
+    WriteTimeout,
+    /// The head announces its body by both a length and a transfer encoding.
+    AmbiguousFraming,
 }
 
-/// A connection under limits.
+/// A connection with enforced limits.
 #[derive(Debug)]
 pub(super) struct Gate {
     stream: TcpStream,
     limits: Limits,
     head: Head,
     requests: Arc<Requests>,
-    /// Answers whose next head was begun.
+    /// The number of answered requests when the current head began.
     answers_seen: u64,
     read_timer: Pin<Box<Sleep>>,
     write_timer: Option<Pin<Box<Sleep>>>,
     violation: Option<Violation>,
 }
 
-/// Requests of one connection, counted by those who answer them.
+/// Counts the requests of one connection.
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     begun: AtomicU64,
     answered: AtomicU64,
 }
 
-/// What a gate lets through.
+/// The limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     pub(super) header_bytes: usize,
     pub(super) idle: Duration,
 }
 
-/// How much of a request's head has come.
+/// The scan state of a request's head.
 #[derive(Clone, Copy, Debug, Default)]
 struct Head {
     bytes: usize,
     after_newline: bool,
     complete: bool,
-    later: bool,
+    is_later: bool,
     line: Line,
     has_length: bool,
     has_encoding: bool,
 }
 
-/// The name at the start of a header line, as far as it is of interest.
+/// The scan state of a header line. The name is kept up to the longest name that is looked for.
 #[derive(Clone, Copy, Debug, Default)]
 struct Line {
-    name: [u8; LONGEST_NAME],
+    name: [u8; MAX_NAME_BYTES],
     length: usize,
-    named: bool,
+    name_complete: bool,
 }
 
-const LENGTH: &[u8] = b"content-length";
-const ENCODING: &[u8] = b"transfer-encoding";
-const LONGEST_NAME: usize = ENCODING.len();
+const CONTENT_LENGTH: &[u8] = b"content-length";
+const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
+const MAX_NAME_BYTES: usize = TRANSFER_ENCODING.len();
 
 impl Line {
-    /// Adds a byte; the name once it is whole.
+    /// Adds a byte, and returns the name of the header when it is complete.
     fn push(&mut self, byte: u8) -> Option<&[u8]> {
-        if self.named {
+        if self.name_complete {
             return None;
         }
         if byte == b':' {
-            self.named = true;
+            self.name_complete = true;
             return self.name.get(..self.length);
         }
-        if let Some(place) = self.name.get_mut(self.length) {
-            *place = byte.to_ascii_lowercase();
+        if let Some(slot) = self.name.get_mut(self.length) {
+            *slot = byte.to_ascii_lowercase();
         }
         self.length += 1;
         None
@@ -105,13 +105,13 @@
 }
 
 impl Requests {
-    /// A request was parsed.
-    pub(super) fn begin(&self) {
+    /// Counts a request that was parsed.
+    pub(super) fn count_begun(&self) {
         self.begun.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// The whole answer was handed to the connection.
-    pub(super) fn answer(&self) {
+    /// Counts a request whose full answer was handed to the connection.
+    pub(super) fn count_answered(&self) {
         self.answered.fetch_add(1, Ordering::AcqRel);
     }
 
@@ -125,33 +125,33 @@
 }
 
 impl Violation {
-    /// The answer that the sender gets, if it is to get one.
+    /// Returns the answer to the client, or `None` when the connection is closed without one.
     pub(super) fn problem(self) -> Option<errors::Problem> {
         let (status, code, message) = match self {
-            Self::LongHead => (
+            Self::HeadTooLarge => (
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 "header_too_large",
                 "the request's header is larger than this door takes",
             ),
-            Self::SlowHead => (
+            Self::HeadTimeout => (
                 StatusCode::REQUEST_TIMEOUT,
                 "header_timeout",
                 "the request's header did not come in time",
             ),
-            Self::Ambiguous => (
+            Self::AmbiguousFraming => (
                 StatusCode::BAD_REQUEST,
                 "bad_framing",
                 "the request announces its body in two ways",
             ),
-            Self::Idle | Self::SlowReader => return None,
+            Self::Idle | Self::WriteTimeout => return None,
         };
         Some(errors::Problem::new(status, code, message))
     }
 }
 
 impl Head {
-    /// Looks for the empty line that ends a head. Lines may end without a carriage return, since the parser
-    /// takes that as well.
+    /// Scans for the empty line that ends a head. Lines may end without a carriage return, since the HTTP
+    /// parser accepts that as well.
     fn scan(&mut self, bytes: &[u8]) {
         for byte in bytes {
             if self.complete {
@@ -168,8 +168,8 @@
                 other => {
                     self.after_newline = false;
                     let name = self.line.push(*other);
-                    self.has_length |= name == Some(LENGTH);
-                    self.has_encoding |= name == Some(ENCODING);
+                    self.has_length |= name == Some(CONTENT_LENGTH);
+                    self.has_encoding |= name == Some(TRANSFER_ENCODING);
                 }
             }
         }
@@ -177,7 +177,7 @@
 }
 
 impl Gate {
-    /// A gate before a new connection, whose requests are counted in `requests`.
+    /// Wraps a new connection, whose requests are counted in `requests`.
     pub(super) fn new(stream: TcpStream, limits: Limits, requests: Arc<Requests>) -> Self {
         Self {
             stream,
@@ -191,21 +191,21 @@
         }
     }
 
-    /// The limit that ended the connection.
+    /// Returns the limit that ended the connection, if one did.
     pub(super) fn violation(&self) -> Option<Violation> {
         self.violation
     }
 
-    /// The connection without its limits.
+    /// Returns the connection without its limits.
     pub(super) fn into_inner(self) -> TcpStream {
         self.stream
     }
 
-    /// Tells whether what is read next belongs to a head.
-    fn follow_requests(&mut self) {
-        // A sender may have sent its next head together with the one before. It is parsed without another
-        // read here; without this its body would be taken for a head, and a request that runs would be
-        // answered as one whose header didn't come.
+    /// Updates whether the bytes that are read next belong to a head.
+    fn update_head(&mut self) {
+        // With pipelining, a client may have sent its next head together with the previous request. That head
+        // is parsed without another read here. Without this check, its body would be scanned as a head, and a
+        // running request would be answered with a header timeout.
         if self.requests.is_busy() {
             self.head.complete = true;
             return;
@@ -214,14 +214,14 @@
         if answered > self.answers_seen {
             self.answers_seen = answered;
             self.head = Head {
-                later: true,
+                is_later: true,
                 ..Head::default()
             };
             self.read_timer.as_mut().reset(Instant::now() + KEEP_ALIVE);
         }
     }
 
-    fn take_in(&mut self, bytes: &[u8]) -> Result<(), Violation> {
+    fn scan_head(&mut self, bytes: &[u8]) -> Result<(), Violation> {
         if self.head.complete || bytes.is_empty() {
             return Ok(());
         }
@@ -232,19 +232,19 @@
         }
         self.head.scan(bytes);
         if self.head.bytes > self.limits.header_bytes {
-            return Err(Violation::LongHead);
+            return Err(Violation::HeadTooLarge);
         }
-        // Two parsers could take such a request for two of different lengths, and one of them would run what
-        // the other saw as a body. The parser behind this gate drops the length without a word.
+        // This prevents request smuggling: two parsers could read different body lengths, and one of them would
+        // run what the other saw as a body. The HTTP parser behind this gate ignores the length silently.
         if self.head.has_length && self.head.has_encoding {
-            return Err(Violation::Ambiguous);
+            return Err(Violation::AmbiguousFraming);
         }
         Ok(())
     }
 
     fn fail(&mut self, violation: Violation) -> io::Error {
         self.violation.get_or_insert(violation);
-        io::Error::new(io::ErrorKind::TimedOut, "a limit of the door was passed")
+        io::Error::new(io::ErrorKind::TimedOut, "a connection limit was exceeded")
     }
 
     fn poll_read_timer(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
@@ -252,11 +252,11 @@
             return Poll::Pending;
         }
         ready!(self.read_timer.as_mut().poll(context));
-        let idle = self.head.later && self.head.bytes == 0;
-        let violation = if idle {
+        let is_idle = self.head.is_later && self.head.bytes == 0;
+        let violation = if is_idle {
             Violation::Idle
         } else {
-            Violation::SlowHead
+            Violation::HeadTimeout
         };
         Poll::Ready(self.fail(violation))
     }
@@ -267,7 +267,7 @@
             .write_timer
             .get_or_insert_with(|| Box::pin(time::sleep(idle)));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(self.fail(Violation::SlowReader))
+        Poll::Ready(self.fail(Violation::WriteTimeout))
     }
 }
 
@@ -277,12 +277,12 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.follow_requests();
+        self.update_head();
         let before = buffer.filled().len();
         if let Poll::Ready(result) = Pin::new(&mut self.stream).poll_read(context, buffer) {
             result?;
-            let taken = self.take_in(&buffer.filled()[before..]);
-            return Poll::Ready(taken.map_err(|violation| self.fail(violation)));
+            let scanned = self.scan_head(&buffer.filled()[before..]);
+            return Poll::Ready(scanned.map_err(|violation| self.fail(violation)));
         }
         self.poll_read_timer(context).map(Err)
     }
@@ -298,7 +298,8 @@
             self.write_timer = None;
             return Poll::Ready(result);
         }
-        // A receiver that stops reading would hold its answer, its place and the engine's stream for ever.
+        // A client that stops reading would hold its answer, its connection slot and the engine's stream for
+        // ever.
         self.poll_write_timer(context).map(Err)
     }
 
--- a/crates/fireflywheel_daemon/src/door/mod.rs
+++ b/crates/fireflywheel_daemon/src/door/mod.rs
@@ -1,4 +1,4 @@
-//! A door: a listening socket with limits that stand before anything is parsed.
+//! Doors: listening sockets that enforce limits before a request is parsed.
 
 mod body;
 mod gate;
@@ -23,29 +23,29 @@
 
 use crate::errors;
 
-/// Connections over the limit that get a written refusal at once; those beyond are dropped.
-const REFUSALS: usize = 64;
-/// How long a connection that we end may go on sending, so that its sender reads our answer.
-const LINGER: Duration = Duration::from_secs(1);
-/// How much it may send meanwhile, in bytes.
-const LINGER_BYTES: u64 = 4 << 20;
-/// The smallest buffer that the HTTP library takes, in bytes.
-const SMALLEST_BUFFER: usize = 8192;
-/// Room for what follows a head in the same buffer, in bytes.
-const BUFFER_MARGIN: usize = 4096;
-/// Wait after the system refused to accept a connection, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-
-/// Whoever answers requests behind a door.
+/// How many connections over the limit receive an error answer at the same time; further ones are dropped.
+const MAX_REFUSALS: usize = 64;
+/// How long a client may go on sending after its connection was shut down here, so that it can read the answer.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// How much the client may send in this time, in bytes.
+const MAX_LINGER_BYTES: u64 = 4 << 20;
+/// The smallest buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// Additional buffer space for data that follows a head, in bytes.
+const BUFFER_MARGIN_BYTES: usize = 4096;
+/// The delay after the system failed to accept a connection, such as when no file descriptor is left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// An HTTP service behind a door.
 pub trait Service: Send + Sync + 'static {
-    /// Answers a request. The future is dropped when the sender's connection ends.
+    /// Answers a request. The future is dropped when the client's connection ends.
     fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// A listening socket.
+/// A listening socket with connection limits.
 #[derive(Debug)]
 pub struct Door {
     listener: TcpListener,
@@ -54,7 +54,7 @@
 }
 
 impl Door {
-    /// A door at `listener` that closes when `stop` becomes true.
+    /// Creates a door on `listener` that closes when `stop` becomes true.
     #[must_use]
     pub fn new(
         listener: TcpListener,
@@ -68,13 +68,14 @@
         }
     }
 
-    /// Serves until the stop, then lets every request in progress end. Dropping the future cuts them.
+    /// Serves until `stop` becomes true, then waits for the requests in progress. Dropping the future cuts them
+    /// off.
     pub async fn serve<S>(mut self, service: Arc<S>)
     where
         S: Service,
     {
-        let places = Arc::new(Semaphore::new(self.limits.connections));
-        let refusals = Arc::new(Semaphore::new(REFUSALS));
+        let slots = Arc::new(Semaphore::new(self.limits.connections));
+        let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
         let mut connections = JoinSet::new();
         loop {
             let accepted = tokio::select! {
@@ -83,22 +84,22 @@
             };
             while connections.try_join_next().is_some() {}
             let Ok((stream, _)) = accepted else {
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // Small answers and stream events must not wait for one another.
+            // Without Nagle's algorithm, small answers and stream events are sent at once.
             let _ = stream.set_nodelay(true);
-            if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
+            if let Ok(slot) = Arc::clone(&slots).try_acquire_owned() {
                 let connection =
                     serve_connection(stream, self.limits, self.stop.clone(), Arc::clone(&service));
                 connections.spawn(async move {
                     connection.await;
-                    drop(place);
+                    drop(slot);
                 });
-            } else if let Ok(place) = Arc::clone(&refusals).try_acquire_owned() {
+            } else if let Ok(slot) = Arc::clone(&refusals).try_acquire_owned() {
                 connections.spawn(async move {
                     refuse(stream).await;
-                    drop(place);
+                    drop(slot);
                 });
             }
         }
@@ -107,9 +108,9 @@
     }
 }
 
-/// Waits until `stop` is true; also when its sender has gone.
+/// Waits until `stop` is true or its sender is dropped.
 pub async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // The error means that the sender was dropped, which is a stop too.
+    // An error means that the sender was dropped, which counts as a stop.
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
@@ -120,7 +121,7 @@
         "this instance holds as many connections as it takes",
     )
     .with_retry_after(Duration::from_secs(1));
-    say_last(stream, &problem).await;
+    send_and_close(stream, &problem).await;
 }
 
 async fn serve_connection<S>(
@@ -140,17 +141,17 @@
     let handler = service::service_fn(move |request| {
         let service = Arc::clone(&service);
         let requests = Arc::clone(&requests);
-        requests.begin();
+        requests.count_begun();
         Box::pin(async move {
             let answer = service.answer(request).await;
             Ok::<_, Infallible>(answer.map(|body| body::Tracked::new(body, requests)))
         })
     });
-    let mut connection = builder(&limits).serve_connection(TokioIo::new(gate), handler);
+    let mut connection = http_builder(&limits).serve_connection(TokioIo::new(gate), handler);
     let mut stopping = false;
     loop {
         tokio::select! {
-            // An error is a sender that went away, or a limit that the gate remembers.
+            // An error means that the client disconnected or exceeded a limit, which the gate records.
             _ = future::poll_fn(|context| connection.poll_without_shutdown(context)) => break,
             () = stopped(&mut stop), if !stopping => {
                 stopping = true;
@@ -163,37 +164,37 @@
         None => close(gate.into_inner()).await,
         Some(violation) => {
             if let Some(problem) = violation.problem() {
-                say_last(gate.into_inner(), &problem).await;
+                send_and_close(gate.into_inner(), &problem).await;
             }
         }
     }
 }
 
-fn builder(limits: &settings::Limits) -> http1::Builder {
-    let mut builder = http1::Builder::new();
-    builder
+fn http_builder(limits: &settings::Limits) -> http1::Builder {
+    let mut http_builder = http1::Builder::new();
+    http_builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle + gate::KEEP_ALIVE)
-        .max_buf_size(limits.header_bytes.max(SMALLEST_BUFFER) + BUFFER_MARGIN);
-    builder
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES) + BUFFER_MARGIN_BYTES);
+    http_builder
 }
 
-async fn say_last(mut stream: TcpStream, problem: &errors::Problem) {
-    let written = time::timeout(LINGER, stream.write_all(&problem.raw())).await;
+async fn send_and_close(mut stream: TcpStream, problem: &errors::Problem) {
+    let written = time::timeout(LINGER_TIMEOUT, stream.write_all(&problem.raw())).await;
     if matches!(written, Ok(Ok(()))) {
         close(stream).await;
     }
 }
 
-// A socket that is closed with unread bytes resets the connection, and the reset overtakes the answer: a
-// sender of a too large body would see a broken connection in place of the 413. So what still comes is read
-// for a moment.
+// Closing a socket with unread bytes resets the connection, and the reset can arrive before the answer: a
+// client that sends too large a body would see a connection reset instead of the 413. So incoming bytes are
+// read and discarded for a limited time.
 async fn close(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut rest = stream.take(LINGER_BYTES);
-    let _ = time::timeout(LINGER, async {
+    let mut rest = stream.take(MAX_LINGER_BYTES);
+    let _ = time::timeout(LINGER_TIMEOUT, async {
         let mut buffer = [0; 4096];
         while matches!(rest.read(&mut buffer).await, Ok(count) if count > 0) {}
     })
--- a/crates/fireflywheel_daemon/src/errors.rs
+++ b/crates/fireflywheel_daemon/src/errors.rs
@@ -1,4 +1,4 @@
-//! Error answers: one shape at every door.
+//! Error answers, which have the same format at every door.
 
 use std::time::Duration;
 
@@ -12,33 +12,33 @@
 
 use crate::door;
 
-/// The header that names a request, in both directions.
+/// The header with the request id, in requests and answers.
 pub const REQUEST_ID: &str = "x-request-id";
-/// The header of a failure that says whether the request may have run.
+/// The header of an error answer that tells whether the request may have run.
 pub const VERDICT: &str = "x-verdict";
-/// The header beside `retry-after`, in milliseconds.
+/// The header that repeats `retry-after` in milliseconds.
 pub const RETRY_AFTER_MS: &str = "retry-after-ms";
 
-/// Random bytes of a request id that the caller didn't choose.
-const ID_BYTES: usize = 16;
+/// The number of random bytes in a generated request id.
+const GENERATED_ID_BYTES: usize = 16;
 
-const SERVER_ERROR: &str = "server_error";
-const INVALID_REQUEST: &str = "invalid_request_error";
+const SERVER_ERROR_TYPE: &str = "server_error";
+const INVALID_REQUEST_TYPE: &str = "invalid_request_error";
 
-/// A request that gets an error for its answer.
+/// An error answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
     /// The HTTP status.
     pub status: StatusCode,
-    /// For programs.
+    /// The error code, for programs.
     pub code: &'static str,
-    /// For people, in a sentence.
+    /// The message, a sentence for people.
     pub message: SmolStr,
     /// Whether the request may have run.
     pub verdict: verdict::Verdict,
-    /// When it is worth coming back.
+    /// The time after which the caller should retry, if a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// Whether the connection ends with the answer, since more of the request may follow on it.
+    /// Whether the connection is closed after the answer, because unread parts of the request may follow on it.
     pub closes: bool,
 }
 
@@ -55,17 +55,17 @@
     verdict: &'a str,
 }
 
-/// A random request id.
+/// Generates a random request id.
 #[must_use]
-pub fn fresh_id() -> SmolStr {
-    let mut bytes = [0; ID_BYTES];
+pub fn generate_id() -> SmolStr {
+    let mut bytes = [0; GENERATED_ID_BYTES];
     rand::rng().fill_bytes(&mut bytes);
     let digits = bytes.iter().map(|byte| format!("{byte:02x}"));
     SmolStr::from_iter(digits)
 }
 
 impl Problem {
-    /// A problem of a request that has not run.
+    /// Creates a problem for a request that has not run.
     #[must_use]
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<SmolStr>) -> Self {
         Self {
@@ -78,43 +78,43 @@
         }
     }
 
-    /// A request that is itself at fault (400).
+    /// Creates a problem for an invalid request (400).
     #[must_use]
     pub fn bad_request(code: &'static str, message: impl Into<SmolStr>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// The same with another verdict.
+    /// Sets the verdict.
     #[must_use]
     pub fn with_verdict(mut self, verdict: verdict::Verdict) -> Self {
         self.verdict = verdict;
         self
     }
 
-    /// The same with a time to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The same, ending the connection.
+    /// Closes the connection after the answer.
     #[must_use]
     pub fn with_close(mut self) -> Self {
         self.closes = true;
         self
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     #[must_use]
     pub fn body(&self) -> String {
-        let server_side = self.status.is_server_error();
+        let is_server_error = self.status.is_server_error();
         let envelope = Envelope {
             error: Content {
-                r#type: if server_side {
-                    SERVER_ERROR
+                r#type: if is_server_error {
+                    SERVER_ERROR_TYPE
                 } else {
-                    INVALID_REQUEST
+                    INVALID_REQUEST_TYPE
                 },
                 code: self.code,
                 message: &self.message,
@@ -124,13 +124,13 @@
         serde_json::to_string(&envelope).expect("strings always have a JSON form")
     }
 
-    /// The event that ends a stream which had begun.
+    /// Returns the event that ends a stream which has started.
     #[must_use]
     pub fn event(&self) -> Bytes {
         format!("data: {}\n\n", self.body()).into()
     }
 
-    /// The whole answer. The request id is the caller's to add.
+    /// Returns the answer. The caller of this function adds the request id.
     #[must_use]
     pub fn answer(&self) -> Response<door::Body> {
         let mut answer = Response::new(door::Body::whole(self.body()));
@@ -139,8 +139,8 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(VERDICT, HeaderValue::from_static(self.verdict.as_str()));
         if let Some(wait) = self.retry_after {
-            headers.insert(RETRY_AFTER, whole_seconds(wait).into());
-            headers.insert(RETRY_AFTER_MS, whole_millis(wait).into());
+            headers.insert(RETRY_AFTER, seconds_rounded_up(wait).into());
+            headers.insert(RETRY_AFTER_MS, millis_rounded_up(wait).into());
         }
         if self.closes {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
@@ -148,15 +148,15 @@
         answer
     }
 
-    /// The bytes of a whole HTTP/1.1 answer that ends the connection, for the time before a request was
-    /// parsed. It has a request id of its own.
+    /// Returns the bytes of an HTTP/1.1 answer that closes the connection, for failures before a request was
+    /// parsed. The answer has a generated request id.
     #[must_use]
     pub fn raw(&self) -> Vec<u8> {
         let body = self.body();
         let reason = self.status.canonical_reason().unwrap_or_default();
         let wait = self.retry_after.map(|wait| {
-            let seconds = whole_seconds(wait);
-            let millis = whole_millis(wait);
+            let seconds = seconds_rounded_up(wait);
+            let millis = millis_rounded_up(wait);
             format!("retry-after: {seconds}\r\n{RETRY_AFTER_MS}: {millis}\r\n")
         });
         format!(
@@ -164,7 +164,7 @@
              connection: close\r\n{REQUEST_ID}: {id}\r\n{VERDICT}: {verdict}\r\n{wait}\r\n{body}",
             status = self.status.as_u16(),
             length = body.len(),
-            id = fresh_id(),
+            id = generate_id(),
             verdict = self.verdict,
             wait = wait.unwrap_or_default(),
         )
@@ -184,15 +184,15 @@
     }
 }
 
-// Rounded up: a caller that comes back within the second would come too early.
-fn whole_seconds(wait: Duration) -> u64 {
+// The value is rounded up, since a caller that retries after fewer seconds would be too early.
+fn seconds_rounded_up(wait: Duration) -> u64 {
     wait.as_millis()
         .div_ceil(1000)
         .try_into()
         .unwrap_or(u64::MAX)
 }
 
-fn whole_millis(wait: Duration) -> u64 {
+fn millis_rounded_up(wait: Duration) -> u64 {
     wait.as_nanos()
         .div_ceil(1_000_000)
         .try_into()
--- a/crates/fireflywheel_daemon/src/lib.rs
+++ b/crates/fireflywheel_daemon/src/lib.rs
@@ -1,23 +1,23 @@
-//! `fireflywheeld`: sockets, files, timers and signals round the decisions of [`fireflywheel`].
+//! `fireflywheeld`: the sockets, files, timers and signals around the state machine of [`fireflywheel`].
 //!
-//! The crate decides nothing. Each thing that happens outside becomes an [`fireflywheel::event::Event`],
-//! and each [`fireflywheel::effect::Effect`] that comes back is carried out by one module:
+//! This crate makes no decisions. Each outside occurrence becomes a [`fireflywheel::event::Event`], and each
+//! [`fireflywheel::effect::Effect`] that is returned is carried out by one module:
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`daemon`] | puts one instance together; several fit in one process |
-//! | [`core`] | the node behind one lock, and where its effects go |
-//! | [`door`] | listening sockets: limits that stand before anything is parsed |
-//! | [`callers`] | requests of callers, from the door to the one final answer |
-//! | [`backend`] | attempts at backend servers, and what is known after each |
-//! | [`client`] | the HTTP client, and what is known when a call has no answer |
+//! | [`daemon`] | assembles one instance; a process can run several |
+//! | [`core`] | the node behind a single lock, and the dispatch of its effects |
+//! | [`door`] | listening sockets with limits that are enforced before a request is parsed |
+//! | [`callers`] | requests of callers, from the door to their only final answer |
+//! | [`backend`] | attempts at backend servers, and the verdict of each |
+//! | [`client`] | the HTTP client, which tells whether a failed request may have been sent |
 //! | [`orders`] | orders to model engines |
 //! | [`reports`] | load reports of backend servers |
 //! | [`platform`] | the platform's log and list, each behind a small trait |
 //! | [`peers`] | links to other instances |
 //! | [`operator`] | metrics, health, status and drain |
 //!
-//! A daemon is started from its settings and the key of its peers:
+//! A daemon is started from its settings and the key that it shares with its peers:
 //!
 //! ```no_run
 //! use fireflywheel::settings;
--- a/crates/fireflywheel_daemon/src/logs.rs
+++ b/crates/fireflywheel_daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured logs: lines of text or of JSON, to standard error or a file.
+//! Structured logs: lines of text or JSON, written to standard error or a file.
 
 use std::io::{self, Write};
 
@@ -8,15 +8,15 @@
 use log::kv;
 use serde_json::{Map, Value};
 
-const TIME: &str = "%Y-%m-%dT%H:%M:%S%.3f%:z";
+const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3f%:z";
 
-/// Starts logging for the whole process, as long as the handle lives.
+/// Starts logging for the whole process. Logging ends when the handle is dropped.
 ///
 /// # Errors
 ///
-/// When the file can't be written, or logging was started before.
+/// Returns an error when the file can't be written or logging was started before.
 pub fn start(settings: &settings::Log) -> anyhow::Result<LoggerHandle> {
-    // Libraries speak only of what calls for attention.
+    // Other crates log at most warnings.
     let specification = LogSpecification::builder()
         .default(settings.level.min(log::LevelFilter::Warn))
         .module("fireflywheel", settings.level)
@@ -37,7 +37,7 @@
     write!(
         writer,
         "{} {:5} {}",
-        now.format(TIME),
+        now.format(TIME_FORMAT),
         record.level(),
         record.args()
     )?;
@@ -53,7 +53,10 @@
     record: &log::Record<'_>,
 ) -> io::Result<()> {
     let mut line = fields(record);
-    line.insert("time".to_owned(), now.format(TIME).to_string().into());
+    line.insert(
+        "time".to_owned(),
+        now.format(TIME_FORMAT).to_string().into(),
+    );
     line.insert("level".to_owned(), record.level().as_str().into());
     line.insert("module".to_owned(), record.target().into());
     line.insert("message".to_owned(), record.args().to_string().into());
@@ -62,7 +65,7 @@
 
 fn fields(record: &log::Record<'_>) -> Map<String, Value> {
     let mut fields = Fields::default();
-    // A visitor that never fails makes the visit infallible.
+    // The visit can't fail, since the visitor never returns an error.
     let _ = record.key_values().visit(&mut fields);
     fields.0
 }
--- a/crates/fireflywheel_daemon/src/main.rs
+++ b/crates/fireflywheel_daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `fireflywheeld`: one instance as a process.
+//! `fireflywheeld`: runs one instance as a process.
 
 use std::fs;
 use std::io::Write as _;
@@ -11,15 +11,15 @@
 use fireflywheel_daemon::{daemon, logs};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code of a process whose settings have faults.
-const FAULTS: u8 = 2;
-/// The exit code of a process that was ended by a second signal.
-const CUT_SHORT: u8 = 1;
+/// The exit code when the settings are invalid.
+const INVALID_SETTINGS_CODE: u8 = 2;
+/// The exit code when a second signal ends the process.
+const SECOND_SIGNAL_CODE: u8 = 1;
 
 const ABOUT: &str = "One instance of fireflywheel, which serves rarely called language models";
 
 const HELP: &str = "\
-A settings file is INI. The least that it needs:
+A settings file is in INI format. The minimum is:
 
     [instance]
     name = a1
@@ -34,22 +34,22 @@
 Further sections: [listen] caller, peer, operator, advertise; [limits]; [timing]; [log] level, format, file.
 The key file holds the same secret of 16 bytes or more on all instances.
 
-When it listens it prints one line on standard output:
+Once it listens, it prints one line to standard output:
 
     ready caller=IP:PORT peer=IP:PORT operator=IP:PORT
 
-It may still be not ready for callers: ask GET /readyz at the operator address, which says why.
-SIGTERM or SIGINT begins a planned stop that cuts no request; a second one ends the process at once.
+It may not be ready for callers yet; GET /readyz at the operator address tells why.
+SIGTERM or SIGINT begins a planned stop that cuts off no request; a second signal ends the process at once.
 
-Exit codes: 0 after a planned stop, 1 on a failure or a second signal, 2 when the settings have faults.";
+Exit codes: 0 after a planned stop, 1 on a failure or a second signal, 2 when the settings are invalid.";
 
-/// What the command line asks for.
+/// The options on the command line.
 struct Options {
     settings: PathBuf,
     check: bool,
 }
 
-/// What the settings file holds, and the key that it points to.
+/// The settings and the key that they point to.
 struct Loaded {
     settings: settings::Settings,
     key: settings::Secret,
@@ -72,7 +72,7 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and the key file, name every fault, and end"),
+                .help("Check the settings and the key file, report every fault, and exit"),
         )
 }
 
@@ -81,12 +81,12 @@
     Options {
         settings: matches
             .remove_one("settings")
-            .expect("clap demands --settings"),
+            .expect("clap requires --settings"),
         check: matches.get_flag("check"),
     }
 }
 
-/// Reads the settings; the error is every fault, one in each line.
+/// Reads the settings and the key file. The error lists every fault, one per line.
 fn load(path: &Path) -> Result<Loaded, String> {
     let shown = path.display();
     let text = fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
@@ -111,7 +111,7 @@
         Ok(loaded) => loaded,
         Err(faults) => {
             eprintln!("{faults}");
-            return ExitCode::from(FAULTS);
+            return ExitCode::from(INVALID_SETTINGS_CODE);
         }
     };
     if options.check {
@@ -124,14 +124,14 @@
 }
 
 fn run(loaded: Loaded) -> anyhow::Result<ExitCode> {
-    // Held to the end: its drop would stop the logs.
+    // Dropping the logger would stop logging.
     let _logger = logs::start(&loaded.settings.log)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .context("the runtime can't be started")?;
     let code = runtime.block_on(serve(loaded));
-    // What still runs must not hold up the end of the process.
+    // Tasks that are still running must not delay the end of the process.
     runtime.shutdown_background();
     code
 }
@@ -140,7 +140,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let daemon = daemon::Daemon::start(loaded.settings, loaded.key).await?;
-    announce(&daemon)?;
+    print_ready(&daemon)?;
     let stop = daemon.stopper();
     let finished = daemon.finished();
     tokio::pin!(finished);
@@ -152,14 +152,14 @@
             _ = interrupt.recv() => signals += 1,
         }
         if signals > 1 {
-            log::warn!("a second signal ends the process with requests in progress");
-            return Ok(ExitCode::from(CUT_SHORT));
+            log::warn!("second signal received; ending the process with requests in progress");
+            return Ok(ExitCode::from(SECOND_SIGNAL_CODE));
         }
         stop.stop();
     }
 }
 
-fn announce(daemon: &daemon::Daemon) -> anyhow::Result<()> {
+fn print_ready(daemon: &daemon::Daemon) -> anyhow::Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(
         out,
--- a/crates/fireflywheel_daemon/src/operator.rs
+++ b/crates/fireflywheel_daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' door: metrics, health, status and drain.
+//! The HTTP service for operators: metrics, health, status and drain.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 
 use crate::{core, door, errors};
 
-const TEXT: &str = "text/plain; charset=utf-8";
-const JSON: &str = "application/json";
-/// What scrapers expect of the text form of metrics.
-const METRICS: &str = "text/plain; version=0.0.4; charset=utf-8";
+const TEXT_TYPE: &str = "text/plain; charset=utf-8";
+const JSON_TYPE: &str = "application/json";
+/// The content type of the Prometheus text format.
+const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
-/// Answers operators.
+/// The HTTP service for operators.
 #[derive(Debug)]
 pub struct Operator {
     core: Arc<core::Core>,
@@ -27,7 +27,7 @@
 }
 
 impl Operator {
-    /// Tells of the node in `core`.
+    /// Creates a service that reports on the node in `core`.
     #[must_use]
     pub fn new(core: Arc<core::Core>) -> Self {
         Self { core }
@@ -36,7 +36,7 @@
     fn metrics(&self) -> Response<door::Body> {
         let (status, in_progress) = self.core.status();
         match self.core.metrics().text(&status, in_progress) {
-            Ok(text) => answer(StatusCode::OK, METRICS, text),
+            Ok(text) => answer(StatusCode::OK, METRICS_TYPE, text),
             Err(error) => errors::Problem::new(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "internal",
@@ -48,10 +48,10 @@
 
     fn ready(&self) -> Response<door::Body> {
         match self.core.check_ready() {
-            Ok(()) => answer(StatusCode::OK, TEXT, "ready\n"),
+            Ok(()) => answer(StatusCode::OK, TEXT_TYPE, "ready\n"),
             Err(reason) => answer(
                 StatusCode::SERVICE_UNAVAILABLE,
-                TEXT,
+                TEXT_TYPE,
                 format!("not ready: {reason}\n"),
             ),
         }
@@ -85,7 +85,7 @@
     T: Serialize,
 {
     let body = serde_json::to_vec(value).expect("plain structs always have a JSON form");
-    answer(status, JSON, body)
+    answer(status, JSON_TYPE, body)
 }
 
 fn wrong_method(allowed: &'static str) -> Response<door::Body> {
@@ -105,7 +105,7 @@
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<door::Body> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/metrics") => self.metrics(),
-            (&Method::GET, "/healthz") => answer(StatusCode::OK, TEXT, "alive\n"),
+            (&Method::GET, "/healthz") => answer(StatusCode::OK, TEXT_TYPE, "alive\n"),
             (&Method::GET, "/readyz") => self.ready(),
             (&Method::GET, "/v1/status") => self.status(),
             (&Method::POST, "/v1/drain") => self.drain(),
--- a/crates/fireflywheel_daemon/src/reports.rs
+++ b/crates/fireflywheel_daemon/src/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of backend servers: each watched one is asked every so often.
+//! Polls the load reports of the watched backend servers.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -13,14 +13,14 @@
 
 use crate::{client, core};
 
-/// Servers asked at once.
-const AT_ONCE: usize = 64;
-/// How long a report may take.
-const WAIT: Duration = Duration::from_secs(2);
-/// The largest report taken, in bytes.
-const LIMIT: usize = 1 << 20;
+/// The largest number of concurrent report requests.
+const MAX_CONCURRENT: usize = 64;
+/// The time limit for a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest report that is accepted, in bytes.
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// Asks the watched servers every `period`, for ever.
+/// Requests a report from each watched server in every `period`. Never returns.
 pub async fn poll(
     client: client::Client,
     core: Arc<core::Core>,
@@ -30,19 +30,19 @@
     let poller = Arc::new(Poller {
         client,
         core,
-        places: Semaphore::new(AT_ONCE),
-        asked: Mutex::default(),
+        slots: Semaphore::new(MAX_CONCURRENT),
+        pending: Mutex::default(),
     });
-    let mut due = time::interval(period);
-    due.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut ticks = time::interval(period);
+    ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     let mut running = JoinSet::new();
     loop {
-        due.tick().await;
+        ticks.tick().await;
         while running.try_join_next().is_some() {}
         let servers = watched.borrow().clone();
         for server in servers {
-            if poller.begin(&server) {
-                running.spawn(Arc::clone(&poller).ask(server));
+            if poller.mark_pending(&server) {
+                running.spawn(Arc::clone(&poller).poll_server(server));
             }
         }
     }
@@ -52,21 +52,21 @@
 struct Poller {
     client: client::Client,
     core: Arc<core::Core>,
-    places: Semaphore,
-    /// Servers that were asked and haven't answered: a slow one is asked once at a time.
-    asked: Mutex<HashSet<SmolStr>>,
+    slots: Semaphore,
+    /// The servers with a pending request. Each server gets at most one request at a time, even if it is slow.
+    pending: Mutex<HashSet<SmolStr>>,
 }
 
 impl Poller {
-    fn begin(&self, server: &SmolStr) -> bool {
-        self.lock_asked().insert(server.clone())
+    fn mark_pending(&self, server: &SmolStr) -> bool {
+        self.lock_pending().insert(server.clone())
     }
 
-    async fn ask(self: Arc<Self>, server: SmolStr) {
-        let place = self.places.acquire().await;
-        let report = self.report(&server).await;
-        drop(place);
-        self.lock_asked().remove(&server);
+    async fn poll_server(self: Arc<Self>, server: SmolStr) {
+        let slot = self.slots.acquire().await;
+        let report = self.fetch_report(&server).await;
+        drop(slot);
+        self.lock_pending().remove(&server);
         let event = match report {
             Some(report) => event::Event::ReportReceived { server, report },
             None => event::Event::ReportFailed { server },
@@ -74,17 +74,21 @@
         self.core.step(event);
     }
 
-    async fn report(&self, server: &SmolStr) -> Option<report::Report> {
+    async fn fetch_report(&self, server: &SmolStr) -> Option<report::Report> {
         let url = format!("http://{server}/v1/load");
         let request = client::bare(Method::GET, &url).ok()?;
-        let answer = self.client.call(request, LIMIT, WAIT).await.ok()?;
+        let answer = self
+            .client
+            .call(request, MAX_REPORT_BYTES, REPORT_TIMEOUT)
+            .await
+            .ok()?;
         if answer.status != StatusCode::OK {
             return None;
         }
         serde_json::from_slice(&answer.body).ok()
     }
 
-    fn lock_asked(&self) -> std::sync::MutexGuard<'_, HashSet<SmolStr>> {
-        self.asked.lock().expect("no panic under the lock")
+    fn lock_pending(&self) -> std::sync::MutexGuard<'_, HashSet<SmolStr>> {
+        self.pending.lock().expect("no panic under the lock")
     }
 }
