--- a/crates/fireflywheel_daemon/tests/faults_capacity.rs
+++ b/crates/fireflywheel_daemon/tests/faults_capacity.rs
@@ -1,5 +1,5 @@
-//! Replicas and memory stay within what operators decided while processes die, pause and lose answers. Every
-//! count is the engines' own.
+//! Replicas and memory stay within the configured limits while processes are killed, are paused or lose
+//! answers. All counts come from the engines.
 
 mod site;
 
@@ -8,17 +8,16 @@
 use fireflywheel_standin::fault;
 use site::{Plan, Site};
 
-/// Tells one case from another, without a clock of its own.
-async fn pause_ms(ms: u64) {
+async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Asks for a model at every daemon that still runs, again and again until each was served, as callers who
-/// heard "not run" or lost their connection do.
-async fn ask_until_served(site: &Site, places: &[usize], model: &str) {
-    for place in places {
+/// Sends requests for a model to the given daemons, and repeats each until it is served, as callers do after
+/// the verdict "not run" or a lost connection.
+async fn ask_until_served(site: &Site, daemons: &[usize], model: &str) {
+    for daemon in daemons {
         site.wait_for("an answer", || async {
-            site.ask(*place, model, &format!("of {place}"))
+            site.ask(*daemon, model, &format!("of {daemon}"))
                 .await
                 .is_ok()
         })
@@ -26,8 +25,8 @@
     }
 }
 
-/// Callers ask for one cold model at fifteen daemons in the same moment. Were each to load it, replicas would
-/// take the memory that operators planned for other models.
+/// Callers request the same cold model at fifteen daemons at once. If each daemon loaded it, the replicas
+/// would take the memory that operators planned for other models.
 macro_rules! bursts {
     ($($name:ident: cap $cap:expr, fencing $fencing:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
@@ -54,9 +53,9 @@
     burst_at_fifteen_daemons_with_engines_that_ignore_fencing: cap 1, fencing "ignored";
 }
 
-/// The steward's process is killed so many milliseconds after a caller asked for a cold model: before its
-/// intent is read back, around the sending of the order, and in the middle of the load. Another takes over;
-/// the callers are served, and the model is never loaded twice at once.
+/// The steward's process is killed `after` milliseconds after a request for a cold model: before its intent
+/// is read back from the log, around the sending of the order, or in the middle of the load. Another instance
+/// takes over, the callers are served, and two replicas of the model never exist at once.
 macro_rules! steward_kills {
     ($($name:ident: after $ms:expr, fencing $fencing:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
@@ -64,9 +63,9 @@
             let plan = Plan { daemons: 4, models: 6, fencing: $fencing, ..Plan::default() };
             let mut site = Site::start(plan).await?;
             let steward = site.steward().await.expect("a steward");
-            let others: Vec<usize> = (0..4).filter(|place| *place != steward).collect();
+            let others: Vec<usize> = (0..4).filter(|daemon| *daemon != steward).collect();
             let first = tokio::join!(site.ask(others[0], "m0", "first"), async {
-                pause_ms($ms).await;
+                sleep_ms($ms).await;
                 site.daemons[steward].kill_now()
             });
             first.1?;
@@ -81,20 +80,20 @@
 }
 
 steward_kills! {
-    steward_killed_at_once: after 0, fencing "checked";
-    steward_killed_before_the_read_back: after 1, fencing "checked";
-    steward_killed_after_the_read_back: after 4, fencing "checked";
-    steward_killed_after_the_order: after 12, fencing "checked";
-    steward_killed_in_the_load: after 150, fencing "checked";
-    steward_killed_before_the_outcome: after 300, fencing "checked";
-    steward_killed_at_once_where_engines_ignore_fencing: after 0, fencing "ignored";
-    steward_killed_after_the_read_back_where_engines_ignore_fencing: after 4, fencing "ignored";
-    steward_killed_in_the_load_where_engines_ignore_fencing: after 150, fencing "ignored";
+    steward_killed_immediately: after 0, fencing "checked";
+    steward_killed_before_read_back: after 1, fencing "checked";
+    steward_killed_after_read_back: after 4, fencing "checked";
+    steward_killed_after_order: after 12, fencing "checked";
+    steward_killed_during_load: after 150, fencing "checked";
+    steward_killed_before_outcome: after 300, fencing "checked";
+    steward_killed_immediately_with_engines_that_ignore_fencing: after 0, fencing "ignored";
+    steward_killed_after_read_back_with_engines_that_ignore_fencing: after 4, fencing "ignored";
+    steward_killed_during_load_with_engines_that_ignore_fencing: after 150, fencing "ignored";
 }
 
-/// The steward is stopped so many milliseconds after a cold request, perhaps between its last look at the
-/// ledger and the sending of its order. Another takes over and goes on; then the first wakes. Its late order
-/// must not take a place that was given to another model since.
+/// The steward's process is paused `after` milliseconds after a request for a cold model, which may be
+/// between its last check of the ledger and the sending of its order. Another instance takes over, and then
+/// the first resumes. Its late order must not use memory that was given to another model in the meantime.
 macro_rules! steward_pauses {
     ($($name:ident: after $ms:expr, fencing $fencing:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
@@ -102,15 +101,15 @@
             let plan = Plan { daemons: 4, models: 8, fencing: $fencing, ..Plan::default() };
             let site = Site::start(plan).await?;
             let steward = site.steward().await.expect("a steward");
-            let others: Vec<usize> = (0..4).filter(|place| *place != steward).collect();
+            let others: Vec<usize> = (0..4).filter(|daemon| *daemon != steward).collect();
             let first = tokio::join!(site.ask(others[0], "m0", "first"), async {
-                pause_ms($ms).await;
+                sleep_ms($ms).await;
                 site.daemons[steward].pause()
             });
             first.1?;
-            let look = others[0];
+            let observer = others[0];
             site.wait_for("a takeover", || async {
-                let status = site.status(look).await.expect("a running daemon answers");
+                let status = site.status(observer).await.expect("a running daemon answers");
                 let held = status.stewards.iter().find(|held| held.group == "g");
                 held.is_some_and(|held| held.by != format!("i{steward}"))
             })
@@ -129,16 +128,17 @@
 }
 
 steward_pauses! {
-    steward_paused_at_once: after 0, fencing "checked";
-    steward_paused_around_its_order: after 3, fencing "checked";
-    steward_paused_in_the_load: after 100, fencing "checked";
-    steward_paused_at_once_where_engines_ignore_fencing: after 0, fencing "ignored";
-    steward_paused_around_its_order_where_engines_ignore_fencing: after 3, fencing "ignored";
-    steward_paused_in_the_load_where_engines_ignore_fencing: after 100, fencing "ignored";
+    steward_paused_immediately: after 0, fencing "checked";
+    steward_paused_around_order: after 3, fencing "checked";
+    steward_paused_during_load: after 100, fencing "checked";
+    steward_paused_immediately_with_engines_that_ignore_fencing: after 0, fencing "ignored";
+    steward_paused_around_order_with_engines_that_ignore_fencing: after 3, fencing "ignored";
+    steward_paused_during_load_with_engines_that_ignore_fencing: after 100, fencing "ignored";
 }
 
-/// An answer is lost after its effect: the log took the intent, or the engine the order, but the steward
-/// can't know. It must find out, and neither load twice nor give the place away.
+/// An answer is lost after the request took effect: the log has stored the intent, or the engine has accepted
+/// the order, but the steward can't know. It must find out, and must neither load the model twice nor give
+/// its memory to another model.
 macro_rules! lost_answers {
     ($($name:ident: log $log:expr, engine $engine:expr, fencing $fencing:expr, models $models:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
@@ -162,18 +162,20 @@
 }
 
 lost_answers! {
-    answer_of_the_log_is_lost: log 1, engine 0, fencing "checked", models 6;
-    answer_of_the_engine_is_lost: log 0, engine 1, fencing "checked", models 6;
+    log_answer_is_lost: log 1, engine 0, fencing "checked", models 6;
+    engine_answer_is_lost: log 0, engine 1, fencing "checked", models 6;
     both_answers_are_lost: log 1, engine 1, fencing "checked", models 6;
-    // Here each lost answer pins its place until operators release it: the four places hold four models.
-    answer_of_the_engine_is_lost_where_engines_ignore_fencing: log 0, engine 1, fencing "ignored", models 4;
+    // Here each lost answer pins the memory of its model until operators release it. The engines have memory
+    // for four models.
+    engine_answer_is_lost_with_engines_that_ignore_fencing: log 0, engine 1, fencing "ignored", models 4;
 }
 
-/// The log can't be reached for longer than a steward needs to be given up, an instance dies meanwhile, and
-/// the records that a starting instance would need are dropped. Loaded models serve throughout, cold ones are
-/// refused as not run; after the outage all goes on, at no older version.
+/// The log is unreachable for longer than it takes to replace a steward, an instance is killed meanwhile, and
+/// the records that a starting instance would need are dropped. Loaded models are served throughout, and cold
+/// ones are refused as not run. After the outage everything is served again, with the same configuration
+/// version.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_out_for_longer_than_any_lease() -> anyhow::Result<()> {
+async fn log_outage_outlasts_every_lease() -> anyhow::Result<()> {
     let plan = Plan {
         daemons: 4,
         settings: String::from("checkpoint_records = 50\n"),
@@ -185,16 +187,16 @@
     site.set_faults(&site.log, &fault::Change::new().with_outage(true))
         .await?;
     let steward = site.steward().await.expect("a steward");
-    let others: Vec<usize> = (0..4).filter(|place| *place != steward).collect();
+    let others: Vec<usize> = (0..4).filter(|daemon| *daemon != steward).collect();
     site.daemons[steward].kill().await?;
     for call in 0..60 {
-        let place = others[call % 3];
+        let daemon = others[call % 3];
         assert_eq!(
-            site.ask(place, "m0", &format!("in the outage {call}"))
+            site.ask(daemon, "m0", &format!("in the outage {call}"))
                 .await,
             Ok(())
         );
-        pause_ms(50).await;
+        sleep_ms(50).await;
     }
     let cold = site.ask(others[0], "m1", "cold in the outage").await;
     let refused = cold.expect_err("a cold model can't be loaded without the log");
@@ -204,14 +206,14 @@
         .await?;
     site.wait_ready().await;
     ask_until_served(&site, &[0, 1, 2, 3], "m1").await;
-    for place in 0..4 {
-        assert_eq!(site.status(place).await?.version, version);
+    for daemon in 0..4 {
+        assert_eq!(site.status(daemon).await?.version, version);
     }
     site.hold(1).await
 }
 
-/// The cap is lowered below what is loaded while callers send. Replicas go down without cutting a request,
-/// and never up again.
+/// The cap is lowered below the number of loaded replicas under load. Replicas are unloaded without cutting
+/// off a request, and none is loaded again.
 #[tokio::test(flavor = "multi_thread")]
 async fn cap_lowered_under_load() -> anyhow::Result<()> {
     let plan = Plan {
@@ -258,10 +260,10 @@
     site.hold(3).await
 }
 
-/// The weight store has sent a checkpoint, and its answer is lost on the way to the engine. The load failed as
-/// far as anyone can tell; it is ordered again under the same right, and callers notice a longer wait at most.
+/// The weight store's answer with a checkpoint is lost on its way to the engine. As far as any process can
+/// tell, the load failed. It is ordered again under the same right, and callers wait longer at most.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_of_the_store_is_lost() -> anyhow::Result<()> {
+async fn store_answer_is_lost() -> anyhow::Result<()> {
     let plan = Plan {
         store: true,
         model_mb: 800,
@@ -277,8 +279,9 @@
     site.hold(1).await
 }
 
-/// Callers ask for an adapter at three daemons while neither it nor its model is loaded. The model comes first,
-/// then the adapter on the same engine, each once; the model's memory isn't given away under the adapter.
+/// Callers request two adapters at three daemons while neither the adapters nor their model are loaded. The
+/// model is loaded first and then the adapters on the same engine, each once. The model's memory is not given
+/// to another model while an adapter needs it.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_adapter_is_loaded_once_on_its_model() -> anyhow::Result<()> {
     let extra = String::from(
@@ -311,8 +314,9 @@
     site.hold(1).await
 }
 
-/// Operators publish a new version of a model whose cap is one while callers use it. The old version finishes
-/// what it runs and goes, the new one comes; no caller is cut off, and there are never two.
+/// Operators publish a new version of a model with a cap of one under load. The old version finishes its
+/// requests and is unloaded, and the new one is loaded. No caller is cut off, and the two versions are never
+/// loaded at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_version_replaces_the_old_one_under_load() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
--- a/crates/fireflywheel_daemon/tests/faults_requests.rs
+++ b/crates/fireflywheel_daemon/tests/faults_requests.rs
@@ -1,5 +1,5 @@
-//! Every request is answered in time or honestly refused, runs at most once where it may not be repeated, and
-//! its answer is whole and its own: while backend servers, routers and the log fail.
+//! While backend servers, routers and the log fail, every request is answered in time or refused with a correct
+//! verdict, runs at most once unless it may be repeated, and gets its own, complete answer.
 
 mod site;
 
@@ -10,10 +10,10 @@
 use serde_json::json;
 use site::{Plan, Refused, Site};
 
-/// A booking at a daemon; the body tells it from others in the service's counts.
+/// Sends a booking through a daemon. The body identifies it in the service's counts.
 async fn book(
     site: &Site,
-    place: usize,
+    daemon: usize,
     key: Option<&str>,
     body: &str,
 ) -> Result<(u16, String), Refused> {
@@ -21,7 +21,7 @@
     if let Some(key) = key {
         client = client.with_header("idempotency-key", key);
     }
-    let url = format!("{}/bookings", site.caller(place));
+    let url = format!("{}/bookings", site.caller(daemon));
     let answer = client.post(&url, body.to_owned()).await;
     let answer = answer.map_err(|_| Refused {
         status: 0,
@@ -35,12 +35,12 @@
     Err(Refused::of(&answer))
 }
 
-/// How often a booking ran, over all services.
+/// Returns how often a booking ran, over all services.
 async fn runs(site: &Site, body: &str) -> u64 {
     let mut runs = 0;
-    for place in 0..site.services.len() {
+    for service in 0..site.services.len() {
         let counts = site
-            .service_counts(place)
+            .service_counts(service)
             .await
             .expect("the service answers");
         runs += counts.bodies.get(body).copied().unwrap_or(0);
@@ -48,12 +48,12 @@
     runs
 }
 
-/// Asks with a deadline of its own.
-async fn ask_within(site: &Site, place: usize, model: &str, ms: u64) -> Result<(), Refused> {
+/// Sends a request with a deadline of `ms`.
+async fn ask_within(site: &Site, daemon: usize, model: &str, ms: u64) -> Result<(), Refused> {
     let client = client::Client::new()
         .with_header("x-tenant", "t")
         .with_header("x-deadline-ms", &ms.to_string());
-    let url = format!("{}/v1/chat/completions", site.caller(place));
+    let url = format!("{}/v1/chat/completions", site.caller(daemon));
     let body =
         json!({"model": model, "max_tokens": 8, "messages": [{"role": "user", "content": "q"}]});
     let answer = client
@@ -66,14 +66,14 @@
     Err(Refused::of(&answer))
 }
 
-/// A stream's events to its end; `true` when it ended with its end marker.
+/// Reads the events of a stream up to its end. The flag is `true` if the stream ended with its end marker.
 async fn stream(
     site: &Site,
-    place: usize,
+    daemon: usize,
     model: &str,
     tokens: u32,
 ) -> anyhow::Result<(Vec<String>, bool)> {
-    let url = format!("{}/v1/chat/completions", site.caller(place));
+    let url = format!("{}/v1/chat/completions", site.caller(daemon));
     let body = json!({
         "model": model, "max_tokens": tokens, "stream": true,
         "messages": [{"role": "user", "content": "a streamed question"}],
@@ -90,7 +90,7 @@
     Ok((all, false))
 }
 
-/// A stream through the first daemon, in the midst of which a process is killed.
+/// Reads a stream through the first daemon while a process is killed in the middle of the stream.
 async fn stream_until_killed(
     site: &Site,
     child: &process::Child,
@@ -108,8 +108,8 @@
     streamed
 }
 
-/// The numbers of a stream's chunks rise by one from zero: no gap, no repeat.
-fn in_order(events: &[String]) -> bool {
+/// Returns whether the chunks are numbered from zero without a gap or a repeat.
+fn is_in_order(events: &[String]) -> bool {
     let numbers = events.iter().filter_map(|event| {
         let chunk: serde_json::Value = serde_json::from_str(event).ok()?;
         chunk["seq"].as_u64()
@@ -117,10 +117,10 @@
     numbers.eq(0..events.len() as u64)
 }
 
-/// The model's load takes longer than the caller can wait. It hears so at once, with a time to come back,
-/// and finds the model loaded when it does.
+/// The model's load takes longer than the caller's deadline. The caller is refused at once with a time to
+/// retry, and finds the model loaded when it retries.
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_shorter_than_the_load() -> anyhow::Result<()> {
+async fn deadline_shorter_than_load() -> anyhow::Result<()> {
     let site = Site::start(Plan {
         load_ms: 1_000,
         ..Plan::default()
@@ -138,10 +138,10 @@
     site.hold(1).await
 }
 
-/// The engine has accepted requests and stands still; callers behind them wait in the queue. Each hears
-/// before its deadline that its request did not run, or with an honest verdict that it may have.
+/// The engines have accepted requests and are frozen, and further callers wait in the queue. Each caller learns
+/// by its deadline that its request did not run or may have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_passes_in_the_queue() -> anyhow::Result<()> {
+async fn deadline_passes_in_queue() -> anyhow::Result<()> {
     let site = Site::start(Plan {
         engine_slots: 2,
         ..Plan::default()
@@ -170,17 +170,17 @@
     Ok(())
 }
 
-/// The instance that serves the group stands still while callers of the others wait for a cold model. They
-/// are not left waiting past their deadline.
+/// The steward of the group is paused while callers of other instances wait for a cold model. The callers are
+/// refused by their deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_passes_while_a_steward_is_silent() -> anyhow::Result<()> {
+async fn deadline_passes_while_steward_is_paused() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
     let steward = site.steward().await.expect("a steward");
     site.daemons[steward].pause()?;
-    let others: Vec<usize> = (0..3).filter(|place| *place != steward).collect();
+    let others: Vec<usize> = (0..3).filter(|daemon| *daemon != steward).collect();
     let calls = others
         .iter()
-        .map(|place| ask_within(&site, *place, "m0", 400));
+        .map(|daemon| ask_within(&site, *daemon, "m0", 400));
     for answer in future::join_all(calls).await {
         let refused = answer.expect_err("nothing is loaded yet");
         assert_eq!(refused.verdict, "not-run", "{refused:?}");
@@ -193,10 +193,10 @@
     site.hold(1).await
 }
 
-/// The service books, and its answer is lost. Sending the booking again would book twice: the caller hears
-/// that it may have run, and a repeat under the same key hears it too, at any instance.
+/// The service runs a booking, and its answer is lost. Sending the booking again would book twice, so the
+/// caller is told that it may have run, and so is a repeat with the same key at any instance.
 #[tokio::test(flavor = "multi_thread")]
-async fn booking_whose_answer_is_lost() -> anyhow::Result<()> {
+async fn booking_with_lost_answer_is_not_repeated() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
     site.set_faults(
         &site.services[0],
@@ -217,8 +217,8 @@
         .await
         .expect_err("no answer");
     assert_eq!(refused.verdict, "may-have-run", "{refused:?}");
-    for place in 0..3 {
-        let repeat = book(&site, place, Some("k1"), "with a key")
+    for daemon in 0..3 {
+        let repeat = book(&site, daemon, Some("k1"), "with a key")
             .await
             .expect_err("not again");
         assert_eq!(repeat.verdict, "may-have-run", "{repeat:?}");
@@ -227,10 +227,10 @@
     Ok(())
 }
 
-/// A caller's client sends one booking to three instances at the same moment, and once more later. It runs
-/// once; everyone gets the one answer.
+/// A client sends the same booking to three instances at once, and again later. The booking runs once, and
+/// every request gets the same answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn same_key_at_several_instances() -> anyhow::Result<()> {
+async fn same_key_at_several_instances_runs_once() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
     for round in 0..5 {
         let key = format!("key {round}");
@@ -249,8 +249,8 @@
     Ok(())
 }
 
-/// The instance dies while it books. The caller comes back to another with the same key and must not book a
-/// second time.
+/// An instance is killed while it handles a booking. The caller retries at other instances with the same key,
+/// which must not run the booking a second time.
 macro_rules! router_kills {
     ($($name:ident: $ms:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
@@ -263,8 +263,8 @@
             });
             killed?;
             site.daemons[0].wait().await?;
-            for place in [1, 2, 1] {
-                match book(&site, place, Some("k"), "b").await {
+            for daemon in [1, 2, 1] {
+                match book(&site, daemon, Some("k"), "b").await {
                     Ok(_) => {}
                     Err(refused) => assert_eq!(refused.verdict, "may-have-run", "{refused:?}"),
                 }
@@ -276,16 +276,16 @@
 }
 
 router_kills! {
-    router_killed_at_once: 0;
-    router_killed_while_it_claims: 2;
-    router_killed_once_it_sent: 30;
-    router_killed_around_the_answer: 65;
+    router_killed_immediately: 0;
+    router_killed_while_claiming: 2;
+    router_killed_after_sending: 30;
+    router_killed_around_answer: 65;
 }
 
-/// The log can't be reached: a booking under a key is refused as not run, and did not run. The answer of the
-/// log alone is lost: the claim is found by reading, and the booking runs once.
+/// The log is unreachable: a booking with a key is refused as not run and does not run. Only the answer of the
+/// log is lost: the claim is found by reading the log, and the booking runs once.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_outage_around_a_claim() -> anyhow::Result<()> {
+async fn log_outage_around_claim() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
     site.set_faults(&site.log, &fault::Change::new().with_lose_answers(1))
         .await?;
@@ -324,7 +324,7 @@
         runs(&site, "log frozen").await + runs(&site, "log out").await,
         0
     );
-    // What was refused as not run may be tried again under its key, and then runs.
+    // A booking that was refused as not run runs when it is retried with its key.
     site.wait_for("the refused booking", || async {
         book(&site, 0, Some("k1"), "log frozen").await.is_ok()
     })
@@ -333,10 +333,10 @@
     Ok(())
 }
 
-/// An engine answers with another request's id, stops short of its end, or sends a part twice. Nothing of
-/// that reaches a caller as its answer: a question is asked again, and a stream goes on without gap or repeat.
+/// An engine answers with another request's id, truncates its answer or sends a part twice. No caller receives
+/// such an answer: a full answer is requested again, and a stream continues without a gap or a repeat.
 #[tokio::test(flavor = "multi_thread")]
-async fn flawed_answers_are_never_handed_on() -> anyhow::Result<()> {
+async fn flawed_answers_are_never_forwarded() -> anyhow::Result<()> {
     let site = Site::start(Plan {
         cap: 2,
         ..Plan::default()
@@ -351,7 +351,7 @@
             site.set_faults(engine, &change).await?;
         }
         for call in 0..6 {
-            site.wait_for("a whole answer", || async {
+            site.wait_for("a complete answer", || async {
                 match site.ask(call % 3, "m0", &format!("question {call}")).await {
                     Ok(()) => true,
                     Err(refused) => {
@@ -370,13 +370,16 @@
         for engine in &site.engines {
             site.set_faults(engine, &change).await?;
         }
-        for place in 0..3 {
-            let (events, whole) = stream(&site, place, "m0", 40).await?;
-            if whole {
-                assert!(in_order(&events), "{events:?}");
+        for daemon in 0..3 {
+            let (events, complete) = stream(&site, daemon, "m0", 40).await?;
+            if complete {
+                assert!(is_in_order(&events), "{events:?}");
             } else {
                 let last = events.last().map(String::as_str).unwrap_or_default();
-                assert!(last.contains("error"), "cut without a word: {events:?}");
+                assert!(
+                    last.contains("error"),
+                    "truncated without an error event: {events:?}"
+                );
             }
         }
         for engine in &site.engines {
@@ -389,7 +392,7 @@
     Ok(())
 }
 
-/// One engine whose streams last long enough to break, with its model loaded.
+/// Starts a site with one engine whose streams last long enough to be interrupted, and loads its model.
 async fn one_slow_engine() -> anyhow::Result<Site> {
     let site = Site::start(Plan {
         engines: 1,
@@ -401,23 +404,23 @@
     Ok(site)
 }
 
-/// The engine dies in the middle of a stream. The caller hears that its answer is not whole, and nothing is
-/// sent to it twice.
+/// The engine is killed in the middle of a stream. The caller is told that the answer is incomplete, and
+/// receives no event twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_killed_in_mid_stream() -> anyhow::Result<()> {
+async fn engine_killed_mid_stream() -> anyhow::Result<()> {
     let mut site = one_slow_engine().await?;
-    let (events, whole) = stream_until_killed(&site, &site.engines[0]).await?;
+    let (events, complete) = stream_until_killed(&site, &site.engines[0]).await?;
     site.engines[0].wait().await?;
-    assert!(!whole, "a dead engine can't have ended its stream");
-    let last = events.last().expect("the caller hears how it ended");
+    assert!(!complete, "a killed engine can't have completed its stream");
+    let last = events.last().expect("the caller gets an error event");
     assert!(last.contains("error"), "{last}");
-    assert!(in_order(&events[..events.len() - 1]));
+    assert!(is_in_order(&events[..events.len() - 1]));
     Ok(())
 }
 
-/// A caller goes away in the middle of its stream. The engine must not go on working for nobody.
+/// A caller disconnects in the middle of its stream. The engine must stop generating.
 #[tokio::test(flavor = "multi_thread")]
-async fn vanished_caller_frees_its_place() -> anyhow::Result<()> {
+async fn disconnected_caller_frees_its_slot() -> anyhow::Result<()> {
     let site = one_slow_engine().await?;
     let url = format!("{}/v1/chat/completions", site.caller(0));
     let body = json!({
@@ -439,9 +442,9 @@
     Ok(())
 }
 
-/// A backend server is named as leaving while callers send. It finishes what it has and gets nothing new.
+/// An engine is marked as leaving under load. It finishes its requests and gets no new ones.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_engine_under_load() -> anyhow::Result<()> {
+async fn leaving_engine_gets_no_new_requests() -> anyhow::Result<()> {
     let site = Site::start(Plan {
         cap: 2,
         models: 1,
@@ -463,7 +466,7 @@
     let leaving = counts
         .iter()
         .position(|counts| !counts.loaded.is_empty())
-        .expect("one is loaded");
+        .expect("an engine has loaded the model");
     let address = site.engines[leaving].address("listening").to_string();
     site.set_listed(&format!("engine-{leaving}"), "g", &address, "leaving")
         .await?;
@@ -482,26 +485,26 @@
     assert_eq!(
         site.engine_counts().await?[leaving].runs.len(),
         before,
-        "new work for a leaving engine"
+        "new requests were sent to a leaving engine"
     );
     Ok(())
 }
 
-/// Operators stop instances while streams are open and callers send. Nothing in progress is cut, and each
-/// ends with exit code 0.
+/// Operators stop instances while streams are open and callers send requests. No stream is cut off, and each
+/// stopped instance ends with exit code 0.
 macro_rules! planned_stops {
     ($($name:ident: daemons $daemons:expr, stop $stop:expr, outage $outage:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
         async fn $name() -> anyhow::Result<()> {
             let plan = Plan { daemons: $daemons, cap: 2, token_us: 5_000, ..Plan::default() };
             let mut site = Site::start(plan).await?;
-            for place in 0..$daemons {
-                assert_eq!(site.ask(place, "m0", "warm").await, Ok(()));
+            for daemon in 0..$daemons {
+                assert_eq!(site.ask(daemon, "m0", "warm").await, Ok(()));
             }
             let steward = site.steward().await.expect("a steward");
             let pick: fn(usize, usize) -> bool = $stop;
             let stopped: Vec<usize> =
-                (0..$daemons).filter(|place| pick(*place, steward)).collect();
+                (0..$daemons).filter(|daemon| pick(*daemon, steward)).collect();
             if $outage {
                 site.set_faults(&site.log, &fault::Change::new().with_outage(true)).await?;
             }
@@ -512,22 +515,22 @@
                     counts.iter().map(|counts| counts.running).sum::<u64>() >= 12
                 })
                 .await;
-                for place in &stopped {
-                    site.daemons[*place].terminate().expect("it runs");
+                for daemon in &stopped {
+                    site.daemons[*daemon].terminate().expect("it runs");
                 }
             });
             for streamed in streams {
-                let (events, whole) = streamed?;
-                assert!(whole && in_order(&events), "cut: {:?}", events.last());
+                let (events, complete) = streamed?;
+                assert!(complete && is_in_order(&events), "stream cut off: {:?}", events.last());
             }
-            for place in &stopped {
-                let code = tokio::time::timeout(site::GUARD, site.daemons[*place].wait()).await??;
-                assert_eq!(code, Some(0), "{}", site.daemons[*place].stderr());
+            for daemon in &stopped {
+                let code = tokio::time::timeout(site::GUARD, site.daemons[*daemon].wait()).await??;
+                assert_eq!(code, Some(0), "{}", site.daemons[*daemon].stderr());
             }
             if $outage {
                 site.set_faults(&site.log, &fault::Change::new().with_outage(false)).await?;
             }
-            if let Some(left) = (0..$daemons).find(|place| !stopped.contains(place)) {
+            if let Some(left) = (0..$daemons).find(|daemon| !stopped.contains(daemon)) {
                 site.wait_for("a cold model", || async {
                     site.ask(left, "m1", "after the stop").await.is_ok()
                 })
@@ -539,14 +542,14 @@
 }
 
 planned_stops! {
-    planned_stop_of_a_router: daemons 3, stop |place, steward| place == (steward + 1) % 3, outage false;
-    planned_stop_of_the_steward: daemons 3, stop |place, steward| place == steward, outage false;
-    planned_stop_of_the_steward_in_an_outage: daemons 3, stop |place, steward| place == steward, outage true;
-    planned_stop_of_half_the_instances: daemons 6, stop |place, _| place % 2 == 0, outage false;
+    planned_stop_of_router: daemons 3, stop |daemon, steward| daemon == (steward + 1) % 3, outage false;
+    planned_stop_of_steward: daemons 3, stop |daemon, steward| daemon == steward, outage false;
+    planned_stop_of_steward_during_log_outage: daemons 3, stop |daemon, steward| daemon == steward, outage true;
+    planned_stop_of_half_of_the_instances: daemons 6, stop |daemon, _| daemon % 2 == 0, outage false;
 }
 
-/// Ten times more callers than the engines can serve within the deadline come at once. Each hears within its
-/// deadline that it is served or that it is not; those refused did not run.
+/// Ten times more requests arrive at once than the engines can serve within the deadline. Each is answered or
+/// refused within its deadline, and refused requests did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn burst_ten_times_over_capacity() -> anyhow::Result<()> {
     let plan = Plan {
@@ -557,30 +560,30 @@
         ..Plan::default()
     };
     let site = Site::start(plan).await?;
-    for place in 0..3 {
-        assert_eq!(site.ask(place, "m0", "warm").await, Ok(()));
+    for daemon in 0..3 {
+        assert_eq!(site.ask(daemon, "m0", "warm").await, Ok(()));
     }
-    // Some 45 ms a request on 8 places: about 180 within a second.
+    // A request takes some 45 ms, so 8 slots serve about 180 requests within a second.
     let calls = (0..1800).map(|call| ask_within(&site, call % 3, "m0", 1_000));
     let answers = future::join_all(calls).await;
     let served = answers.iter().filter(|answer| answer.is_ok()).count();
-    let honest = answers.iter().filter_map(|answer| answer.as_ref().err());
-    let may: Vec<&Refused> = honest
+    let refusals = answers.iter().filter_map(|answer| answer.as_ref().err());
+    let may_have_run: Vec<&Refused> = refusals
         .filter(|refused| refused.verdict != "not-run")
         .collect();
     assert!(served >= 60, "only {served} of 1800 served");
     assert!(
-        may.len() * 20 <= served,
-        "{} of 1800 ran for nothing, {served} served",
-        may.len()
+        may_have_run.len() * 20 <= served,
+        "{} of 1800 may have run unanswered, {served} served",
+        may_have_run.len()
     );
     Ok(())
 }
 
-/// A service takes longer than the caller can wait. The caller hears by its deadline that the booking may have
-/// run; the answer that comes later is for nobody.
+/// A service answers after the caller's deadline. The caller is told by its deadline that the booking may have
+/// run, and the late answer is discarded.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_that_comes_too_late() -> anyhow::Result<()> {
+async fn late_answer_is_discarded() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
     site.set_faults(&site.services[0], &fault::Change::new().with_late_ms(700))
         .await?;
@@ -597,7 +600,7 @@
     );
     site.set_faults(&site.services[0], &fault::Change::new().with_late_ms(0))
         .await?;
-    // The next caller on the same connection must not get it.
+    // The next request on the same connection must not get the late answer.
     for call in 0..10 {
         let body = format!("next {call}");
         let (_, text) = book(&site, 0, None, &body).await.expect("answered");
@@ -607,10 +610,10 @@
     Ok(())
 }
 
-/// An engine is killed while nothing is sent to it; the list still names it. The next callers' requests can't
-/// be sent there, and go to the other replica.
+/// An engine is killed while it has no request, and is still on the platform's list. The next requests can't be
+/// sent to it and go to the other replica.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_killed_before_the_request() -> anyhow::Result<()> {
+async fn engine_killed_while_idle() -> anyhow::Result<()> {
     let plan = Plan {
         cap: 2,
         engine_slots: 2,
@@ -619,7 +622,7 @@
         ..Plan::default()
     };
     let mut site = Site::start(plan).await?;
-    // Enough callers that both engines come to hold the model.
+    // Enough requests are sent that both engines load the model.
     site.wait_for("two replicas", || async {
         let calls = (0..60).map(|call| site.ask(call % 3, "m0", "crowd"));
         future::join_all(calls).await;
@@ -637,8 +640,8 @@
     Ok(())
 }
 
-/// A caller opens a long stream and stops reading. What it doesn't read must not pile up here, and the engine
-/// must not go on for it: after the idle time it is cut off, and its place is free.
+/// A caller opens a long stream and stops reading. Its unread events must not accumulate in the daemon, and the
+/// engine must not go on generating: after the idle timeout the caller is cut off, and its slot is free.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_that_stops_reading_is_cut_off() -> anyhow::Result<()> {
     let settings = String::from("\n[limits]\nidle_ms = 1000\nstream_buffer_bytes = 16384\n");
@@ -670,14 +673,14 @@
     Ok(())
 }
 
-/// The instance dies while it hands on a stream. The caller sees a stream without its end marker, never one
-/// that looks whole; the engine doesn't go on for nobody, and another instance serves the caller.
+/// An instance is killed while it forwards a stream. The caller sees a stream without its end marker, which
+/// can't be taken for a complete one. The engine stops generating, and another instance serves the caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn router_killed_in_mid_stream() -> anyhow::Result<()> {
+async fn router_killed_mid_stream() -> anyhow::Result<()> {
     let mut site = one_slow_engine().await?;
-    let (events, whole) = stream_until_killed(&site, &site.daemons[0]).await?;
+    let (events, complete) = stream_until_killed(&site, &site.daemons[0]).await?;
     site.daemons[0].wait().await?;
-    assert!(!whole && in_order(&events), "{:?}", events.last());
+    assert!(!complete && is_in_order(&events), "{:?}", events.last());
     site.wait_for("an idle engine", || async {
         site.engine_counts()
             .await
--- a/crates/fireflywheel_daemon/tests/rig/mod.rs
+++ b/crates/fireflywheel_daemon/tests/rig/mod.rs
@@ -1,6 +1,6 @@
-//! The daemon as a process, with stand-ins round it.
+//! Runs the daemon as a process, with stand-ins for its surroundings.
 
-#![allow(dead_code, reason = "each test file uses its part of the rig")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 pub mod raw;
 
@@ -13,10 +13,10 @@
 use fireflywheel_standin::{client, process as children};
 use serde_json::json;
 
-/// The key of the instances.
+/// The key that the instances share.
 pub const KEY: &str = "a key that only instances of this test know";
 
-/// A configuration with one tenant, one class without a deadline and one with, one model, one route.
+/// A configuration with one tenant, one class without and one with a default deadline, one model and one route.
 pub const DOCUMENT: &str = "\
 [serving]
 [class interactive]
@@ -44,14 +44,14 @@
 class = batch
 ";
 
-/// Waits between looks at a state that another process reaches by itself.
-const LOOK: Duration = Duration::from_millis(20);
-/// Guards a test against a state that never comes.
-const GUARD: Duration = Duration::from_secs(30);
+/// The interval at which a state of another process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time limit for a state to be reached.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(0);
 
-/// A folder of this test, removed with it.
+/// The temporary folder of a test, removed when it is dropped.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// The platform, one engine, one plain service and a client.
+/// Stand-ins for the platform, one engine and one plain service, and a client.
 #[derive(Debug)]
 pub struct Rig {
     pub log: children::Child,
@@ -128,7 +128,7 @@
         assert!(answer.status.is_success(), "{}", answer.text());
     }
 
-    /// Publishes [`DOCUMENT`] as an operator's tool would.
+    /// Publishes [`DOCUMENT`] as the operators' tool does.
     pub async fn publish(&self) {
         let faults = document::Document::parse(DOCUMENT).err();
         assert_eq!(faults, None);
@@ -155,7 +155,7 @@
         assert!(answer.status.is_success(), "{}", answer.text());
     }
 
-    /// The settings of an instance, with more sections.
+    /// Writes the settings of an instance. `more` follows the key file in the section `[peers]`.
     pub fn settings(&self, name: &str, key: &str, more: &str) -> PathBuf {
         let key = self.folder.write(&format!("{name}.key"), key);
         let text = format!(
@@ -170,7 +170,7 @@
         self.folder.write(&format!("{name}.ini"), &text)
     }
 
-    /// An instance; `more` goes on after the `[peers]` section's key file.
+    /// Starts an instance with [`KEY`]. `more` follows the key file in the section `[peers]` of its settings.
     pub async fn daemon(&self, name: &str, more: &str) -> children::Child {
         self.daemon_with_key(name, KEY, more).await
     }
@@ -197,14 +197,14 @@
         .await;
     }
 
-    /// Waits until a state is reached.
+    /// Waits until `reached` returns true.
     pub async fn until(&self, daemon: &children::Child, reached: impl AsyncFn() -> bool) {
         let waiting = async {
             while !reached().await {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let waited = tokio::time::timeout(GUARD, waiting).await;
+        let waited = tokio::time::timeout(WAIT_TIMEOUT, waiting).await;
         if waited.is_err() {
             let url = format!("{}/v1/status", daemon.base("operator"));
             let status = self
@@ -214,13 +214,13 @@
                 .expect("the operators' door answers")
                 .text();
             panic!(
-                "not reached; status: {status}; it wrote: {}",
+                "state not reached; status: {status}; standard error: {}",
                 daemon.stderr()
             );
         }
     }
 
-    /// The text of the daemon's metrics.
+    /// Returns the text of the daemon's metrics.
     pub async fn metrics(&self, daemon: &children::Child) -> String {
         let url = format!("{}/metrics", daemon.base("operator"));
         self.client
@@ -230,14 +230,15 @@
             .text()
     }
 
-    /// The value of one metric, written as in the text form; 0 when it isn't there.
+    /// Returns the value of a metric, whose name is written with its labels as in the text format; 0 when the
+    /// metric is absent.
     pub async fn metric(&self, daemon: &children::Child, name: &str) -> u64 {
         let text = self.metrics(daemon).await;
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         line.map_or(0, |value| value.trim().parse().expect("a whole number"))
     }
 
-    /// A request to the model, answered in full.
+    /// Sends a request to the model and waits for the full answer.
     pub async fn ask(&self, daemon: &children::Child) -> client::Answer {
         let client = client::Client::new()
             .with_header("x-tenant", "tran-gia")
@@ -250,7 +251,7 @@
     }
 }
 
-/// The body of a request to a model.
+/// Returns the body of a request to a model.
 pub fn chat(model: &str) -> String {
     json!({
         "model": model,
@@ -260,7 +261,7 @@
     .to_string()
 }
 
-/// The same for a stream of so many tokens.
+/// Returns the body of a request for a stream of `tokens` tokens.
 pub fn stream(model: &str, tokens: usize) -> String {
     json!({
         "model": model,
--- a/crates/fireflywheel_daemon/tests/rig/raw.rs
+++ b/crates/fireflywheel_daemon/tests/rig/raw.rs
@@ -1,4 +1,4 @@
-//! HTTP by hand, for requests that no library would send.
+//! A minimal HTTP client on a plain socket, for requests that an HTTP library would not send.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// Guards a test against an answer that never ends.
-const GUARD: Duration = Duration::from_secs(30);
+/// The time limit for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What came back before the connection ended.
+/// All that was received until the connection was closed.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -20,7 +20,7 @@
 
 impl Reply {
     fn parse(text: &str) -> Self {
-        let (head, body) = text.split_once("\r\n\r\n").expect("a whole head");
+        let (head, body) = text.split_once("\r\n\r\n").expect("a complete head");
         let status = head.split(' ').nth(1).expect("a status line");
         Self {
             status: status.parse().expect("a status"),
@@ -29,32 +29,32 @@
         }
     }
 
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().filter_map(|line| line.split_once(": "));
         lines
-            .find(|(found, _)| *found == name)
+            .find(|(header, _)| *header == name)
             .map(|(_, value)| value)
     }
 
-    /// A member of the error body.
+    /// Returns a member of the error object in the body.
     pub fn error(&self, member: &str) -> String {
         let body: Value = serde_json::from_str(&self.body).expect("a JSON body");
         body["error"][member].as_str().expect("a text").to_owned()
     }
 }
 
-/// Reads until the other side ends the connection.
+/// Reads an answer until the server closes the connection.
 pub async fn read(mut stream: TcpStream) -> Reply {
     let mut bytes = Vec::new();
-    tokio::time::timeout(GUARD, stream.read_to_end(&mut bytes))
+    tokio::time::timeout(ANSWER_TIMEOUT, stream.read_to_end(&mut bytes))
         .await
         .expect("the answer ends")
-        .expect("the answer is whole");
+        .expect("the answer is readable");
     Reply::parse(&String::from_utf8_lossy(&bytes))
 }
 
-/// Sends bytes on a connection of their own and reads the answer.
+/// Sends bytes on a new connection and reads the answer.
 pub async fn send(address: SocketAddr, bytes: &[u8]) -> Reply {
     let mut stream = TcpStream::connect(address)
         .await
@@ -63,7 +63,7 @@
     read(stream).await
 }
 
-/// A request that ends its connection.
+/// Returns a request that asks to close its connection.
 pub fn request(line: &str, headers: &[&str], body: &str) -> Vec<u8> {
     let headers: String = headers
         .iter()
--- a/crates/fireflywheel_daemon/tests/whole_path.rs
+++ b/crates/fireflywheel_daemon/tests/whole_path.rs
@@ -1,14 +1,15 @@
-//! A request from a caller through a daemon to a backend server and back, every part a process of its own.
+//! Requests from callers through daemons to backend servers and back, with every part as a separate process.
 
 mod site;
 
 use site::{Plan, Site};
 
-/// Callers ask three daemons for cold models at once; operators allow one replica of each.
+/// Callers send requests for cold models to three daemons at once. The configuration allows one replica of each
+/// model, so each model must be loaded once.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_models_are_loaded_once_and_every_caller_is_served() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
-    let texts: Vec<(usize, String, String)> = (0..48)
+    let questions: Vec<(usize, String, String)> = (0..48)
         .map(|call| {
             (
                 call % 3,
@@ -17,9 +18,9 @@
             )
         })
         .collect();
-    let calls = texts
+    let calls = questions
         .iter()
-        .map(|(place, model, text)| site.ask(*place, model, text));
+        .map(|(daemon, model, text)| site.ask(*daemon, model, text));
     let answers = futures_util::future::join_all(calls).await;
     for answer in answers {
         assert_eq!(answer, Ok(()));
@@ -34,8 +35,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_service_is_reached_through_every_daemon() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
-    for place in 0..3 {
-        let url = format!("{}/bookings/7", site.caller(place));
+    for daemon in 0..3 {
+        let url = format!("{}/bookings/7", site.caller(daemon));
         let answer = site.client.get(&url).await?;
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
