--- a/crates/fireflywheel_daemon/src/metrics/builder.rs
+++ b/crates/fireflywheel_daemon/src/metrics/builder.rs
@@ -1,4 +1,4 @@
-//! The names and the help of all metrics.
+//! Registration of metrics, and the names and help texts of the daemon's metrics.
 
 use prometheus::{
     CounterVec, Gauge, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts,
@@ -7,20 +7,21 @@
 
 use super::Metrics;
 
-/// The bounds of the histograms rise by this factor, from 1 ms to some 10 minutes.
+/// Ratio between consecutive bucket bounds of the wait histograms. The bounds range from 1 ms to about 12
+/// minutes.
 const BUCKET_FACTOR: f64 = 1.8;
 const BUCKET_COUNT: usize = 24;
 const FIRST_BUCKET_S: f64 = 0.001;
 
-/// Registers metrics one by one.
+/// Creates metrics and registers each of them.
 #[derive(Debug, Default)]
 pub(crate) struct Builder {
     pub(crate) registry: Registry,
 }
 
 impl Builder {
-    /// A histogram of waits by tenant and class.
-    fn waits(&self, name: &str, help: &str) -> prometheus::Result<HistogramVec> {
+    /// Registers a histogram of durations in seconds, labelled by tenant and class.
+    fn wait_histogram(&self, name: &str, help: &str) -> prometheus::Result<HistogramVec> {
         let buckets = exponential_buckets(FIRST_BUCKET_S, BUCKET_FACTOR, BUCKET_COUNT)?;
         self.histogram(name, help, buckets, &["tenant", "class"])
     }
@@ -49,7 +50,7 @@
         Ok(metric)
     }
 
-    /// A counter of what isn't whole.
+    /// Registers a counter of fractional amounts.
     pub(crate) fn amount(
         &self,
         name: &str,
@@ -73,7 +74,12 @@
         Ok(metric)
     }
 
-    fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> prometheus::Result<IntGaugeVec> {
+    fn gauge_vec(
+        &self,
+        name: &str,
+        help: &str,
+        labels: &[&str],
+    ) -> prometheus::Result<IntGaugeVec> {
         let metric = IntGaugeVec::new(Opts::new(name, help), labels)?;
         self.registry.register(Box::new(metric.clone()))?;
         Ok(metric)
@@ -81,19 +87,19 @@
 
     pub(super) fn build(self) -> prometheus::Result<Metrics> {
         Ok(Metrics {
-            queue_wait: self.waits(
+            queue_wait: self.wait_histogram(
                 "fireflywheel_queue_wait_seconds",
                 "From the arrival of a request until its first attempt",
             )?,
-            cold_start_wait: self.waits(
+            cold_start_wait: self.wait_histogram(
                 "fireflywheel_cold_start_wait_seconds",
                 "The same for requests that arrived while what they need was loaded nowhere",
             )?,
-            first_token: self.waits(
+            first_token: self.wait_histogram(
                 "fireflywheel_first_token_seconds",
                 "From the arrival of a request until the first event of its stream",
             )?,
-            whole_answer: self.waits(
+            full_answer: self.wait_histogram(
                 "fireflywheel_whole_answer_seconds",
                 "From the arrival of a request until its whole answer",
             )?,
@@ -142,7 +148,7 @@
             )?,
             ready: self.gauge("fireflywheel_ready", "1 when callers may be sent here")?,
             in_flight: self.gauge("fireflywheel_in_flight", "Requests without a final answer")?,
-            queued: self.gauges(
+            queued: self.gauge_vec(
                 "fireflywheel_queued",
                 "Requests that wait for a backend server",
                 &["queue"],
--- a/crates/fireflywheel_daemon/src/metrics/labels.rs
+++ b/crates/fireflywheel_daemon/src/metrics/labels.rs
@@ -1,48 +1,49 @@
-//! Whom a request counts for, with values out of the configuration in force alone.
+//! The label values of a request. All values except the constants below are names in the configuration in
+//! force.
 
 use fireflywheel::{document, request};
 use smol_str::SmolStr;
 
-/// The label value of what the configuration doesn't name.
+/// Label value that replaces every name that the configuration does not contain.
 pub const OTHER: &str = "other";
-/// The class of requests to models that name none.
+/// Class of model requests that specify none.
 const MODEL_CLASS: &str = "interactive";
-/// The label value of requests that go to no model.
+/// Model label of requests to a path instead of a model.
 const NO_MODEL: &str = "none";
 
-/// Whom a request counts for.
+/// The label values of one request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Labels {
-    /// The tenant.
+    /// The name of the tenant.
     pub tenant: SmolStr,
-    /// The class.
+    /// The name of the request class.
     pub class: SmolStr,
-    /// The model.
+    /// The name of the model.
     pub model: SmolStr,
 }
 
 impl Labels {
-    /// Those of a request under the configuration in force.
+    /// Returns the labels of a request under the configuration in force.
     #[must_use]
     pub fn new(document: &document::Document, arrival: &request::Arrival) -> Self {
         let class = class_of(document, arrival);
         let model = match &arrival.target {
             request::Target::Model { model, .. } => {
-                known(model, document.models.contains_key(model))
+                known_or_other(model, document.models.contains_key(model))
             }
             request::Target::Path { .. } => SmolStr::new_static(NO_MODEL),
         };
         Self {
-            tenant: known(
+            tenant: known_or_other(
                 &arrival.tenant,
                 document.tenants.contains_key(&arrival.tenant),
             ),
-            class: known(&class, document.classes.contains_key(&class)),
+            class: known_or_other(&class, document.classes.contains_key(&class)),
             model,
         }
     }
 
-    /// Those of a request that was refused before it was read.
+    /// Returns the labels of a request that was refused before it was parsed.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
@@ -52,12 +53,12 @@
         }
     }
 
-    pub(super) fn pair(&self) -> [&str; 2] {
+    pub(super) fn tenant_and_class(&self) -> [&str; 2] {
         [&self.tenant, &self.class]
     }
 }
 
-fn known(name: &SmolStr, is_known: bool) -> SmolStr {
+fn known_or_other(name: &SmolStr, is_known: bool) -> SmolStr {
     if is_known {
         name.clone()
     } else {
@@ -73,7 +74,7 @@
         return SmolStr::new_static(MODEL_CLASS);
     };
     let routes = document.routes.values();
-    let fitting = routes.filter(|route| path.starts_with(route.prefix.as_str()));
-    let longest = fitting.max_by_key(|route| route.prefix.len());
+    let matching = routes.filter(|route| path.starts_with(route.prefix.as_str()));
+    let longest = matching.max_by_key(|route| route.prefix.len());
     longest.map(|route| route.class.clone()).unwrap_or_default()
 }
--- a/crates/fireflywheel_daemon/src/metrics/mod.rs
+++ b/crates/fireflywheel_daemon/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Metrics of one daemon, in a registry of its own.
+//! The metrics of one daemon, in a separate registry.
 //!
-//! The values of each label come from the configuration in force; whatever is not named there counts as
-//! `other`, so that a hostile caller can't fill the memory with label values.
+//! Names in label values are taken from the configuration in force. Every other name is counted as `other`,
+//! so that a malicious caller can't exhaust the memory with label values.
 
 pub(crate) mod builder;
 mod labels;
@@ -16,14 +16,14 @@
 
 pub use labels::{Labels, OTHER};
 
-/// Everything that a daemon measures.
+/// All metrics of a daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     queue_wait: HistogramVec,
     cold_start_wait: HistogramVec,
     first_token: HistogramVec,
-    whole_answer: HistogramVec,
+    full_answer: HistogramVec,
     outcomes: IntCounterVec,
     attempts: IntCounterVec,
     orders: IntCounterVec,
@@ -40,32 +40,32 @@
     links: IntGauge,
 }
 
-/// Which way bytes went over a link.
+/// The direction of a frame on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Direction {
-    /// From a peer.
+    /// Received from a peer.
     In,
-    /// To a peer.
+    /// Sent to a peer.
     Out,
 }
 
-/// Why a link failed, or a frame was lost.
+/// Why a link failed or a frame was dropped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkFailure {
-    /// The peer could not be reached.
+    /// The connection to the peer failed.
     Connect,
-    /// The handshake was wrong.
+    /// The peer failed the handshake.
     Handshake,
-    /// The handshake took too long.
-    Slow,
-    /// Too many handshakes or links at once.
-    Limit,
-    /// A message was not the CBOR of a frame.
+    /// The connection and its handshake exceeded their time limit.
+    TimedOut,
+    /// The maximum number of concurrent incoming handshakes was reached.
+    TooMany,
+    /// A received message was not a CBOR-encoded frame.
     Malformed,
-    /// A message was too long.
-    Long,
-    /// The queue to the peer was full: a frame was dropped.
-    Full,
+    /// A message exceeded the size limit of a frame.
+    TooLong,
+    /// The send queue of the peer was full, so a frame was dropped.
+    QueueFull,
 }
 
 impl Direction {
@@ -78,58 +78,58 @@
 }
 
 impl LinkFailure {
-    /// The label value.
+    /// Returns the value of the `cause` label.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Connect => "connect",
             Self::Handshake => "handshake",
-            Self::Slow => "slow",
-            Self::Limit => "limit",
+            Self::TimedOut => "slow",
+            Self::TooMany => "limit",
             Self::Malformed => "malformed",
-            Self::Long => "long",
-            Self::Full => "full",
+            Self::TooLong => "long",
+            Self::QueueFull => "full",
         }
     }
 }
 
 impl Metrics {
-    /// Metrics that are all zero.
+    /// Creates the metrics, all zero.
     ///
     /// # Errors
     ///
-    /// When two of them have one name, which is a fault of the build.
+    /// Returns an error if two metrics have the same name, which is a programming error.
     pub fn new() -> anyhow::Result<Self> {
         let builder = builder::Builder {
             registry: Registry::new(),
         };
-        builder.build().context("the metrics can't be registered")
+        builder.build().context("failed to register the metrics")
     }
 
-    /// All of them as a scraper reads them, with gauges as `status` says.
+    /// Encodes all metrics in the Prometheus text format, with gauges set from `status`.
     ///
     /// # Errors
     ///
-    /// When they have no text form.
+    /// Returns an error if the metrics can't be encoded.
     pub fn text(&self, status: &status::Status, in_progress: usize) -> anyhow::Result<Vec<u8>> {
-        self.version.set(integer(status.version));
-        self.ledger_next.set(integer(status.log.next));
+        self.version.set(to_i64(status.version));
+        self.ledger_next.set(to_i64(status.log.next));
         self.ready.set(i64::from(status.ready));
-        self.in_flight.set(integer(in_progress as u64));
-        // Queues come and go with the configuration; one that is gone must not show its last length.
+        self.in_flight.set(to_i64(in_progress as u64));
+        // The configuration determines which queues exist. A removed queue must not keep its last length.
         self.queued.reset();
         for queue in &status.queues {
             let gauge = self.queued.with_label_values(&[queue.model.as_str()]);
-            gauge.set(integer(queue.waiting as u64));
+            gauge.set(to_i64(queue.waiting as u64));
         }
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 
-    /// A request goes to a backend server for the first time.
+    /// Records that a request is sent to a backend server for the first time.
     pub fn observe_dispatch(&self, labels: &Labels, wait: Duration, is_cold: bool) {
-        let values = &labels.pair();
+        let values = &labels.tenant_and_class();
         self.queue_wait
             .with_label_values(values)
             .observe(wait.as_secs_f64());
@@ -140,29 +140,30 @@
         }
     }
 
-    /// The first event of a stream was handed on.
-    pub fn observe_first_token(&self, labels: &Labels, since: Duration) {
+    /// Records that the first event of a stream was passed to the caller, `elapsed` after the request
+    /// arrived.
+    pub fn observe_first_token(&self, labels: &Labels, elapsed: Duration) {
         self.first_token
-            .with_label_values(&labels.pair())
-            .observe(since.as_secs_f64());
+            .with_label_values(&labels.tenant_and_class())
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// A whole answer was handed on.
-    pub fn observe_full_answer(&self, labels: &Labels, since: Duration) {
-        self.whole_answer
-            .with_label_values(&labels.pair())
-            .observe(since.as_secs_f64());
+    /// Records that a complete answer was passed to the caller, `elapsed` after the request arrived.
+    pub fn observe_full_answer(&self, labels: &Labels, elapsed: Duration) {
+        self.full_answer
+            .with_label_values(&labels.tenant_and_class())
+            .observe(elapsed.as_secs_f64());
         self.count_outcome(labels, "ok", verdict::Verdict::Ran);
     }
 
-    /// A request had its final answer.
+    /// Counts the final answer to a request.
     pub fn count_outcome(&self, labels: &Labels, code: &str, verdict: verdict::Verdict) {
         self.outcomes
             .with_label_values(&[code, verdict.as_str(), labels.class.as_str()])
             .inc();
     }
 
-    /// An attempt ended; `None` with a whole answer.
+    /// Counts an attempt that has ended. `cause` is `None` after a complete answer.
     pub fn count_attempt(&self, labels: &Labels, cause: Option<request::Cause>) {
         let cause = cause.map_or("ok", cause_label);
         self.attempts
@@ -170,7 +171,7 @@
             .inc();
     }
 
-    /// An order was answered, or not.
+    /// Counts the result of an order to a model engine.
     pub fn count_order(&self, answer: &order::Answer) {
         let answer = match answer {
             order::Answer::Done(_) => "done",
@@ -182,7 +183,7 @@
         self.orders.with_label_values(&[answer]).inc();
     }
 
-    /// An append was answered, or not.
+    /// Counts the result of an append to the log.
     pub fn count_append(&self, answer: writer::Answer) {
         let answer = match answer {
             writer::Answer::Stored(_) => "stored",
@@ -192,7 +193,7 @@
         self.appends.with_label_values(&[answer]).inc();
     }
 
-    /// A frame went over a link.
+    /// Counts a frame on a link.
     pub fn count_frame(&self, direction: Direction, bytes: usize) {
         let values = &[direction.as_str()];
         self.frames.with_label_values(values).inc();
@@ -201,19 +202,19 @@
             .inc_by(bytes as u64);
     }
 
-    /// A link failed, or a frame was dropped.
+    /// Counts a failed link or a dropped frame.
     pub fn count_link_failure(&self, failure: LinkFailure) {
         self.link_failures
             .with_label_values(&[failure.as_str()])
             .inc();
     }
 
-    /// So many links are open.
+    /// Sets the number of open links.
     pub fn set_links(&self, count: usize) {
-        self.links.set(integer(count as u64));
+        self.links.set(to_i64(count as u64));
     }
 
-    /// Counts a stream until the guard is dropped.
+    /// Counts a stream as in progress until the returned guard is dropped.
     #[must_use]
     pub fn stream(&self) -> StreamGuard {
         self.streams.inc();
@@ -221,7 +222,7 @@
     }
 }
 
-/// A stream in progress.
+/// Counts one stream as in progress until it is dropped.
 #[derive(Debug)]
 pub struct StreamGuard(IntGauge);
 
@@ -231,7 +232,7 @@
     }
 }
 
-fn integer(number: u64) -> i64 {
+fn to_i64(number: u64) -> i64 {
     i64::try_from(number).unwrap_or(i64::MAX)
 }
 
--- a/crates/fireflywheel_daemon/src/peers/handshake.rs
+++ b/crates/fireflywheel_daemon/src/peers/handshake.rs
@@ -1,16 +1,16 @@
-//! The handshake of a link: each side proves that it knows the key, bound to both sides' fresh nonces, to its
-//! role and to what it says of itself.
+//! The mutual authentication of a link. Each side proves that it knows the shared key. The proof is an HMAC
+//! over both sides' nonces, the prover's role and the prover's own update.
 //!
 //! | step | opener | acceptor |
 //! |---|---|---|
 //! | 1 | its nonce | |
 //! | 2 | | its nonce |
-//! | 3 | its proof and introduction | |
-//! | 4 | | its proof and introduction |
-//! | 5 | an empty message: go | |
+//! | 3 | its proof and own update | |
+//! | 4 | | its proof and own update |
+//! | 5 | an empty message | |
 //!
-//! A stranger who connects gets a random number and nothing else. Frames follow only after step 5, so that no
-//! byte of them is read under the small size limit that holds before.
+//! A client without the key receives a random nonce and nothing else. Frames follow only after step 5, so
+//! that none is read under the smaller size limit of the handshake.
 
 use fireflywheel::{member, settings, wire};
 use futures_util::{SinkExt as _, StreamExt as _};
@@ -23,66 +23,67 @@
 use tokio_tungstenite::tungstenite::{Bytes, Message};
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, client_async_with_config};
 
-/// Bytes of a nonce and of a proof.
-const LENGTH: usize = 32;
-/// The largest message before the key is proven, in bytes.
-const SMALL: usize = 2048;
-/// Initial buffers of a link, in bytes. The library's own would take a quarter of a megabyte a link.
-const BUFFER: usize = 8 << 10;
+/// Size of a proof, an HMAC-SHA-256, in bytes. A nonce has the same size.
+const PROOF_BYTES: usize = 32;
+/// Size limit of a message during the handshake, in bytes.
+const MAX_HANDSHAKE_MESSAGE_BYTES: usize = 2048;
+/// Initial size of a link's read buffer, in bytes. The library's default buffers take a quarter of a megabyte
+/// for each link.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
 type Socket = WebSocketStream<TcpStream>;
-type Nonce = [u8; LENGTH];
+type Nonce = [u8; PROOF_BYTES];
 
-/// Which side of a link.
+/// A side of a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Role {
-    /// The one that connected.
+    /// The side that opened the TCP connection.
     Opener,
-    /// The other.
+    /// The side that accepted the TCP connection.
     Acceptor,
 }
 
-/// Why there is no link.
+/// Why a link could not be established.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Failure {
-    /// Nobody answers.
+    /// The TCP connection failed.
     Connect,
-    /// Not the protocol, or not the key.
+    /// The peer broke the protocol or did not prove the key.
     Handshake,
-    /// It is this process itself.
-    Own,
+    /// The peer has the name of this instance, as when the instance connects to itself.
+    SelfConnection,
 }
 
-/// A link to a peer that has proven the key.
+/// A connection to a peer that has proven the key.
 #[derive(Debug)]
-pub(super) struct Proven {
+pub(super) struct Connection {
     pub(super) socket: Socket,
     pub(super) peer: member::Update,
 }
 
-/// The key, and what this instance says of itself.
+/// The shared key and the update that describes this instance.
 #[derive(Debug)]
 pub(super) struct Identity {
     secret: settings::Secret,
-    me: member::Update,
-    introduction: Vec<u8>,
+    own_update: member::Update,
+    encoded_update: Vec<u8>,
 }
 
-/// The nonces of both sides.
+/// The nonces of both sides of one handshake.
 struct Nonces {
     opener: Nonce,
     acceptor: Nonce,
 }
 
 impl Role {
-    fn other(self) -> Self {
+    fn opposite(self) -> Self {
         match self {
             Self::Opener => Self::Acceptor,
             Self::Acceptor => Self::Opener,
         }
     }
 
-    // Part of what is proven: without it a proof could be sent back to the one who made it.
+    // The MAC covers the role, so that a proof can't be reflected to the side that made it.
     fn label(self) -> &'static [u8] {
         match self {
             Self::Opener => b"fireflywheel link 1 opener",
@@ -92,85 +93,92 @@
 }
 
 impl Identity {
-    pub(super) fn new(secret: settings::Secret, me: member::Update) -> Self {
-        let mut introduction = Vec::new();
-        ciborium::into_writer(&me, &mut introduction).expect("an update always has a CBOR form");
+    pub(super) fn new(secret: settings::Secret, own_update: member::Update) -> Self {
+        let mut encoded_update = Vec::new();
+        ciborium::into_writer(&own_update, &mut encoded_update)
+            .expect("an update always serializes to CBOR");
         Self {
             secret,
-            me,
-            introduction,
+            own_update,
+            encoded_update,
         }
     }
 
-    /// Whether this instance tells others that address.
-    pub(super) fn is_at(&self, address: &SmolStr) -> bool {
-        self.me.address == *address
+    /// Returns whether this instance advertises `address`.
+    pub(super) fn has_address(&self, address: &SmolStr) -> bool {
+        self.own_update.address == *address
     }
 
-    /// Takes a connection.
-    pub(super) async fn accept(&self, stream: TcpStream) -> Result<Proven, Failure> {
+    /// Authenticates an incoming connection.
+    pub(super) async fn accept(&self, stream: TcpStream) -> Result<Connection, Failure> {
         let _ = stream.set_nodelay(true);
-        let mut socket = accept_async_with_config(stream, Some(config(SMALL)))
-            .await
-            .map_err(|_| Failure::Handshake)?;
+        let mut socket =
+            accept_async_with_config(stream, Some(websocket_config(MAX_HANDSHAKE_MESSAGE_BYTES)))
+                .await
+                .map_err(|_| Failure::Handshake)?;
         let nonces = Nonces {
             opener: receive_nonce(&mut socket).await?,
-            acceptor: fresh_nonce(),
+            acceptor: generate_nonce(),
         };
         send(&mut socket, nonces.acceptor.to_vec()).await?;
         let peer = self
             .receive_proof(&mut socket, Role::Opener, &nonces)
             .await?;
-        // The opener is silent until it has our proof, so nothing is lost with the small buffer.
-        let mut socket = enlarge(socket, protocol::Role::Server).await;
-        send(&mut socket, self.prove(Role::Acceptor, &nonces)).await?;
-        let go = receive(&mut socket).await?;
-        if !go.is_empty() {
+        // The opener sends nothing until it has this proof, so replacing the socket loses no buffered bytes.
+        let mut socket = raise_message_limit(socket, protocol::Role::Server).await;
+        send(&mut socket, self.encode_proof(Role::Acceptor, &nonces)).await?;
+        let start = receive(&mut socket).await?;
+        if !start.is_empty() {
             return Err(Failure::Handshake);
         }
-        Ok(Proven { socket, peer })
+        Ok(Connection { socket, peer })
     }
 
-    /// Connects to `address`.
-    pub(super) async fn open(&self, address: &str) -> Result<Proven, Failure> {
+    /// Connects to `address` and authenticates the connection.
+    pub(super) async fn open(&self, address: &str) -> Result<Connection, Failure> {
         let stream = TcpStream::connect(address)
             .await
             .map_err(|_| Failure::Connect)?;
         let _ = stream.set_nodelay(true);
         let url = format!("ws://{address}/");
-        let (mut socket, _) = client_async_with_config(url, stream, Some(config(SMALL)))
-            .await
-            .map_err(|_| Failure::Handshake)?;
-        let opener = fresh_nonce();
+        let (mut socket, _) = client_async_with_config(
+            url,
+            stream,
+            Some(websocket_config(MAX_HANDSHAKE_MESSAGE_BYTES)),
+        )
+        .await
+        .map_err(|_| Failure::Handshake)?;
+        let opener = generate_nonce();
         send(&mut socket, opener.to_vec()).await?;
         let nonces = Nonces {
             opener,
             acceptor: receive_nonce(&mut socket).await?,
         };
-        send(&mut socket, self.prove(Role::Opener, &nonces)).await?;
+        send(&mut socket, self.encode_proof(Role::Opener, &nonces)).await?;
         let peer = self
             .receive_proof(&mut socket, Role::Acceptor, &nonces)
             .await?;
-        // The acceptor is silent until our go.
-        let mut socket = enlarge(socket, protocol::Role::Client).await;
+        // The acceptor sends nothing until it has the empty message, so replacing the socket loses no
+        // buffered bytes.
+        let mut socket = raise_message_limit(socket, protocol::Role::Client).await;
         send(&mut socket, Vec::new()).await?;
-        Ok(Proven { socket, peer })
+        Ok(Connection { socket, peer })
     }
 
-    fn mac(&self, role: Role, nonces: &Nonces, introduction: &[u8]) -> Hmac<Sha256> {
+    fn compute_mac(&self, role: Role, nonces: &Nonces, encoded_update: &[u8]) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(self.secret.bytes())
-            .expect("HMAC takes keys of any length");
+            .expect("HMAC accepts keys of any length");
         mac.update(role.label());
         mac.update(&nonces.opener);
         mac.update(&nonces.acceptor);
-        mac.update(introduction);
+        mac.update(encoded_update);
         mac
     }
 
-    fn prove(&self, role: Role, nonces: &Nonces) -> Vec<u8> {
-        let mac = self.mac(role, nonces, &self.introduction);
+    fn encode_proof(&self, role: Role, nonces: &Nonces) -> Vec<u8> {
+        let mac = self.compute_mac(role, nonces, &self.encoded_update);
         let mut message = mac.finalize().into_bytes().to_vec();
-        message.extend_from_slice(&self.introduction);
+        message.extend_from_slice(&self.encoded_update);
         message
     }
 
@@ -181,38 +189,41 @@
         nonces: &Nonces,
     ) -> Result<member::Update, Failure> {
         let message = receive(socket).await?;
-        let (proof, introduction) = message.split_at_checked(LENGTH).ok_or(Failure::Handshake)?;
-        // Compared in constant time, and before anything of the introduction is parsed.
-        self.mac(role, nonces, introduction)
+        let (proof, encoded_update) = message
+            .split_at_checked(PROOF_BYTES)
+            .ok_or(Failure::Handshake)?;
+        // `verify_slice` compares in constant time. The update is parsed only after its proof was verified.
+        self.compute_mac(role, nonces, encoded_update)
             .verify_slice(proof)
             .map_err(|_| Failure::Handshake)?;
         let peer: member::Update =
-            ciborium::from_reader(introduction).map_err(|_| Failure::Handshake)?;
-        if peer.by.instance != self.me.by.instance {
+            ciborium::from_reader(encoded_update).map_err(|_| Failure::Handshake)?;
+        if peer.by.instance != self.own_update.by.instance {
             return Ok(peer);
         }
         log::debug!(
-            instance = self.me.by.instance.as_str();
-            "a link led to an instance of this name, as {:?}", role.other()
+            instance = self.own_update.by.instance.as_str();
+            "dropped a link to an instance with the name of this one, local role {:?}", role.opposite()
         );
-        Err(Failure::Own)
+        Err(Failure::SelfConnection)
     }
 }
 
-fn config(limit: usize) -> WebSocketConfig {
+fn websocket_config(max_message_bytes: usize) -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
+        .read_buffer_size(READ_BUFFER_BYTES)
         .write_buffer_size(0)
-        .max_message_size(Some(limit))
-        .max_frame_size(Some(limit))
+        .max_message_size(Some(max_message_bytes))
+        .max_frame_size(Some(max_message_bytes))
 }
 
-async fn enlarge(socket: Socket, role: protocol::Role) -> Socket {
+async fn raise_message_limit(socket: Socket, role: protocol::Role) -> Socket {
     let stream = socket.into_inner();
-    WebSocketStream::from_raw_socket(stream, role, Some(config(wire::MAX_FRAME_BYTES))).await
+    WebSocketStream::from_raw_socket(stream, role, Some(websocket_config(wire::MAX_FRAME_BYTES)))
+        .await
 }
 
-fn fresh_nonce() -> Nonce {
+fn generate_nonce() -> Nonce {
     let mut nonce = Nonce::default();
     rand::rng().fill_bytes(&mut nonce);
     nonce
--- a/crates/fireflywheel_daemon/src/peers/link.rs
+++ b/crates/fireflywheel_daemon/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One link: frames both ways until it ends.
+//! Serves one link: sends and receives frames until the link ends.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 use super::{handshake, registry};
 use crate::{core, metrics};
 
-/// How long one frame may take to send: a peer that doesn't read holds up the frames behind it.
-const SEND_WAIT: Duration = Duration::from_secs(5);
+/// Time limit for sending one frame. A peer that does not read delays the frames that are queued behind it.
+const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// Serves a link that was proven, until it ends.
+/// Serves an authenticated link until it ends. Returns at once if the registry refuses the link.
 pub(super) async fn run(
     core: &core::Core,
     links: &registry::Registry,
-    proven: handshake::Proven,
+    connection: handshake::Connection,
     role: handshake::Role,
 ) {
-    let handshake::Proven { socket, peer } = proven;
-    let opened_here = role == handshake::Role::Opener;
-    let Some(entry) = links.open(core, &peer, opened_here) else {
+    let handshake::Connection { socket, peer } = connection;
+    let is_opener = role == handshake::Role::Opener;
+    let Some(channels) = links.register(core, &peer, is_opener) else {
         return;
     };
     let (sink, stream) = socket.split();
-    // Both ways at once: two sides that only write would wait for each other.
+    // Both directions run concurrently: two sides that only write would block each other.
     tokio::select! {
-        () = write(core, sink, entry.frames) => {}
+        () = write(core, sink, channels.frames) => {}
         () = read(core, stream, &peer.by) => {}
-        _ = entry.stop => {}
+        _ = channels.stop => {}
     }
-    links.close(core, &peer, entry.number);
+    links.unregister(core, &peer, channels.number);
 }
 
 async fn write(
@@ -51,13 +51,13 @@
         let bytes = frame.encode();
         if bytes.len() > wire::MAX_FRAME_BYTES {
             core.metrics()
-                .count_link_failure(metrics::LinkFailure::Long);
+                .count_link_failure(metrics::LinkFailure::TooLong);
             continue;
         }
         core.metrics()
             .count_frame(metrics::Direction::Out, bytes.len());
-        let sent = time::timeout(SEND_WAIT, sink.send(Message::Binary(bytes.into()))).await;
-        if !matches!(sent, Ok(Ok(()))) {
+        let result = time::timeout(SEND_TIMEOUT, sink.send(Message::Binary(bytes.into()))).await;
+        if !matches!(result, Ok(Ok(()))) {
             return;
         }
     }
@@ -70,13 +70,13 @@
             Ok(Message::Ping(_) | Message::Pong(_)) => continue,
             Ok(Message::Close(_)) => return,
             Ok(Message::Text(_) | Message::Frame(_)) => {
-                return fail(core, metrics::LinkFailure::Malformed);
+                return record_failure(core, metrics::LinkFailure::Malformed);
             }
-            Err(Error::Capacity(_)) => return fail(core, metrics::LinkFailure::Long),
-            // A process that ends doesn't always say so first.
+            Err(Error::Capacity(_)) => return record_failure(core, metrics::LinkFailure::TooLong),
+            // A process that exits does not always send a close frame.
             Err(Error::Protocol(ProtocolError::ResetWithoutClosingHandshake)) => return,
             Err(Error::Protocol(_) | Error::Utf8(_)) => {
-                return fail(core, metrics::LinkFailure::Malformed);
+                return record_failure(core, metrics::LinkFailure::Malformed);
             }
             Err(_) => return,
         };
@@ -87,16 +87,20 @@
                 from: from.clone(),
                 frame,
             }),
-            Err(wire::Malformed::TooLong(_)) => return fail(core, metrics::LinkFailure::Long),
-            Err(wire::Malformed::Cbor(_)) => return fail(core, metrics::LinkFailure::Malformed),
+            Err(wire::Malformed::TooLong(_)) => {
+                return record_failure(core, metrics::LinkFailure::TooLong);
+            }
+            Err(wire::Malformed::Cbor(_)) => {
+                return record_failure(core, metrics::LinkFailure::Malformed);
+            }
         }
     }
 }
 
-fn fail(core: &core::Core, failure: metrics::LinkFailure) {
+fn record_failure(core: &core::Core, failure: metrics::LinkFailure) {
     core.metrics().count_link_failure(failure);
     log::warn!(
         instance = core.instance().as_str();
-        "a link was closed for what came over it: {}", failure.as_str()
+        "closing a peer link, received an invalid message: {}", failure.as_str()
     );
 }
--- a/crates/fireflywheel_daemon/src/peers/mod.rs
+++ b/crates/fireflywheel_daemon/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Links to other instances: websockets that carry frames, open only to those who prove the key.
+//! Links to other instances: WebSocket connections that carry frames. A link opens only after both sides have
+//! proven the shared key.
 
 mod handshake;
 mod link;
@@ -17,22 +18,22 @@
 
 use crate::{core, metrics};
 
-/// Handshakes at once, of peers that connect here; more are closed unheard.
-const HANDSHAKES: usize = 32;
-/// How long a connection and its handshake may take together.
-const HANDSHAKE_WAIT: Duration = Duration::from_secs(2);
-/// Wait after the system refused to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of concurrent incoming handshakes. Further connections are closed without an answer.
+const MAX_HANDSHAKES: usize = 32;
+/// Time limit for the TCP connection and the handshake together.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after the system refused to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What an instance tells its peers of itself.
+/// Builds the update with which an instance announces itself to its peers.
 #[must_use]
 pub fn own_update(
-    me: record::Incarnation,
+    incarnation: record::Incarnation,
     address: SmolStr,
     failure_domain: SmolStr,
 ) -> member::Update {
     member::Update {
-        by: me,
+        by: incarnation,
         address,
         failure_domain,
         state: member::State::Alive,
@@ -40,49 +41,50 @@
     }
 }
 
-/// Opens and takes links.
+/// Opens and accepts links.
 #[derive(Debug)]
 pub struct Peers {
     core: Arc<core::Core>,
     links: Arc<registry::Registry>,
     identity: handshake::Identity,
-    places: Arc<Semaphore>,
+    handshake_permits: Arc<Semaphore>,
     connecting: Mutex<HashSet<SmolStr>>,
 }
 
 impl Peers {
-    /// Speaks for `me` to whoever proves `secret`.
+    /// Creates the peers of the instance that `own_update` describes. `secret` is the shared key.
     #[must_use]
     pub fn new(
         core: Arc<core::Core>,
         links: Arc<registry::Registry>,
         secret: settings::Secret,
-        me: member::Update,
+        own_update: member::Update,
     ) -> Self {
         Self {
             core,
             links,
-            identity: handshake::Identity::new(secret, me),
-            places: Arc::new(Semaphore::new(HANDSHAKES)),
+            identity: handshake::Identity::new(secret, own_update),
+            handshake_permits: Arc::new(Semaphore::new(MAX_HANDSHAKES)),
             connecting: Mutex::default(),
         }
     }
 
-    /// Takes the links of others and opens those that the node asks for, until dropped.
+    /// Accepts incoming links and connects to the targets that the node requests. Returns when the channel of
+    /// targets is closed.
     pub async fn run(
         self: Arc<Self>,
         listener: TcpListener,
-        mut calls: mpsc::UnboundedReceiver<registry::Target>,
+        mut targets: mpsc::UnboundedReceiver<registry::Target>,
     ) {
         let mut running = JoinSet::new();
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => self.accept(stream, &mut running),
-                    Err(_) => time::sleep(ACCEPT_PAUSE).await,
+                    Err(_) => time::sleep(ACCEPT_RETRY_DELAY).await,
                 },
-                call = calls.recv() => match call {
-                    Some(call) => self.connect(&call, &mut running),
+                target = targets.recv() => match target {
+                    Some(target) => self.connect(&target, &mut running),
                     None => return,
                 },
             }
@@ -91,55 +93,59 @@
     }
 
     fn accept(self: &Arc<Self>, stream: TcpStream, running: &mut JoinSet<()>) {
-        let Ok(place) = Arc::clone(&self.places).try_acquire_owned() else {
-            self.count(metrics::LinkFailure::Limit);
+        let Ok(permit) = Arc::clone(&self.handshake_permits).try_acquire_owned() else {
+            self.record_failure(metrics::LinkFailure::TooMany);
             return;
         };
         let peers = Arc::clone(self);
         running.spawn(async move {
-            let shaken = time::timeout(HANDSHAKE_WAIT, peers.identity.accept(stream)).await;
-            drop(place);
-            peers.serve(shaken, handshake::Role::Acceptor).await;
+            let result = time::timeout(HANDSHAKE_TIMEOUT, peers.identity.accept(stream)).await;
+            drop(permit);
+            peers.run_link(result, handshake::Role::Acceptor).await;
         });
     }
 
-    fn connect(self: &Arc<Self>, call: &registry::Target, running: &mut JoinSet<()>) {
-        let is_own = self.identity.is_at(&call.address);
+    fn connect(self: &Arc<Self>, target: &registry::Target, running: &mut JoinSet<()>) {
+        let is_own = self.identity.has_address(&target.address);
         if is_own
-            || self.links.contains(call)
-            || !self.lock_connecting().insert(call.address.clone())
+            || self.links.contains(target)
+            || !self.lock_connecting().insert(target.address.clone())
         {
             return;
         }
         let peers = Arc::clone(self);
-        let address = call.address.clone();
+        let address = target.address.clone();
         running.spawn(async move {
-            let shaken = time::timeout(HANDSHAKE_WAIT, peers.identity.open(&address)).await;
+            let result = time::timeout(HANDSHAKE_TIMEOUT, peers.identity.open(&address)).await;
             peers.lock_connecting().remove(&address);
-            peers.serve(shaken, handshake::Role::Opener).await;
+            peers.run_link(result, handshake::Role::Opener).await;
         });
     }
 
-    async fn serve(
+    async fn run_link(
         &self,
-        shaken: Result<Result<handshake::Proven, handshake::Failure>, time::error::Elapsed>,
+        result: Result<Result<handshake::Connection, handshake::Failure>, time::error::Elapsed>,
         role: handshake::Role,
     ) {
-        match shaken {
-            Ok(Ok(proven)) => link::run(&self.core, &self.links, proven, role).await,
-            Ok(Err(handshake::Failure::Connect)) => self.count(metrics::LinkFailure::Connect),
-            Ok(Err(handshake::Failure::Handshake)) => self.count(metrics::LinkFailure::Handshake),
-            // Seeds may name this instance itself.
-            Ok(Err(handshake::Failure::Own)) => {}
-            Err(_) => self.count(metrics::LinkFailure::Slow),
+        match result {
+            Ok(Ok(connection)) => link::run(&self.core, &self.links, connection, role).await,
+            Ok(Err(handshake::Failure::Connect)) => {
+                self.record_failure(metrics::LinkFailure::Connect);
+            }
+            Ok(Err(handshake::Failure::Handshake)) => {
+                self.record_failure(metrics::LinkFailure::Handshake);
+            }
+            // The seeds may include this instance itself.
+            Ok(Err(handshake::Failure::SelfConnection)) => {}
+            Err(_) => self.record_failure(metrics::LinkFailure::TimedOut),
         }
     }
 
-    fn count(&self, failure: metrics::LinkFailure) {
+    fn record_failure(&self, failure: metrics::LinkFailure) {
         self.core.metrics().count_link_failure(failure);
         log::debug!(
             instance = self.core.instance().as_str();
-            "a link to a peer failed: {}", failure.as_str()
+            "peer link failed: {}", failure.as_str()
         );
     }
 
--- a/crates/fireflywheel_daemon/src/peers/registry.rs
+++ b/crates/fireflywheel_daemon/src/peers/registry.rs
@@ -1,4 +1,4 @@
-//! Which links are open: one for each peer.
+//! The open links, at most one for each peer.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,35 +9,35 @@
 
 use crate::{core, metrics};
 
-/// Links at once.
-const LIMIT: usize = 256;
-/// Frames that wait for one peer; more are dropped.
-const QUEUE: usize = 256;
+/// Maximum number of open links.
+const MAX_LINKS: usize = 256;
+/// Maximum number of frames queued for one peer. Further frames are dropped.
+const MAX_QUEUED_FRAMES: usize = 256;
 
 /// A peer to connect to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Its name, empty when it isn't known.
+    /// The name of the instance, empty when it is unknown.
     pub instance: SmolStr,
-    /// `IP:PORT`.
+    /// The peer address of the instance, as `IP:PORT`.
     pub address: SmolStr,
 }
 
 /// The open links.
 #[derive(Debug)]
 pub struct Registry {
-    me: SmolStr,
+    own_name: SmolStr,
     metrics: Arc<metrics::Metrics>,
     links: Mutex<Links>,
-    /// Held while a link comes or goes and the node is told, so that it hears of both in their order. It is
-    /// taken before the node's lock, never under it.
-    turnstile: Mutex<()>,
+    /// Held while a link is added or removed and the node is notified, so that the node sees these events in
+    /// their order. It is always acquired before the node's lock, never while that lock is held.
+    event_order: Mutex<()>,
 }
 
 #[derive(Debug, Default)]
 struct Links {
     by_name: HashMap<SmolStr, Link>,
-    last: u64,
+    last_number: u64,
 }
 
 #[derive(Debug)]
@@ -45,84 +45,87 @@
     number: u64,
     by: record::Incarnation,
     address: SmolStr,
-    /// Opened by the smaller of both names: the one to keep when both sides connect.
+    /// Whether the instance with the smaller name opened the link. When both sides connect, both keep this
+    /// link.
     is_preferred: bool,
     frames: mpsc::Sender<wire::Frame>,
-    /// Dropped to end the link.
+    /// Dropping the sender ends the link.
     _stop: oneshot::Sender<()>,
 }
 
-/// The ends of a link that was taken in.
+/// The receiving ends with which a task serves a registered link.
 #[derive(Debug)]
-pub struct Entry {
-    /// Names the link.
+pub struct Channels {
+    /// The number of the link, unique in this process.
     pub number: u64,
-    /// Frames to send.
+    /// The frames to send to the peer.
     pub frames: mpsc::Receiver<wire::Frame>,
-    /// Resolves when the link is to end.
+    /// Resolves when the link must end.
     pub stop: oneshot::Receiver<()>,
 }
 
 impl Registry {
-    /// No links of the instance `me`.
+    /// Creates an empty registry for the instance `own_name`.
     #[must_use]
-    pub fn new(me: SmolStr, metrics: Arc<metrics::Metrics>) -> Self {
+    pub fn new(own_name: SmolStr, metrics: Arc<metrics::Metrics>) -> Self {
         Self {
-            me,
+            own_name,
             metrics,
             links: Mutex::default(),
-            turnstile: Mutex::default(),
+            event_order: Mutex::default(),
         }
     }
 
-    /// Whether there is a link already to whom the call is for.
+    /// Returns whether a link to the target's instance or address is open.
     #[must_use]
-    pub fn contains(&self, call: &Target) -> bool {
+    pub fn contains(&self, target: &Target) -> bool {
         let links = self.lock();
         let mut addresses = links.by_name.values().map(|link| &link.address);
-        links.by_name.contains_key(&call.instance)
-            || addresses.any(|address| *address == call.address)
+        links.by_name.contains_key(&target.instance)
+            || addresses.any(|address| *address == target.address)
     }
 
-    /// Queues a frame; dropped without a link, or when the queue is full.
+    /// Queues a frame for an instance. The frame is dropped if no link is open or the queue is full.
     pub fn send(&self, to: &SmolStr, frame: wire::Frame) {
         let links = self.lock();
         let Some(link) = links.by_name.get(to) else {
             return;
         };
         if let Err(mpsc::error::TrySendError::Full(_)) = link.frames.try_send(frame) {
-            self.metrics.count_link_failure(metrics::LinkFailure::Full);
+            self.metrics
+                .count_link_failure(metrics::LinkFailure::QueueFull);
         }
     }
 
-    /// Ends the link to an instance; its task tells the node.
+    /// Ends the link to an instance. The task that serves the link notifies the node.
     pub fn disconnect(&self, name: &SmolStr) {
-        // The task that serves the link sees its stop end and takes it out; here it must stay, or the node
-        // would not hear that it is down.
+        // The serving task sees its `stop` resolve and removes the link. The link must stay registered until
+        // then, or the node would not receive its `LinkDown`.
         if let Some(link) = self.lock().by_name.get_mut(name) {
             link._stop = oneshot::channel().0;
         }
     }
 
-    /// Takes in a link that was proven, unless there is a better one, and tells the node.
-    pub(super) fn open(
+    /// Registers an authenticated link and notifies the node. Returns `None` if the existing link to the peer
+    /// is kept or the registry is full.
+    pub(super) fn register(
         &self,
         core: &core::Core,
         peer: &member::Update,
-        opened_here: bool,
-    ) -> Option<Entry> {
-        let _turn = self.turn();
-        let (entry, replaced) = self.insert(peer, opened_here)?;
+        is_opener: bool,
+    ) -> Option<Channels> {
+        let _guard = self.lock_event_order();
+        let (channels, replaced) = self.insert(peer, is_opener)?;
         if let Some(old) = replaced.filter(|old| *old != peer.by) {
             core.step(event::Event::LinkDown(old));
         }
         core.step(event::Event::LinkUp(peer.clone()));
-        Some(entry)
+        Some(channels)
     }
 
-    /// Takes out a link that has ended, and tells the node unless another has replaced it.
-    pub(super) fn close(&self, core: &core::Core, peer: &member::Update, number: u64) {
-        let _turn = self.turn();
+    /// Removes a link that has ended and notifies the node, unless another link has replaced it.
+    pub(super) fn unregister(&self, core: &core::Core, peer: &member::Update, number: u64) {
+        let _guard = self.lock_event_order();
         if self.remove(&peer.by.instance, number) {
             core.step(event::Event::LinkDown(peer.by.clone()));
         }
@@ -131,19 +134,19 @@
     fn insert(
         &self,
         peer: &member::Update,
-        opened_here: bool,
-    ) -> Option<(Entry, Option<record::Incarnation>)> {
+        is_opener: bool,
+    ) -> Option<(Channels, Option<record::Incarnation>)> {
         let name = &peer.by.instance;
         let mut links = self.lock();
-        let is_preferred = opened_here == (self.me < *name);
+        let is_preferred = is_opener == (self.own_name < *name);
         let old = links.by_name.get(name);
-        let is_full = old.is_none() && links.by_name.len() >= LIMIT;
-        if is_full || old.is_some_and(|old| !gives_way(old, &peer.by, is_preferred)) {
+        let is_full = old.is_none() && links.by_name.len() >= MAX_LINKS;
+        if is_full || old.is_some_and(|old| !should_replace(old, &peer.by, is_preferred)) {
             return None;
         }
-        links.last += 1;
-        let number = links.last;
-        let (frames, queued) = mpsc::channel(QUEUE);
+        links.last_number += 1;
+        let number = links.last_number;
+        let (frames, queued) = mpsc::channel(MAX_QUEUED_FRAMES);
         let (stop, stopped) = oneshot::channel();
         let link = Link {
             number,
@@ -155,12 +158,12 @@
         };
         let replaced = links.by_name.insert(name.clone(), link).map(|old| old.by);
         self.metrics.set_links(links.by_name.len());
-        let entry = Entry {
+        let channels = Channels {
             number,
             frames: queued,
             stop: stopped,
         };
-        Some((entry, replaced))
+        Some((channels, replaced))
     }
 
     fn remove(&self, name: &SmolStr, number: u64) -> bool {
@@ -180,15 +183,16 @@
         self.links.lock().expect("no panic under the lock")
     }
 
-    fn turn(&self) -> MutexGuard<'_, ()> {
-        self.turnstile.lock().expect("no panic under the lock")
+    fn lock_event_order(&self) -> MutexGuard<'_, ()> {
+        self.event_order.lock().expect("no panic under the lock")
     }
 }
 
-/// Whether an open link is replaced by a new one. Both sides judge alike, so that they keep the same.
-fn gives_way(old: &Link, new: &record::Incarnation, new_is_preferred: bool) -> bool {
+/// Returns whether a new link replaces an open one. Both sides apply the same rule, so that they keep the
+/// same link.
+fn should_replace(old: &Link, new: &record::Incarnation, new_is_preferred: bool) -> bool {
     if old.by.number != new.number {
-        // Another process of that name: the later one lives.
+        // The peer runs as another process of the same name. The later incarnation wins.
         return old.by.number < new.number;
     }
     new_is_preferred || !old.is_preferred
--- a/crates/fireflywheel_daemon/src/platform/list.rs
+++ b/crates/fireflywheel_daemon/src/platform/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances: a trait, its HTTP adapter, and the task that polls it.
+//! The platform's list of instances: a trait, its HTTP adapter and the task that polls the list.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 
 use crate::{client, core};
 
-/// The largest list taken, in bytes: some 20,000 instances.
-const LIMIT: usize = 16 << 20;
-/// How long a reading may take.
-const WAIT: Duration = Duration::from_secs(5);
+/// Size limit of a list, in bytes. It holds about 20,000 instances.
+const MAX_LIST_BYTES: usize = 16 << 20;
+/// Time limit for one read of the list.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The list gave no answer, or not a list.
+/// The list service did not answer, or its answer is not a list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unavailable;
 
-/// A list of live and leaving instances, which lags.
+/// A list of live and leaving instances. Its contents lag behind the actual state.
 pub trait List: Send + Sync + 'static {
-    /// What it says now.
+    /// Reads the current list.
     fn read(&self) -> impl Future<Output = Result<Vec<report::ListEntry>, Unavailable>> + Send;
 }
 
-/// The list over HTTP.
+/// Client of the list service over HTTP.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: client::Client,
@@ -40,7 +40,7 @@
 }
 
 impl Http {
-    /// The list at `base`, such as `http://10.0.0.5:7001`.
+    /// Creates a client of the list service at `base`, such as `http://10.0.0.5:7001`.
     #[must_use]
     pub fn new(client: client::Client, base: impl Into<SmolStr>) -> Self {
         Self {
@@ -53,7 +53,10 @@
 impl List for Http {
     async fn read(&self) -> Result<Vec<report::ListEntry>, Unavailable> {
         let request = client::bare(Method::GET, &self.url).map_err(|_| Unavailable)?;
-        let answer = self.client.call(request, LIMIT, WAIT).await;
+        let answer = self
+            .client
+            .call(request, MAX_LIST_BYTES, READ_TIMEOUT)
+            .await;
         let answer = answer.map_err(|_| Unavailable)?;
         if answer.status != StatusCode::OK {
             return Err(Unavailable);
@@ -63,22 +66,23 @@
     }
 }
 
-/// Reads the list every `period`, for ever. A reading that fails tells the node nothing: the last one holds.
+/// Reads the list every `period`, without end. The node is not notified of a failed read and keeps the last
+/// list.
 pub async fn poll<L>(list: L, core: Arc<core::Core>, period: Duration)
 where
     L: List,
 {
-    let mut due = time::interval(period);
-    due.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-    let mut failing = false;
+    let mut interval = time::interval(period);
+    interval.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut was_failing = false;
     loop {
-        due.tick().await;
+        interval.tick().await;
         let listed = list.read().await;
-        let fails = listed.is_err();
-        if fails && !failing {
-            log::warn!(instance = core.instance().as_str(); "the list of instances gives no answer");
+        let is_failing = listed.is_err();
+        if is_failing && !was_failing {
+            log::warn!(instance = core.instance().as_str(); "instance list unavailable, keeping the last list");
         }
-        failing = fails;
+        was_failing = is_failing;
         if let Ok(listed) = listed {
             core.step(event::Event::InstancesListed(listed));
         }
--- a/crates/fireflywheel_daemon/src/platform/log.rs
+++ b/crates/fireflywheel_daemon/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log: a trait, its HTTP adapter, and the two tasks that use it.
+//! The platform's log: a trait, its HTTP adapter and the two tasks that append to the log and read it.
 
 use std::future::{self, Future};
 use std::sync::Arc;
@@ -14,42 +14,43 @@
 
 use crate::{client, core};
 
-/// Records asked for at once, at most.
-const PAGE: u64 = 500;
-/// The largest answer to a read, in bytes: several records of the largest size.
-const READ_LIMIT: usize = 16 << 20;
-/// The largest answer to an append, in bytes.
-const APPEND_LIMIT: usize = 4096;
-/// How long an append may take until its answer counts as lost.
-const APPEND_WAIT: Duration = Duration::from_secs(10);
-/// How long a read may take beyond the time that it waits for a record.
-const READ_WAIT: Duration = Duration::from_secs(10);
-/// The wait after a first failed read; doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest wait after a failed read.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-
-/// Records read from the log.
+/// Maximum number of records requested in one read.
+const MAX_PAGE_RECORDS: u64 = 500;
+/// Size limit of an answer to a read, in bytes. It holds several records of the largest size.
+const MAX_READ_ANSWER_BYTES: usize = 16 << 20;
+/// Size limit of an answer to an append, in bytes.
+const MAX_APPEND_ANSWER_BYTES: usize = 4096;
+/// Time limit for an append. After it the answer counts as lost.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit for a read, in addition to the time that the read waits for a record.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay after the first failed read. It doubles with each consecutive failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum delay after a failed read.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+
+/// The result of one read of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
     /// The oldest offset that the log retains.
     pub first: u64,
-    /// The offset that its next record gets.
+    /// The offset that the next appended record will get.
     pub next: u64,
-    /// In order.
+    /// The records, in the order of their offsets.
     pub records: Vec<record::Stored>,
 }
 
-/// The log gave no answer, or refused one.
+/// The log did not answer, or answered with an error.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unavailable;
 
 /// An append-only log with offsets.
 pub trait Log: Send + Sync + 'static {
-    /// Appends a text.
+    /// Appends one record with the given body.
     fn append(&self, text: String) -> impl Future<Output = writer::Answer> + Send;
 
-    /// Reads at most `max` records from an offset on. When nothing is there yet, waits up to `wait` for one.
+    /// Reads at most `max` records, starting at the offset `from`. If there is none yet, waits up to `wait`
+    /// for one.
     fn read(
         &self,
         from: u64,
@@ -58,7 +59,7 @@
     ) -> impl Future<Output = Result<Page, Unavailable>> + Send;
 }
 
-/// The log service over HTTP.
+/// Client of the log service over HTTP.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: client::Client,
@@ -66,7 +67,7 @@
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct Acknowledgement {
     offset: u64,
 }
 
@@ -85,7 +86,7 @@
 }
 
 impl Http {
-    /// The log at `base`, such as `http://10.0.0.5:7000`.
+    /// Creates a client of the log service at `base`, such as `http://10.0.0.5:7000`.
     #[must_use]
     pub fn new(client: client::Client, base: impl Into<SmolStr>) -> Self {
         Self {
@@ -103,7 +104,7 @@
         let request = client::bare(Method::GET, &url)?;
         let answer = self
             .client
-            .call(request, READ_LIMIT, wait + READ_WAIT)
+            .call(request, MAX_READ_ANSWER_BYTES, wait + READ_TIMEOUT)
             .await?;
         if answer.status != StatusCode::OK {
             return Err(client::Fault::Lost);
@@ -139,8 +140,12 @@
         else {
             return writer::Answer::Refused;
         };
-        match self.client.call(request, APPEND_LIMIT, APPEND_WAIT).await {
-            Ok(answer) => append_answer(&answer),
+        match self
+            .client
+            .call(request, MAX_APPEND_ANSWER_BYTES, APPEND_TIMEOUT)
+            .await
+        {
+            Ok(answer) => parse_append_answer(&answer),
             Err(client::Fault::Unsent) => writer::Answer::Refused,
             Err(client::Fault::Lost) => writer::Answer::Lost,
         }
@@ -153,10 +158,10 @@
     }
 }
 
-fn append_answer(answer: &client::Answer) -> writer::Answer {
+fn parse_append_answer(answer: &client::Answer) -> writer::Answer {
     match answer.status {
         StatusCode::OK => serde_json::from_slice(&answer.body)
-            .map_or(writer::Answer::Lost, |Appended { offset }| {
+            .map_or(writer::Answer::Lost, |Acknowledgement { offset }| {
                 writer::Answer::Stored(offset)
             }),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => writer::Answer::Refused,
@@ -164,7 +169,7 @@
     }
 }
 
-/// Appends what the node hands over, one text at a time.
+/// Appends the records that the node queues, one at a time.
 pub async fn append_all<L>(
     log: Arc<L>,
     core: Arc<core::Core>,
@@ -179,7 +184,7 @@
     }
 }
 
-/// Reads the log from where the node wants on, for ever.
+/// Reads the log from the position that the node requests, until the channel of positions is closed.
 pub async fn read_all<L>(
     log: Arc<L>,
     core: Arc<core::Core>,
@@ -188,12 +193,12 @@
 ) where
     L: Log,
 {
-    let mut pause = FIRST_PAUSE;
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
-        let wanted = *position.borrow_and_update();
+        let requested = *position.borrow_and_update();
         let moved = tokio::select! {
             changed = position.changed() => changed,
-            () = follow(&*log, &core, wanted, wait, &mut pause) => return,
+            () = read_from_position(&*log, &core, requested, wait, &mut retry_delay) => return,
         };
         if moved.is_err() {
             return;
@@ -201,31 +206,32 @@
     }
 }
 
-/// Reads on from one position until dropped.
-async fn follow<L>(
+/// Reads the log from one position until the future is dropped.
+async fn read_from_position<L>(
     log: &L,
     core: &core::Core,
-    wanted: core::ReadPosition,
+    requested: core::ReadPosition,
     wait: Duration,
-    pause: &mut Duration,
+    retry_delay: &mut Duration,
 ) where
     L: Log,
 {
-    let Some(mut from) = wanted.from else {
+    let Some(mut from) = requested.from else {
         return future::pending().await;
     };
-    let mut max = PAGE;
+    let mut max = MAX_PAGE_RECORDS;
     loop {
         let Ok(page) = log.read(from, max, wait).await else {
-            core.step_log_read(wanted.generation, event::Event::LogReadFailed);
-            // A page of large records may be more than is taken at once: it would fail for ever.
+            core.step_log_read(requested.generation, event::Event::LogReadFailed);
+            // A page of large records may exceed the size limit of an answer. The same request would then
+            // fail every time, so the next one asks for half as many records.
             max = (max / 2).max(1);
-            time::sleep(*pause).await;
-            *pause = (*pause * 2).min(LONGEST_PAUSE);
+            time::sleep(*retry_delay).await;
+            *retry_delay = (*retry_delay * 2).min(MAX_RETRY_DELAY);
             continue;
         };
-        *pause = FIRST_PAUSE;
-        max = (max * 2).min(PAGE);
+        *retry_delay = MIN_RETRY_DELAY;
+        max = (max * 2).min(MAX_PAGE_RECORDS);
         if let Some(last) = page.records.last() {
             from = last.offset + 1;
         }
@@ -234,6 +240,6 @@
             next: page.next,
             records: page.records,
         };
-        core.step_log_read(wanted.generation, read);
+        core.step_log_read(requested.generation, read);
     }
 }
--- a/crates/fireflywheel_daemon/src/platform/mod.rs
+++ b/crates/fireflywheel_daemon/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The platform: its log and its list of instances, each met through one small trait.
+//! Access to the platform's log and its list of instances, each through one small trait.
 //!
-//! Putting them on another protocol touches only the adapter in [`log`] or [`list`].
+//! To use another protocol, replace only the adapter in [`log`] or [`list`].
 
 pub mod list;
 pub mod log;
