--- a/crates/fireflywheel_cli/src/check.rs
+++ b/crates/fireflywheel_cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `fireflywheel check`: names every fault of a document.
+//! `fireflywheel check`: reports every fault of a serving document.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     report::{Exit, Report},
 };
 
-/// The result in JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Output {
     valid: bool,
@@ -19,7 +19,7 @@
     faults: Vec<file::Fault>,
 }
 
-/// How much a document holds.
+/// The number of entries of each kind in a document.
 #[derive(Clone, Copy, Serialize)]
 struct Counts {
     groups: usize,
@@ -40,15 +40,15 @@
     }
 }
 
-/// Checks a file.
+/// Checks the document in a file.
 ///
 /// # Errors
 ///
-/// When the file can't be read.
+/// Returns an error if the file can't be read.
 pub fn run(path: &Path, json: bool) -> anyhow::Result<Report> {
     let file = file::File::read(path)?;
     Ok(match file.document {
-        Ok(document) => valid(path, Counts::new(&document), json),
+        Ok(document) => report_valid(path, Counts::new(&document), json),
         Err(faults) if json => Report::json(
             Exit::Faulty,
             &Output {
@@ -61,7 +61,7 @@
     })
 }
 
-fn valid(path: &Path, counts: Counts, json: bool) -> Report {
+fn report_valid(path: &Path, counts: Counts, json: bool) -> Report {
     if json {
         let output = Output {
             valid: true,
--- a/crates/fireflywheel_cli/src/command.rs
+++ b/crates/fireflywheel_cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: its subcommands, their arguments and their dispatch.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -13,7 +13,7 @@
 };
 
 const EXAMPLES: &str = "\
-A change, step by step:
+To change the configuration:
   fireflywheel check new.ini
   fireflywheel diff old.ini new.ini
   fireflywheel publish new.ini --log http://10.20.0.5:7000
@@ -21,13 +21,13 @@
 
 const PUBLISH_EXAMPLES: &str = "\
 Examples:
-  Publish over whatever is newest now:
+  Publish over the newest version:
     fireflywheel publish new.ini --log http://10.20.0.5:7000
-  Publish only if version 42 is still the newest, since new.ini was made from it:
+  Publish only if version 42, on which new.ini is based, is still the newest:
     fireflywheel publish new.ini --log http://10.20.0.5:7000 --base 42
 
-Of several operators who publish from one version, one is accepted and the others are refused.
-The changes and what they will do go to standard error, the outcome to standard output.";
+If several operators publish from the same version, one is accepted and the others are refused.
+The changes and warnings go to standard error, the outcome to standard output.";
 
 const STATUS_EXAMPLES: &str = "\
 Examples:
@@ -38,14 +38,14 @@
 Example:
   fireflywheel drain --operator http://10.20.1.11:8082
 
-The instance takes no new work after the balancer's delay, finishes what is in progress, hands over its
-stewardships and ends. No request is cut.";
+After the load balancer's delay the instance accepts no new work, finishes the requests in progress,
+hands over its stewardships and exits. No request is aborted.";
 
-/// The whole command line.
+/// Builds the definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("fireflywheel")
-        .about("Checks and publishes serving configurations, and looks after the daemons")
+        .about("Checks and publishes serving configurations, and inspects and drains daemons")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(format!("{EXAMPLES}\n\n{}", report::EXIT_HELP))
         .subcommand_required(true)
@@ -57,35 +57,35 @@
         .subcommand(drain_command())
 }
 
-/// Carries out what the command line asks for.
+/// Runs the subcommand that the command line names.
 pub async fn run(matches: &ArgMatches) -> Report {
     let result = match matches.subcommand() {
-        Some(("check", args)) => check::run(path(args, "file"), json(args)),
-        Some(("diff", args)) => diff::run(path(args, "old"), path(args, "new"), json(args)),
+        Some(("check", args)) => check::run(path(args, "file"), is_json(args)),
+        Some(("diff", args)) => diff::run(path(args, "old"), path(args, "new"), is_json(args)),
         Some(("publish", args)) => publish::run(&publish_options(args)).await,
-        Some(("status", args)) => Ok(status::run(&urls(args, "operator"), json(args)).await),
-        Some(("drain", args)) => drain::run(&url(args, "operator"), json(args)).await,
-        _ => unreachable!("clap demands one of the subcommands"),
+        Some(("status", args)) => Ok(status::run(&urls(args, "operator"), is_json(args)).await),
+        Some(("drain", args)) => drain::run(&url(args, "operator"), is_json(args)).await,
+        _ => unreachable!("clap requires one of the subcommands"),
     };
     result.unwrap_or_else(|error| Report::failure(&error))
 }
 
-// ---- The commands ----
+// ---- Subcommands ----
 
 fn check_command() -> Command {
     Command::new("check")
-        .about("Names every fault of a document, with its line")
+        .about("Reports every fault of a document, with its line")
         .after_help("Example:\n  fireflywheel check new.ini")
-        .arg(file("file", "The document"))
+        .arg(file_arg("file", "The document"))
         .arg(json_flag())
 }
 
 fn diff_command() -> Command {
     Command::new("diff")
-        .about("Shows what a new document changes, and warns of what that will do")
+        .about("Shows the changes in a new document, and warns of their effects")
         .after_help("Example:\n  fireflywheel diff old.ini new.ini")
-        .arg(file("old", "The document in force"))
-        .arg(file("new", "The document to come"))
+        .arg(file_arg("old", "The current document"))
+        .arg(file_arg("new", "The new document"))
         .arg(json_flag())
 }
 
@@ -93,24 +93,24 @@
     let log = Arg::new("log")
         .long("log")
         .value_name("URL")
-        .help("The platform's log service")
+        .help("URL of the platform's log service")
         .value_parser(parse_url)
         .required(true);
     let base = Arg::new("base")
         .long("base")
         .value_name("VERSION")
-        .help("The version that the document was made from, 0 for none [default: the newest]")
+        .help("Version that the document is based on, 0 for none [default: the newest]")
         .value_parser(value_parser!(u64));
     let wait = Arg::new("wait-ms")
         .long("wait-ms")
         .value_name("MS")
-        .help("How long to try")
+        .help("Time limit, in milliseconds")
         .value_parser(value_parser!(u64).range(1..=3_600_000))
         .default_value("30000");
     Command::new("publish")
-        .about("Puts a document in force everywhere, or says why not")
+        .about("Publishes a document to all instances, or reports why it was not accepted")
         .after_help(format!("{PUBLISH_EXAMPLES}\n\n{}", report::EXIT_HELP))
-        .arg(file("file", "The document"))
+        .arg(file_arg("file", "The document"))
         .arg(log)
         .arg(base)
         .arg(wait)
@@ -119,23 +119,23 @@
 
 fn status_command() -> Command {
     Command::new("status")
-        .about("Shows how daemons are: readiness, version, stewards, replicas, queues")
+        .about("Shows the state of daemons: readiness, version, stewards, replicas, queues")
         .after_help(STATUS_EXAMPLES)
-        .arg(operator().num_args(1..).action(ArgAction::Append))
+        .arg(operator_arg().num_args(1..).action(ArgAction::Append))
         .arg(json_flag())
 }
 
 fn drain_command() -> Command {
     Command::new("drain")
-        .about("Begins the planned stop of one daemon")
+        .about("Starts the planned shutdown of one daemon")
         .after_help(DRAIN_EXAMPLES)
-        .arg(operator())
+        .arg(operator_arg())
         .arg(json_flag())
 }
 
-// ---- Their arguments ----
+// ---- Arguments ----
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn file_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name(name.to_uppercase())
         .help(help)
@@ -143,11 +143,11 @@
         .required(true)
 }
 
-fn operator() -> Arg {
+fn operator_arg() -> Arg {
     Arg::new("operator")
         .long("operator")
         .value_name("URL")
-        .help("A daemon's address for operators")
+        .help("URL of a daemon's operator address")
         .value_parser(parse_url)
         .required(true)
 }
@@ -166,25 +166,25 @@
     field::url(text).ok_or_else(|| format!("it is not {}", field::URL_RULE))
 }
 
-// ---- From arguments to options ----
+// ---- Conversion of arguments to options ----
 
 fn publish_options(args: &ArgMatches) -> publish::Options {
-    let wait_ms: u64 = *args.get_one("wait-ms").expect("it has a default");
+    let wait_ms: u64 = *args.get_one("wait-ms").expect("the argument has a default");
     publish::Options {
         path: path(args, "file").clone(),
         log: url(args, "log"),
         base: args.get_one("base").copied(),
-        wait: Duration::from_millis(wait_ms),
-        json: json(args),
+        timeout: Duration::from_millis(wait_ms),
+        json: is_json(args),
     }
 }
 
 fn path<'a>(args: &'a ArgMatches, name: &str) -> &'a PathBuf {
-    args.get_one(name).expect("it is required")
+    args.get_one(name).expect("the argument is required")
 }
 
 fn url(args: &ArgMatches, name: &str) -> SmolStr {
-    let url: &SmolStr = args.get_one(name).expect("it is required");
+    let url: &SmolStr = args.get_one(name).expect("the argument is required");
     url.clone()
 }
 
@@ -192,6 +192,6 @@
     args.get_many(name).unwrap_or_default().cloned().collect()
 }
 
-fn json(args: &ArgMatches) -> bool {
+fn is_json(args: &ArgMatches) -> bool {
     args.get_flag("json")
 }
--- a/crates/fireflywheel_cli/src/diff.rs
+++ b/crates/fireflywheel_cli/src/diff.rs
@@ -1,4 +1,4 @@
-//! `fireflywheel diff`: what a new document changes, and what that will do.
+//! `fireflywheel diff`: shows the changes between two documents and warns of their effects.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     report::{Exit, Report},
 };
 
-/// The result in JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Output {
     changes: Vec<Change>,
@@ -18,7 +18,7 @@
     faults: Vec<file::Fault>,
 }
 
-/// A change in JSON.
+/// A change in the JSON output.
 #[derive(Serialize)]
 struct Change {
     kind: Kind,
@@ -31,7 +31,7 @@
     to: Option<String>,
 }
 
-/// What a change is.
+/// The kind of a change.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Kind {
@@ -40,16 +40,16 @@
     Set,
 }
 
-/// Compares two files.
+/// Compares the documents in two files.
 ///
 /// # Errors
 ///
-/// When one of them can't be read.
+/// Returns an error if one of the files can't be read.
 pub fn run(old: &Path, new: &Path, json: bool) -> anyhow::Result<Report> {
     let old_file = file::File::read(old)?;
     let new_file = file::File::read(new)?;
     Ok(match (old_file.document, new_file.document) {
-        (Ok(old), Ok(new)) if json => Report::json(Exit::Done, &output(&old, &new)),
+        (Ok(old), Ok(new)) if json => Report::json(Exit::Done, &compare(&old, &new)),
         (Ok(old), Ok(new)) => Report::new(Exit::Done, lines(&old, &new)),
         (old_result, new_result) => {
             let old_faults = old_result.err().unwrap_or_default();
@@ -57,7 +57,7 @@
             if json {
                 let mut faults = file::json(Some(old), &old_faults);
                 faults.extend(file::json(Some(new), &new_faults));
-                Report::json(Exit::Faulty, &faulty(faults))
+                Report::json(Exit::Faulty, &faulty_output(faults))
             } else {
                 let text = file::lines(old, &old_faults) + &file::lines(new, &new_faults);
                 Report::new(Exit::Faulty, text)
@@ -66,7 +66,7 @@
     })
 }
 
-/// Changes and warnings, one a line.
+/// Formats changes and warnings, one per line.
 #[must_use]
 pub fn lines(old: &document::Document, new: &document::Document) -> String {
     let changes = document::diff(old, new);
@@ -81,17 +81,17 @@
     changes.chain(warnings).collect()
 }
 
-fn output(old: &document::Document, new: &document::Document) -> Output {
+fn compare(old: &document::Document, new: &document::Document) -> Output {
     let changes = document::diff(old, new);
     let warnings = document::warnings(old, new);
     Output {
-        changes: changes.iter().map(change).collect(),
+        changes: changes.iter().map(convert_change).collect(),
         warnings: warnings.iter().map(ToString::to_string).collect(),
         faults: Vec::new(),
     }
 }
 
-fn faulty(faults: Vec<file::Fault>) -> Output {
+fn faulty_output(faults: Vec<file::Fault>) -> Output {
     Output {
         changes: Vec::new(),
         warnings: Vec::new(),
@@ -99,9 +99,9 @@
     }
 }
 
-fn change(change: &document::Change) -> Change {
+fn convert_change(change: &document::Change) -> Change {
     let section = change.section().to_string();
-    let bare = |kind| Change {
+    let whole_section = |kind| Change {
         kind,
         section: section.clone(),
         key: None,
@@ -109,13 +109,13 @@
         to: None,
     };
     match change {
-        document::Change::Added(_) => bare(Kind::Added),
-        document::Change::Removed(_) => bare(Kind::Removed),
+        document::Change::Added(_) => whole_section(Kind::Added),
+        document::Change::Removed(_) => whole_section(Kind::Removed),
         document::Change::Set { key, from, to, .. } => Change {
             key: Some(key),
             from: from.as_ref().map(ToString::to_string),
             to: to.as_ref().map(ToString::to_string),
-            ..bare(Kind::Set)
+            ..whole_section(Kind::Set)
         },
     }
 }
--- a/crates/fireflywheel_cli/src/drain.rs
+++ b/crates/fireflywheel_cli/src/drain.rs
@@ -1,4 +1,4 @@
-//! `fireflywheel drain`: begins the planned stop of one instance.
+//! `fireflywheel drain`: starts the planned shutdown of one instance.
 
 use std::time::Duration;
 
@@ -10,27 +10,30 @@
 
 use crate::report::{Exit, Report};
 
-/// How long a daemon may take to answer. It answers when the stop has begun, not when it is over.
-const WAIT: Duration = Duration::from_secs(5);
+/// Time limit for the answer of a daemon. The daemon answers when the shutdown has started, not when it is
+/// complete.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest answer taken, in bytes.
-const LIMIT: usize = 64 << 10;
+/// Size limit of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// The result in JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Output<'a> {
     operator: &'a str,
     draining: bool,
 }
 
-/// Asks a daemon to stop once its work is done. Asking again does no harm.
+/// Asks a daemon to shut down after it has finished its work. Repeated requests have no further effect.
 ///
 /// # Errors
 ///
-/// When it gives no answer, or refuses.
+/// Returns an error if the daemon does not answer or refuses.
 pub async fn run(operator: &SmolStr, json: bool) -> anyhow::Result<Report> {
     let request = client::bare(Method::POST, &format!("{operator}/v1/drain"))?;
-    let answer = client::Client::new().call(request, LIMIT, WAIT).await;
+    let answer = client::Client::new()
+        .call(request, MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
+        .await;
     let answer = answer.ok().with_context(|| {
         format!("{operator} gave no answer; it may be draining, see `fireflywheel status`")
     })?;
--- a/crates/fireflywheel_cli/src/file.rs
+++ b/crates/fireflywheel_cli/src/file.rs
@@ -1,4 +1,4 @@
-//! Documents in files, and their faults as commands show them.
+//! Reads documents from files and formats their faults.
 
 use std::{fs, io::Read as _, path::Path};
 
@@ -7,28 +7,28 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// A file's text and the document in it.
+/// The text of a file and the document parsed from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct File {
-    /// The text as it stands in the file.
+    /// The text of the file, unchanged.
     pub text: String,
-    /// What it says, or every fault.
+    /// The parsed document, or all of its faults.
     pub document: Result<document::Document, Vec<fault::Fault>>,
 }
 
-/// A fault in JSON.
+/// A fault in the JSON output.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fault {
-    /// The file, if there are several.
+    /// The name of the file, if the command reads several.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<String>,
-    /// Counted from 1.
+    /// The number of the line, starting from 1.
     pub line: usize,
-    /// The section, empty outside of any.
+    /// The name of the section, empty outside all sections.
     pub section: SmolStr,
-    /// The key, empty when it is not about one.
+    /// The name of the key, empty if the fault does not concern a key.
     pub key: SmolStr,
-    /// The whole fault in one line.
+    /// The full description of the fault, in one line.
     pub message: String,
 }
 
@@ -37,10 +37,10 @@
     ///
     /// # Errors
     ///
-    /// When it can't be read or isn't UTF-8. Faults of the document are no error.
+    /// Returns an error if the file can't be read or isn't UTF-8. Faults in the document are not an error.
     pub fn read(path: &Path) -> anyhow::Result<Self> {
         let name = path.display();
-        // One byte more than a document may have is enough for the parser to refuse it.
+        // One byte more than the size limit of a document is enough for the parser to refuse it.
         let limit = u64::try_from(document::MAX_BYTES).unwrap_or(u64::MAX) + 1;
         let mut bytes = Vec::new();
         let file = fs::File::open(path).with_context(|| format!("open {name}"))?;
@@ -48,7 +48,8 @@
             .read_to_end(&mut bytes)
             .with_context(|| format!("read {name}"))?;
         if bytes.len() > document::MAX_BYTES {
-            // The cut may have split a character.
+            // The truncation may have split a character, which would hide the real fault behind a UTF-8
+            // error.
             bytes.fill(b'#');
         }
         let text = String::from_utf8(bytes).with_context(|| format!("{name} is not UTF-8"))?;
@@ -57,7 +58,7 @@
     }
 }
 
-/// Faults, one a line, after the name of their file.
+/// Formats faults one per line, each after the name of the file.
 #[must_use]
 pub fn lines(path: &Path, faults: &[fault::Fault]) -> String {
     let name = path.display();
@@ -67,7 +68,7 @@
         .collect()
 }
 
-/// Faults for JSON.
+/// Converts faults for the JSON output.
 #[must_use]
 pub fn json(path: Option<&Path>, faults: &[fault::Fault]) -> Vec<Fault> {
     let file = path.map(|path| path.display().to_string());
--- a/crates/fireflywheel_cli/src/lib.rs
+++ b/crates/fireflywheel_cli/src/lib.rs
@@ -1,8 +1,8 @@
-//! `fireflywheel`: the operators' command-line tool.
+//! `fireflywheel`: the command-line tool for operators.
 //!
-//! The checks are those of [`fireflywheel::document`], and the log is read with the daemon's own adapter and
-//! folded by the core, so this tool never judges in a way of its own. Each module is one command; each gives
-//! a [`report::Report`], and only `main` prints.
+//! The tool checks documents with [`fireflywheel::document`], reads the log with the daemon's adapter and
+//! folds it with the core library, so that its decisions never differ from those of the daemon. Each command
+//! has a module and returns a [`report::Report`]. Only `main` prints.
 
 pub mod check;
 pub mod command;
--- a/crates/fireflywheel_cli/src/publish/mod.rs
+++ b/crates/fireflywheel_cli/src/publish/mod.rs
@@ -1,8 +1,9 @@
-//! `fireflywheel publish`: puts a document in force, or says why not.
+//! `fireflywheel publish`: puts a document in force, or reports why it was not accepted.
 //!
-//! One record is appended, and only its judgement in the log counts. Where an answer was lost the log is
-//! read, and the record sent again under the same id while it is not there. A repeat does no harm: the
-//! publication names the version it was made from, which the first copy to land replaces.
+//! The command appends one record. The outcome is the decision about this record in the log. When the answer
+//! to an append is lost, the command reads the log and sends the record again under the same id as long as
+//! the log does not contain it. Repeated copies are harmless: a publication names the version that it is
+//! based on, and the first copy that is stored replaces this version.
 
 mod attempt;
 mod reader;
@@ -23,82 +24,82 @@
 
 pub use self::attempt::publish;
 
-/// The largest record that the log takes, in bytes.
+/// Size limit of a record in the log, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// What to publish, and where.
+/// The arguments of `fireflywheel publish`.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The document's file.
+    /// The path of the file with the document.
     pub path: PathBuf,
-    /// The URL of the platform's log.
+    /// The URL of the platform's log service.
     pub log: SmolStr,
-    /// The version that the document was made from; `None` for the newest.
+    /// The version that the document is based on, or `None` for the newest.
     pub base: Option<u64>,
-    /// How long to try.
-    pub wait: Duration,
-    /// Whether the result is given in JSON.
+    /// Time limit for the publication.
+    pub timeout: Duration,
+    /// Whether the result is printed as JSON.
     pub json: bool,
 }
 
-/// A document on its way into the log.
+/// A document to be published.
 #[derive(Clone, Debug)]
 pub struct Publication {
-    /// The id of the one record.
+    /// The id of the record, the same in every copy.
     pub id: record::Id,
-    /// The version that the document was made from; `None` for the newest.
+    /// The version that the document is based on, or `None` for the newest.
     pub base: Option<u64>,
     /// The document's text.
     pub text: String,
-    /// When to give up.
-    pub until: time::Instant,
+    /// The deadline of the publication.
+    pub deadline: time::Instant,
 }
 
-/// What came of a publication.
+/// The outcome of a publication.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// In force.
+    /// The document is in force.
     Accepted {
-        /// Its version.
+        /// The version of the document.
         version: u64,
     },
-    /// Without effect, for good: it was made from a version that is not the newest.
+    /// The publication has no effect and will have none, because its base is not the newest version.
     Refused {
-        /// The version it was made from.
+        /// The version that the document is based on.
         base: u64,
         /// The newest version.
         newest: u64,
-        /// Whether the newest has the same text.
-        same: bool,
+        /// Whether the newest version has the same text.
+        same_text: bool,
     },
-    /// The log holds it, and the fold refused its document. Not seen unless this build's checks differ from
-    /// those by which it was checked before.
+    /// The log contains the record, but the fold rejected its document. This happens only if the checks of
+    /// the fold differ from those that the document passed before the append.
     Faulty,
-    /// It was sent, and what came of it could not be read.
+    /// The record was sent, but its decision could not be read.
     Unknown {
-        /// The version it was made from.
+        /// The version that the document is based on.
         base: u64,
-        /// Why it could not be read.
-        obstacle: Obstacle,
+        /// The reason why the decision could not be read.
+        cause: Cause,
     },
-    /// Nothing was appended, and nothing will be.
-    Unsent(Obstacle),
+    /// Nothing was appended, and nothing will be appended later.
+    Unsent(Cause),
 }
 
-/// Why a publication could not be carried through.
+/// The reason why a publication could not be completed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Obstacle {
-    /// The log gave no answer in time, or refused every append.
-    Silence,
-    /// The log's records don't add up to a state yet.
-    Start(bootstrap::Waiting),
-    /// The log holds records of a newer rule than this build knows.
-    Rule(u32),
-    /// The document becomes too long for a record, in bytes.
-    Length(usize),
+pub enum Cause {
+    /// The log did not answer in time or refused every append.
+    NoResponse,
+    /// The records read from the log do not determine a state yet.
+    NoState(bootstrap::Waiting),
+    /// The log contains records with rules of a newer version than this build supports.
+    UnsupportedRules(u32),
+    /// The record of the document would exceed the size limit; its length in bytes.
+    TooLong(usize),
 }
 
-/// The result in JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Output {
     outcome: &'static str,
@@ -112,9 +113,9 @@
 }
 
 impl Publication {
-    /// A publication under an id of its own.
+    /// Creates a publication with a random id and no base version.
     #[must_use]
-    pub fn new(text: impl Into<String>, until: time::Instant) -> Self {
+    pub fn new(text: impl Into<String>, deadline: time::Instant) -> Self {
         let instance = format!("operator/{:016x}", rand::random::<u64>());
         let by = record::Incarnation {
             instance: instance.into(),
@@ -124,11 +125,11 @@
             id: record::Id { by, sequence: 1 },
             base: None,
             text: text.into(),
-            until,
+            deadline,
         }
     }
 
-    /// The same, made from a version.
+    /// Returns the publication with a base version, or `None` for the newest.
     #[must_use]
     pub fn with_base(mut self, base: Option<u64>) -> Self {
         self.base = base;
@@ -143,20 +144,20 @@
     })
 }
 
-/// Publishes a file.
+/// Publishes the document in a file.
 ///
 /// # Errors
 ///
-/// When the file can't be read.
+/// Returns an error if the file can't be read.
 pub async fn run(options: &Options) -> anyhow::Result<Report> {
     let file = file::File::read(&options.path)?;
     let new = match file.document {
         Ok(document) => document,
-        Err(faults) => return Ok(faulty(options, &faults)),
+        Err(faults) => return Ok(report_faults(options, &faults)),
     };
     let log = platform::log::Http::new(client::Client::new(), options.log.clone());
-    let until = time::Instant::now() + options.wait;
-    let publication = Publication::new(file.text, until).with_base(options.base);
+    let deadline = time::Instant::now() + options.timeout;
+    let publication = Publication::new(file.text, deadline).with_base(options.base);
     let mut notes = String::new();
     let outcome = publish(&log, &publication, |old, version| {
         notes = format!(
@@ -168,7 +169,7 @@
     Ok(report(&publication.id, &outcome, options.json).with_notes(notes))
 }
 
-fn faulty(options: &Options, faults: &[fault::Fault]) -> Report {
+fn report_faults(options: &Options, faults: &[fault::Fault]) -> Report {
     if !options.json {
         return Report::new(Exit::Faulty, file::lines(&options.path, faults));
     }
@@ -183,7 +184,7 @@
     Report::json(Exit::Faulty, &output)
 }
 
-/// The report of an outcome.
+/// Builds the report of an outcome.
 #[must_use]
 pub fn report(id: &record::Id, outcome: &Outcome, json: bool) -> Report {
     let exit = outcome.exit();
@@ -191,7 +192,7 @@
         return Report::new(exit, outcome.to_string());
     }
     let output = Output {
-        outcome: outcome.word(),
+        outcome: outcome.name(),
         id: format!("{} {}", id.by.instance, id.by.number),
         base: outcome.base(),
         version: outcome.version(),
@@ -202,7 +203,7 @@
 }
 
 impl Outcome {
-    /// The exit code that tells it.
+    /// Returns the exit code for the outcome.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -214,7 +215,7 @@
         }
     }
 
-    fn word(&self) -> &'static str {
+    fn name(&self) -> &'static str {
         match self {
             Self::Accepted { .. } => "accepted",
             Self::Refused { .. } => "refused",
@@ -231,7 +232,7 @@
         }
     }
 
-    /// The newest version, where it is known.
+    /// Returns the newest version, if the outcome contains it.
     fn version(&self) -> Option<u64> {
         match self {
             Self::Accepted { version } => Some(*version),
@@ -250,7 +251,9 @@
                 "refused: version {base} does not exist, the newest is {newest}"
             ),
             Self::Refused {
-                newest, same: true, ..
+                newest,
+                same_text: true,
+                ..
             } => write!(
                 f,
                 "refused: another version {newest} was accepted first, with the same text"
@@ -259,25 +262,25 @@
                 write!(f, "refused: another version {newest} was accepted first")
             }
             Self::Faulty => f.write_str("refused: the log's readers find faults in the document"),
-            Self::Unknown { base, obstacle } => write!(
+            Self::Unknown { base, cause } => write!(
                 f,
-                "not known yet: it was sent, but {obstacle}; to find out, publish again with --base {base}, which can't take effect twice"
+                "not known yet: it was sent, but {cause}; to find out, publish again with --base {base}, which can't take effect twice"
             ),
-            Self::Unsent(obstacle) => write!(f, "not published, nothing was appended: {obstacle}"),
+            Self::Unsent(cause) => write!(f, "not published, nothing was appended: {cause}"),
         }
     }
 }
 
-impl std::fmt::Display for Obstacle {
+impl std::fmt::Display for Cause {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Silence => f.write_str("the log did not answer in time"),
-            Self::Start(waiting) => write!(f, "{waiting}"),
-            Self::Rule(rule) => write!(
+            Self::NoResponse => f.write_str("the log did not answer in time"),
+            Self::NoState(waiting) => write!(f, "{waiting}"),
+            Self::UnsupportedRules(rule) => write!(
                 f,
                 "the log holds records of the newer rule {rule}; use a newer build of this command"
             ),
-            Self::Length(length) => write!(
+            Self::TooLong(length) => write!(
                 f,
                 "its record would have {length} bytes, the log takes {MAX_RECORD_BYTES}"
             ),
--- a/crates/fireflywheel_cli/src/publish/reader.rs
+++ b/crates/fireflywheel_cli/src/publish/reader.rs
@@ -1,4 +1,4 @@
-//! Folds the log as any instance does, to learn how a record was judged.
+//! Reads and folds the log in the same way as an instance, to determine whether a record was accepted.
 
 use std::time::Duration;
 
@@ -6,39 +6,40 @@
 use fireflywheel_daemon::platform;
 use tokio::time;
 
-use super::Obstacle;
+use super::Cause;
 
-/// Records asked for at once.
-const PAGE: u64 = 500;
+/// Maximum number of records requested in one read.
+const MAX_PAGE_RECORDS: u64 = 500;
 
-/// By how much fewer records are asked for after a failure. The adapter refuses an answer that is too large,
-/// which shows as no answer at all: asked again for the same records, it would fail for ever.
-const SHRINK: u64 = 8;
+/// Factor by which the number of requested records is divided after a failed read. The adapter refuses an
+/// answer that is too large, and the reader can't distinguish this from a missing answer. The same request
+/// would fail every time.
+const PAGE_SHRINK_FACTOR: u64 = 8;
 
-/// The wait after a reading that failed.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a reading waits for a record while only a new checkpoint can help.
-const IDLE_WAIT: Duration = Duration::from_secs(1);
+/// How long a read waits for a record while the reader needs a new checkpoint to start from.
+const CHECKPOINT_WAIT: Duration = Duration::from_secs(1);
 
 /// Reads and folds a log.
 pub struct Reader<'a, L> {
     log: &'a L,
-    start: bootstrap::Bootstrap,
+    bootstrap: bootstrap::Bootstrap,
     ledger: Option<ledger::Ledger>,
-    /// The next offset to read while there is no ledger.
+    /// The next offset to read, as long as there is no ledger.
     from: u64,
-    /// Records to ask for next.
+    /// The number of records to request in the next read.
     max: u64,
-    dropped: bool,
+    has_dropped: bool,
 }
 
-/// What one reading brought.
+/// The result of one read.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// Records that were folded.
+    /// The records that were folded.
     pub folded: Vec<ledger::Folded>,
-    /// Whether the end of the log was reached, and all of it is folded.
+    /// Whether all records up to the end of the log are folded.
     pub at_end: bool,
 }
 
@@ -46,110 +47,121 @@
 where
     L: platform::log::Log,
 {
-    /// A reader that knows nothing yet.
+    /// Creates a reader without a state.
     #[must_use]
     pub fn new(log: &'a L) -> Self {
         Self {
             log,
-            start: bootstrap::Bootstrap::new(),
+            bootstrap: bootstrap::Bootstrap::new(),
             ledger: None,
             from: 0,
-            max: PAGE,
-            dropped: false,
+            max: MAX_PAGE_RECORDS,
+            has_dropped: false,
         }
     }
 
-    /// The state so far; `None` until the log's beginning or a checkpoint was found.
+    /// Returns the current state, or `None` until the reader has found the beginning of the log or a
+    /// checkpoint.
     #[must_use]
     pub fn ledger(&self) -> Option<&ledger::Ledger> {
         self.ledger.as_ref()
     }
 
-    /// Whether the log dropped records before they were read, so that a judgement may have been missed.
+    /// Returns whether the log dropped records before they were read, so that a decision may have been
+    /// missed.
     #[must_use]
     pub fn has_dropped(&self) -> bool {
-        self.dropped
+        self.has_dropped
     }
 
-    /// Reads until everything in the log is folded.
+    /// Reads until all records in the log are folded.
     ///
     /// # Errors
     ///
-    /// [`Obstacle`] when that isn't done by `until`.
-    pub async fn catch_up(&mut self, until: time::Instant) -> Result<(), Obstacle> {
-        while !self.step(until, Duration::ZERO).await?.at_end {}
+    /// Returns the [`Cause`] if this is not complete by `deadline`.
+    pub async fn catch_up(&mut self, deadline: time::Instant) -> Result<(), Cause> {
+        while !self.step(deadline, Duration::ZERO).await?.at_end {}
         Ok(())
     }
 
-    /// Reads once successfully, waiting up to `wait` for a record when there is none.
+    /// Reads one page, repeating failed reads. Waits up to `wait` for a record if there is none.
     ///
     /// # Errors
     ///
-    /// [`Obstacle`] when the log can't be read by `until`, or can't be understood.
-    pub async fn step(&mut self, until: time::Instant, wait: Duration) -> Result<Step, Obstacle> {
-        let page = self.page(until, wait).await?;
+    /// Returns the [`Cause`] if the log can't be read by `deadline` or contains records that can't be folded.
+    pub async fn step(&mut self, deadline: time::Instant, wait: Duration) -> Result<Step, Cause> {
+        let page = self.read_page(deadline, wait).await?;
         match self.ledger.take() {
             Some(ledger) => self.fold(ledger, &page),
             None => {
-                self.begin(page)?;
+                self.add_to_bootstrap(page)?;
                 Ok(Step::default())
             }
         }
     }
 
-    async fn page(
+    async fn read_page(
         &mut self,
-        until: time::Instant,
+        deadline: time::Instant,
         wait: Duration,
-    ) -> Result<platform::log::Page, Obstacle> {
+    ) -> Result<platform::log::Page, Cause> {
         let from = self.ledger.as_ref().map_or(self.from, ledger::Ledger::next);
-        let lacks_checkpoint = self.ledger.is_none() && self.start.read_from().is_none();
-        let wait = if lacks_checkpoint { IDLE_WAIT } else { wait };
+        let lacks_checkpoint = self.ledger.is_none() && self.bootstrap.read_from().is_none();
+        let wait = if lacks_checkpoint {
+            CHECKPOINT_WAIT
+        } else {
+            wait
+        };
         loop {
-            let read = time::timeout_at(until, self.log.read(from, self.max, wait)).await;
+            let read = time::timeout_at(deadline, self.log.read(from, self.max, wait)).await;
             self.max = match read {
-                Ok(Ok(_)) => PAGE.min(self.max * 2),
-                Ok(Err(_)) | Err(_) => (self.max / SHRINK).max(1),
+                Ok(Ok(_)) => MAX_PAGE_RECORDS.min(self.max * 2),
+                Ok(Err(_)) | Err(_) => (self.max / PAGE_SHRINK_FACTOR).max(1),
             };
             match read {
                 Ok(Ok(page)) => return Ok(page),
-                Ok(Err(_)) if time::Instant::now() + PAUSE < until => time::sleep(PAUSE).await,
-                Ok(Err(_)) | Err(_) => return Err(self.obstacle()),
+                Ok(Err(_)) if time::Instant::now() + RETRY_DELAY < deadline => {
+                    time::sleep(RETRY_DELAY).await;
+                }
+                Ok(Err(_)) | Err(_) => return Err(self.cause()),
             }
         }
     }
 
-    fn obstacle(&self) -> Obstacle {
-        match (&self.ledger, self.start.waiting()) {
-            (Some(_), _) | (None, bootstrap::Waiting::NoResponse) => Obstacle::Silence,
-            (None, waiting) => Obstacle::Start(waiting),
+    fn cause(&self) -> Cause {
+        match (&self.ledger, self.bootstrap.waiting()) {
+            (Some(_), _) | (None, bootstrap::Waiting::NoResponse) => Cause::NoResponse,
+            (None, waiting) => Cause::NoState(waiting),
         }
     }
 
-    /// Looks for the state to begin with.
-    fn begin(&mut self, page: platform::log::Page) -> Result<(), Obstacle> {
+    /// Adds a page to the bootstrap and builds the ledger if the records suffice.
+    fn add_to_bootstrap(&mut self, page: platform::log::Page) -> Result<(), Cause> {
         let last = page.records.last().map(|stored| stored.offset + 1);
         self.from = self.from.max(page.first).max(last.unwrap_or(0));
-        self.start.add_records(page.first, page.next, page.records);
-        self.ledger = self.start.build_ledger().map_err(halted)?;
+        self.bootstrap
+            .add_records(page.first, page.next, page.records);
+        self.ledger = self.bootstrap.build_ledger().map_err(fold_failure_cause)?;
         Ok(())
     }
 
-    /// Folds what comes next. When the log dropped records in the meantime, begins anew from a checkpoint.
+    /// Folds a page. If the log dropped the next records before they were read, starts again from a
+    /// checkpoint.
     fn fold(
         &mut self,
         mut ledger: ledger::Ledger,
         page: &platform::log::Page,
-    ) -> Result<Step, Obstacle> {
+    ) -> Result<Step, Cause> {
         let mut step = Step::default();
         if page.first > ledger.next() {
-            self.dropped = true;
-            self.start = bootstrap::Bootstrap::resume_from(ledger.next());
+            self.has_dropped = true;
+            self.bootstrap = bootstrap::Bootstrap::resume_from(ledger.next());
             self.from = page.first;
             return Ok(step);
         }
         for stored in &page.records {
-            step.folded.extend(ledger.fold(stored).map_err(halted)?);
+            step.folded
+                .extend(ledger.fold(stored).map_err(fold_failure_cause)?);
         }
         step.at_end = ledger.next() >= page.next;
         self.ledger = Some(ledger);
@@ -157,9 +169,9 @@
     }
 }
 
-fn halted(halt: ledger::FoldError) -> Obstacle {
-    match halt {
-        ledger::FoldError::UnsupportedRules(rule) => Obstacle::Rule(rule),
-        ledger::FoldError::Gap { .. } => Obstacle::Silence,
+fn fold_failure_cause(error: ledger::FoldError) -> Cause {
+    match error {
+        ledger::FoldError::UnsupportedRules(rule) => Cause::UnsupportedRules(rule),
+        ledger::FoldError::Gap { .. } => Cause::NoResponse,
     }
 }
--- a/crates/fireflywheel_cli/src/report.rs
+++ b/crates/fireflywheel_cli/src/report.rs
@@ -1,10 +1,10 @@
-//! What a command has to say, and its exit code.
+//! The output and the exit code of a command.
 
 use std::process;
 
 use serde::Serialize;
 
-/// The exit codes, for people; part of `--help`.
+/// Description of the exit codes in the output of `--help`.
 pub const EXIT_HELP: &str = "\
 Exit codes:
   0  done: the document is valid, the publication accepted, every daemon answered
@@ -16,31 +16,31 @@
 /// The exit code of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// It could not be done, and had no effect.
+    /// The command failed and had no effect.
     Failed,
     /// The input has faults.
     Faulty,
-    /// Another operator was first.
+    /// Another operator's publication was accepted first.
     Refused,
-    /// It may or may not have had its effect.
+    /// The command may or may not have taken effect.
     Unknown,
 }
 
-/// What a command has to say.
+/// The output and the exit code of a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// The result, for standard output.
+    /// The result, written to standard output.
     pub text: String,
-    /// What helps to understand it, for standard error.
+    /// Additional information, written to standard error.
     pub notes: String,
-    /// The exit code.
+    /// The exit code of the process.
     pub exit: Exit,
 }
 
 impl Report {
-    /// A report of this result; a line end is added.
+    /// Creates a report with a result in text form. Adds a line end if there is none.
     #[must_use]
     pub fn new(exit: Exit, text: impl Into<String>) -> Self {
         Self {
@@ -50,23 +50,23 @@
         }
     }
 
-    /// A report of a result in JSON, on one line.
+    /// Creates a report with a result as one line of JSON.
     #[must_use]
     pub fn json<T>(exit: Exit, value: &T) -> Self
     where
         T: Serialize,
     {
-        let text = serde_json::to_string(value).expect("plain structs serialize");
+        let text = serde_json::to_string(value).expect("the output types always serialize to JSON");
         Self::new(exit, text)
     }
 
-    /// A report that a command could not be carried out at all.
+    /// Creates the report of a command that failed with `error`.
     #[must_use]
     pub fn failure(error: &anyhow::Error) -> Self {
         Self::new(Exit::Failed, String::new()).with_notes(format!("{error:#}"))
     }
 
-    /// The same with notes; a line end is added.
+    /// Returns the report with these notes. Adds a line end if there is none.
     #[must_use]
     pub fn with_notes(mut self, notes: impl Into<String>) -> Self {
         self.notes = with_line_end(notes.into());
@@ -82,7 +82,7 @@
 }
 
 impl Exit {
-    /// The number that the process ends with.
+    /// Returns the numeric exit code.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
--- a/crates/fireflywheel_cli/src/status.rs
+++ b/crates/fireflywheel_cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `fireflywheel status`: how daemons are, side by side.
+//! `fireflywheel status`: shows the state of one or more daemons.
 
 use std::collections::BTreeSet;
 use std::fmt::{self, Write as _};
@@ -12,42 +12,46 @@
 
 use crate::report::{Exit, Report};
 
-/// How long a daemon may take to answer.
-const WAIT: Duration = Duration::from_secs(5);
+/// Time limit for the answer of a daemon.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest answer taken, in bytes.
-const LIMIT: usize = 16 << 20;
+/// Size limit of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// One daemon's answer, or why there is none.
+/// The answer of one daemon, or the reason why there is none.
 #[derive(Clone, Debug, Serialize)]
 pub struct Answer {
-    /// The daemon's address for operators.
+    /// The URL of the daemon's operator address.
     pub operator: SmolStr,
-    /// What it says.
+    /// The reported status.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<status::Status>,
-    /// Why it says nothing.
+    /// The reason why there is no status.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<SmolStr>,
 }
 
-/// Asks each daemon in turn.
+/// Queries the daemons one after the other.
 pub async fn run(operators: &[SmolStr], json: bool) -> Report {
     let client = client::Client::new();
     let mut answers = Vec::new();
     for operator in operators {
-        answers.push(ask(&client, operator).await);
+        answers.push(query(&client, operator).await);
     }
-    let whole = answers.iter().all(|answer| answer.status.is_some());
-    let exit = if whole { Exit::Done } else { Exit::Failed };
+    let is_complete = answers.iter().all(|answer| answer.status.is_some());
+    let exit = if is_complete {
+        Exit::Done
+    } else {
+        Exit::Failed
+    };
     if json {
         return Report::json(exit, &answers);
     }
     let text: String = answers.iter().map(ToString::to_string).collect();
-    Report::new(exit, text).with_notes(differing(&answers))
+    Report::new(exit, text).with_notes(note_differing_versions(&answers))
 }
 
-async fn ask(client: &client::Client, operator: &SmolStr) -> Answer {
+async fn query(client: &client::Client, operator: &SmolStr) -> Answer {
     let result = fetch(client, operator).await;
     let error = result.as_ref().err().cloned();
     Answer {
@@ -61,7 +65,7 @@
     let request = client::bare(Method::GET, &format!("{operator}/v1/status"))
         .map_err(|error| SmolStr::from(error.to_string()))?;
     let answer = client
-        .call(request, LIMIT, WAIT)
+        .call(request, MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
         .await
         .map_err(|_| SmolStr::from("no answer"))?;
     if answer.status != StatusCode::OK {
@@ -71,9 +75,9 @@
         .map_err(|error| SmolStr::from(format!("not a status: {error}")))
 }
 
-/// A note when daemons have different versions in force. That lasts seconds after a publication; longer, and
-/// one of them is cut off.
-fn differing(answers: &[Answer]) -> String {
+/// Returns a note if daemons have different versions in force, or an empty string. Versions differ for a few
+/// seconds after a publication. If they differ for longer, one of the daemons is cut off.
+fn note_differing_versions(answers: &[Answer]) -> String {
     let statuses = answers.iter().filter_map(|answer| answer.status.as_ref());
     let versions: BTreeSet<u64> = statuses.map(|status| status.version).collect();
     if versions.len() < 2 {
@@ -87,7 +91,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let operator = &self.operator;
         match &self.status {
-            Some(status) => write!(f, "{operator}: {}", text(status)?),
+            Some(status) => write!(f, "{operator}: {}", format_status(status)?),
             None => {
                 let error = self.error.as_deref().unwrap_or("no answer");
                 writeln!(f, "{operator}: {error}")
@@ -96,8 +100,8 @@
     }
 }
 
-/// A head line, then a line for each thing.
-fn text(status: &status::Status) -> Result<String, fmt::Error> {
+/// Formats a status as a summary line, followed by one line for each steward, replica, member and queue.
+fn format_status(status: &status::Status) -> Result<String, fmt::Error> {
     let mut text = String::new();
     let ready = match (status.ready, status.reason.as_str()) {
         (true, _) => "ready".to_owned(),
--- a/crates/fireflywheel_cli/tests/commands.rs
+++ b/crates/fireflywheel_cli/tests/commands.rs
@@ -1,10 +1,10 @@
-//! The binary's other commands: check, diff, status, drain and help.
+//! Tests of the binary's commands `check`, `diff`, `status` and `drain`, and of its help.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{Scratch, run};
+use common::{TempFile, run};
 use fireflywheel_standin::{fault, http};
 use hyper::{Method, StatusCode};
 use tokio::net;
@@ -21,13 +21,13 @@
 replicas = 2
 ";
 
-/// An answer of a daemon with every field, as documented.
+/// A documented status answer with every field.
 const STATUS: &str = r#"{"instance":"a1","incarnation":1700000000000,"ready":false,"reason":"no version yet",
 "version":12,"log":{"reading":true,"next":34},"stewards":[{"group":"quote-llm","by":"a2","epoch":4}],
 "rights":[{"server":"10.0.0.1:9000","item":"quote-small@1","state":"loaded","pins":1,"memory_mb":14000}],
 "members":[{"instance":"a2","state":"Alive"}],"queues":[{"model":"quote-small","waiting":3}]}"#;
 
-/// A daemon's door for operators that knows one answer to each call.
+/// A fake operator interface of a daemon, with one fixed answer to each call.
 struct Daemon {
     injector: fault::Injector,
     status: &'static str,
@@ -43,7 +43,8 @@
     fn counts(&self) {}
 
     async fn call(self: Arc<Self>, request: http::Request) -> Result<http::Answer, http::Lost> {
-        let status: serde_json::Value = serde_json::from_str(self.status).expect("it is JSON");
+        let status: serde_json::Value =
+            serde_json::from_str(self.status).expect("the status is JSON");
         Ok(match (&request.method, request.path.as_str()) {
             (&Method::GET, "/v1/status") => http::json(StatusCode::OK, &status),
             (&Method::POST, "/v1/drain") => http::json(StatusCode::ACCEPTED, &"draining"),
@@ -52,56 +53,62 @@
     }
 }
 
-/// Serves until the runtime of the test ends.
-async fn daemon(status: &'static str) -> String {
+/// Starts a fake daemon that serves until the runtime of the test ends, and returns its URL.
+async fn start_daemon(status: &'static str) -> String {
     let listener = net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
-    let base = format!("http://{}", listener.local_addr().expect("it is bound"));
+    let base = format!(
+        "http://{}",
+        listener.local_addr().expect("the listener is bound")
+    );
     let injector = fault::Injector::new(fault::Switches::default());
     tokio::spawn(http::serve(listener, Daemon { injector, status }));
     base
 }
 
-/// An address where nobody listens: it was free a moment ago.
-async fn nobody() -> String {
+/// Returns the URL of a port that was free a moment ago and on which nothing listens.
+async fn unused_url() -> String {
     let listener = net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
-    format!("http://{}", listener.local_addr().expect("it is bound"))
+    format!(
+        "http://{}",
+        listener.local_addr().expect("the listener is bound")
+    )
 }
 
 #[tokio::test]
 async fn check_counts_what_is_valid() {
-    let file = Scratch::new("check", OLD);
-    let ran = run(&["check", file.path()]).await;
-    assert_eq!(ran.code, 0);
+    let file = TempFile::new("check", OLD);
+    let output = run(&["check", file.path()]).await;
+    assert_eq!(output.code, 0);
     let expected = format!(
         "{}: valid; groups 1, models 1, adapters 0, routes 0\n",
         file.path()
     );
-    assert_eq!(ran.stdout, expected);
-    let ran = run(&["check", file.path(), "--json"]).await;
-    let output: serde_json::Value = serde_json::from_str(&ran.stdout).unwrap();
+    assert_eq!(output.stdout, expected);
+    let output = run(&["check", file.path(), "--json"]).await;
+    let json: serde_json::Value = serde_json::from_str(&output.stdout).unwrap();
     assert_eq!(
-        (&output["valid"], &output["counts"]["models"]),
+        (&json["valid"], &json["counts"]["models"]),
         (&true.into(), &1.into())
     );
 }
 
 #[tokio::test]
 async fn check_names_each_fault() {
-    let file = Scratch::new(
+    let file = TempFile::new(
         "check-faulty",
         &OLD.replace("replicas = 2", "replicas = x\nreplica = 2"),
     );
-    let ran = run(&["check", file.path()]).await;
-    assert_eq!((ran.code, ran.stdout.lines().count()), (2, 2));
-    let ran = run(&["check", file.path(), "--json"]).await;
-    assert_eq!(ran.code, 2);
-    let output: serde_json::Value = serde_json::from_str(&ran.stdout).unwrap();
-    assert_eq!(output["valid"], false);
-    let fault = &output["faults"][0];
+    let output = run(&["check", file.path()]).await;
+    assert_eq!((output.code, output.stdout.lines().count()), (2, 2));
+    let output = run(&["check", file.path(), "--json"]).await;
+    assert_eq!(output.code, 2);
+    let json: serde_json::Value = serde_json::from_str(&output.stdout).unwrap();
+    assert_eq!(json["valid"], false);
+    let fault = &json["faults"][0];
     assert_eq!(
         (&fault["line"], &fault["key"]),
         (&9.into(), &"replicas".into())
@@ -110,106 +117,117 @@
 
 #[tokio::test]
 async fn file_that_cannot_be_read_is_a_failure() {
-    let ran = run(&["check", "/nonexistent/fireflywheel.ini"]).await;
-    assert_eq!((ran.code, ran.stdout.as_str()), (1, ""));
+    let output = run(&["check", "/nonexistent/fireflywheel.ini"]).await;
+    assert_eq!((output.code, output.stdout.as_str()), (1, ""));
     assert!(
-        ran.stderr.starts_with("open /nonexistent/"),
+        output.stderr.starts_with("open /nonexistent/"),
         "{}",
-        ran.stderr
+        output.stderr
     );
 }
 
 #[tokio::test]
 async fn file_that_is_too_long_is_refused() {
     let long = format!("{OLD}{}", "é".repeat(600 * 1024));
-    let file = Scratch::new("long", &long);
-    let ran = run(&["check", file.path()]).await;
-    assert_eq!(ran.code, 2);
+    let file = TempFile::new("long", &long);
+    let output = run(&["check", file.path()]).await;
+    assert_eq!(output.code, 2);
     assert!(
-        ran.stdout.contains("longer than 921600 bytes"),
+        output.stdout.contains("longer than 921600 bytes"),
         "{}",
-        ran.stdout
+        output.stdout
     );
 }
 
 #[tokio::test]
 async fn diff_shows_changes_and_warns() {
-    let old = Scratch::new("diff-old", OLD);
-    let new = Scratch::new("diff-new", &OLD.replace("replicas = 2", "replicas = 1"));
-    let ran = run(&["diff", old.path(), new.path()]).await;
-    assert_eq!(ran.code, 0);
+    let old = TempFile::new("diff-old", OLD);
+    let new = TempFile::new("diff-new", &OLD.replace("replicas = 2", "replicas = 1"));
+    let output = run(&["diff", old.path(), new.path()]).await;
+    assert_eq!(output.code, 0);
     assert_eq!(
-        ran.stdout,
+        output.stdout,
         "replica cap of model quote-small: 2 -> 1\n\
          warning: model quote-small: cap lowered from 2 to 1; replicas beyond it will be unloaded\n"
     );
-    let ran = run(&["diff", old.path(), new.path(), "--json"]).await;
-    let output: serde_json::Value = serde_json::from_str(&ran.stdout).unwrap();
-    let change = &output["changes"][0];
+    let output = run(&["diff", old.path(), new.path(), "--json"]).await;
+    let json: serde_json::Value = serde_json::from_str(&output.stdout).unwrap();
+    let change = &json["changes"][0];
     assert_eq!(
         (&change["kind"], &change["to"]),
         (&"set".into(), &"1".into())
     );
-    assert_eq!(output["warnings"].as_array().unwrap().len(), 1);
-    let ran = run(&["diff", old.path(), old.path()]).await;
-    assert_eq!(ran.stdout, "no changes\n");
+    assert_eq!(json["warnings"].as_array().unwrap().len(), 1);
+    let output = run(&["diff", old.path(), old.path()]).await;
+    assert_eq!(output.stdout, "no changes\n");
 }
 
 #[tokio::test]
 async fn status_shows_daemons_side_by_side() {
-    let one = daemon(STATUS).await;
-    let two = daemon(r#"{"instance":"a2","incarnation":1,"ready":true,"version":13,"log":{"reading":false,"next":35}}"#).await;
-    let ran = run(&["status", "--operator", &one, &two]).await;
-    assert_eq!(ran.code, 0, "{}", ran.stderr);
+    let first = start_daemon(STATUS).await;
+    let second = start_daemon(r#"{"instance":"a2","incarnation":1,"ready":true,"version":13,"log":{"reading":false,"next":35}}"#).await;
+    let output = run(&["status", "--operator", &first, &second]).await;
+    assert_eq!(output.code, 0, "{}", output.stderr);
     let expected = format!(
-        "{one}: a1, not ready (no version yet), version 12, log read up to 34\n  \
+        "{first}: a1, not ready (no version yet), version 12, log read up to 34\n  \
            group quote-llm: steward a2, epoch 4\n  \
            10.0.0.1:9000: quote-small@1 loaded, 14000 MB, 1 pins\n  \
            instance a2: alive\n  \
            model quote-small: 3 waiting\n\
-         {two}: a2, ready, version 13, log out of reach since 35\n"
+         {second}: a2, ready, version 13, log out of reach since 35\n"
     );
-    assert_eq!(ran.stdout, expected);
-    assert_eq!(ran.stderr, "different versions are in force: 12, 13\n");
+    assert_eq!(output.stdout, expected);
+    assert_eq!(output.stderr, "different versions are in force: 12, 13\n");
 }
 
 #[tokio::test]
 async fn status_of_a_silent_daemon_is_a_failure() {
-    let one = daemon(STATUS).await;
-    let gone = nobody().await;
-    let ran = run(&["status", "--operator", &one, "--operator", &gone, "--json"]).await;
-    assert_eq!(ran.code, 1);
-    let output: serde_json::Value = serde_json::from_str(&ran.stdout).unwrap();
-    assert_eq!(output[0]["status"]["version"], 12);
-    assert_eq!(output[1]["error"], "no answer");
+    let first = start_daemon(STATUS).await;
+    let unreachable = unused_url().await;
+    let output = run(&[
+        "status",
+        "--operator",
+        &first,
+        "--operator",
+        &unreachable,
+        "--json",
+    ])
+    .await;
+    assert_eq!(output.code, 1);
+    let json: serde_json::Value = serde_json::from_str(&output.stdout).unwrap();
+    assert_eq!(json[0]["status"]["version"], 12);
+    assert_eq!(json[1]["error"], "no answer");
 }
 
 #[tokio::test]
 async fn drain_begins_a_planned_stop() {
-    let one = daemon(STATUS).await;
-    let ran = run(&["drain", "--operator", &one]).await;
-    assert_eq!((ran.code, ran.stdout), (0, format!("{one}: draining\n")));
-    let gone = nobody().await;
-    let ran = run(&["drain", "--operator", &gone]).await;
-    assert_eq!((ran.code, ran.stdout.as_str()), (1, ""));
+    let first = start_daemon(STATUS).await;
+    let output = run(&["drain", "--operator", &first]).await;
+    assert_eq!(
+        (output.code, output.stdout),
+        (0, format!("{first}: draining\n"))
+    );
+    let unreachable = unused_url().await;
+    let output = run(&["drain", "--operator", &unreachable]).await;
+    assert_eq!((output.code, output.stdout.as_str()), (1, ""));
 }
 
-/// Each case is a command line and texts that its output must hold.
-macro_rules! says {
+/// Each case gives a command line, its exit code and texts that the output must contain.
+macro_rules! output_cases {
     ($($name:ident: [$($arg:expr),*], $code:expr, [$($text:expr),+];)+) => {
         $(
             #[tokio::test]
             async fn $name() {
-                let ran = run(&[$($arg),*]).await;
-                assert_eq!(ran.code, $code, "{}{}", ran.stdout, ran.stderr);
-                let said = ran.stdout + &ran.stderr;
-                $(assert!(said.contains($text), "{said}");)+
+                let output = run(&[$($arg),*]).await;
+                assert_eq!(output.code, $code, "{}{}", output.stdout, output.stderr);
+                let printed = output.stdout + &output.stderr;
+                $(assert!(printed.contains($text), "{printed}");)+
             }
         )+
     };
 }
 
-says! {
+output_cases! {
     help: ["--help"], 0, ["fireflywheel check new.ini", "Exit codes:", "not known yet"];
     help_of_publish: ["publish", "--help"], 0, ["--base 42", "Exit codes:"];
     version: ["--version"], 0, [concat!("fireflywheel ", env!("CARGO_PKG_VERSION"))];
--- a/crates/fireflywheel_cli/tests/outcome.rs
+++ b/crates/fireflywheel_cli/tests/outcome.rs
@@ -1,44 +1,44 @@
-//! How a publication finds out what came of it, against a log that follows a script.
+//! Tests of how a publication determines its outcome, against a fake log that follows a script.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
 use fireflywheel::{ledger, record, writer};
-use fireflywheel_cli::publish::{self, Obstacle, Outcome};
+use fireflywheel_cli::publish::{self, Cause, Outcome};
 use fireflywheel_daemon::platform::log;
 use tokio::time;
 
 const DOCUMENT: &str = "[serving]\n[tenant guides]\nin_flight = 5\n";
 const OTHER: &str = "[serving]\n[tenant guides]\nin_flight = 6\n";
 
-/// Long enough for every case that ends by itself.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// For the cases that end only by giving up.
-const SHORT: Duration = Duration::from_secs(2);
+/// Time limit for the cases that end before it.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time limit for the cases that end only when it expires.
+const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the log does with an append.
+/// How the fake log handles an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Append {
-    /// Takes it and says so.
+    /// The record is stored and acknowledged.
     Store,
-    /// Takes it; the answer is lost.
-    StoreUnsaid,
-    /// The request is lost on its way.
-    Vanish,
-    /// The request is held up in the network; the copy lands after the next one that is taken.
-    HoldUp,
-    /// Takes it, drops everything so far but a checkpoint, and the answer is lost.
+    /// The record is stored; the answer is lost.
+    StoreAndLoseAnswer,
+    /// The request is lost before it reaches the log.
+    Lose,
+    /// The request is delayed in the network; the log stores its copy after the next stored record.
+    Delay,
+    /// The record is stored, all records are replaced by a checkpoint, and the answer is lost.
     StoreAndDrop,
-    /// The same, but the answer arrives.
-    StoreAndDropSaid,
-    /// Refuses it: nothing appended.
+    /// Like [`Append::StoreAndDrop`], but the answer arrives.
+    StoreDropAndAnswer,
+    /// The append is refused, and nothing is stored.
     Refuse,
-    /// Takes another operator's document first.
-    AfterRival,
-    /// Takes another operator's document; the request itself is lost on its way.
+    /// Another operator's document is stored first, then this record.
+    RivalFirst,
+    /// Another operator's document is stored; the request itself is lost before it reaches the log.
     RivalOnly,
-    /// Takes it and says so; from then on every reading fails.
+    /// The record is stored and acknowledged, and every later read fails.
     StoreAndFail,
 }
 
@@ -48,16 +48,16 @@
     first: u64,
     next: u64,
     script: VecDeque<Append>,
-    held: Vec<String>,
+    delayed: Vec<String>,
     appends: Vec<String>,
-    fails: bool,
-    /// An answer to more than this is too large for the adapter.
-    page_limit: u64,
+    reads_fail: bool,
+    /// Reads of more records than this fail, as if the answer were too large for the adapter.
+    max_page_records: u64,
     rival_text: &'static str,
 }
 
-/// A log that follows a script and then takes every append.
-struct Script(Mutex<State>);
+/// A fake log that handles appends as its script says, and stores all further ones.
+struct ScriptedLog(Mutex<State>);
 
 impl State {
     fn store(&mut self, body: String) -> u64 {
@@ -72,32 +72,32 @@
     }
 
     fn store_rival(&mut self) {
-        let base = ledger_of(self).version();
-        let body = publication("operator/rival", base, self.rival_text);
+        let base = fold_log(self).version();
+        let body = publication_body("operator/rival", base, self.rival_text);
         self.store(body);
     }
 
-    /// Appends a checkpoint and drops all before it.
-    fn drop_old(&mut self) {
-        let ledger = ledger_of(self);
+    /// Appends a checkpoint and drops all records before it.
+    fn compact(&mut self) {
+        let ledger = fold_log(self);
         self.first = self.next;
         self.records.clear();
         let entries = ledger.checkpoint().into_iter();
         let record = record::Record {
             rule: record::RULES_VERSION,
-            id: id("a1"),
+            id: record_id("a1"),
             entries: entries.map(record::Entry::Checkpoint).collect(),
         };
-        self.store(serde_json::to_string(&record).expect("it has a JSON form"));
+        self.store(serde_json::to_string(&record).expect("a record serializes to JSON"));
     }
 }
 
-impl Script {
+impl ScriptedLog {
     fn new(script: &[Append]) -> Self {
         Self(Mutex::new(State {
             script: script.iter().copied().collect(),
             rival_text: OTHER,
-            page_limit: u64::MAX,
+            max_page_records: u64::MAX,
             ..State::default()
         }))
     }
@@ -107,41 +107,41 @@
     }
 }
 
-impl log::Log for Script {
+impl log::Log for ScriptedLog {
     async fn append(&self, text: String) -> writer::Answer {
         let mut state = self.state();
         state.appends.push(text.clone());
         let action = state.script.pop_front().unwrap_or(Append::Store);
         match action {
             Append::Refuse => return writer::Answer::Refused,
-            Append::Vanish => return writer::Answer::Lost,
-            Append::HoldUp => {
-                state.held.push(text);
+            Append::Lose => return writer::Answer::Lost,
+            Append::Delay => {
+                state.delayed.push(text);
                 return writer::Answer::Lost;
             }
             Append::RivalOnly => {
                 state.store_rival();
                 return writer::Answer::Lost;
             }
-            Append::AfterRival => state.store_rival(),
+            Append::RivalFirst => state.store_rival(),
             _ => {}
         }
         let offset = state.store(text);
-        for late in std::mem::take(&mut state.held) {
+        for late in std::mem::take(&mut state.delayed) {
             state.store(late);
         }
         match action {
-            Append::StoreUnsaid => writer::Answer::Lost,
+            Append::StoreAndLoseAnswer => writer::Answer::Lost,
             Append::StoreAndDrop => {
-                state.drop_old();
+                state.compact();
                 writer::Answer::Lost
             }
-            Append::StoreAndDropSaid => {
-                state.drop_old();
+            Append::StoreDropAndAnswer => {
+                state.compact();
                 writer::Answer::Stored(offset)
             }
             Append::StoreAndFail => {
-                state.fails = true;
+                state.reads_fail = true;
                 writer::Answer::Stored(offset)
             }
             _ => writer::Answer::Stored(offset),
@@ -156,10 +156,10 @@
     ) -> Result<log::Page, log::Unavailable> {
         let end = self.state().next;
         if from >= end {
-            time::sleep(wait.min(SHORT)).await;
+            time::sleep(wait.min(SHORT_TIMEOUT)).await;
         }
         let state = self.state();
-        if state.fails || max > state.page_limit {
+        if state.reads_fail || max > state.max_page_records {
             return Err(log::Unavailable);
         }
         let later = state.records.iter().filter(|stored| stored.offset >= from);
@@ -171,7 +171,7 @@
     }
 }
 
-fn id(instance: &str) -> record::Id {
+fn record_id(instance: &str) -> record::Id {
     record::Id {
         by: record::Incarnation {
             instance: instance.into(),
@@ -181,42 +181,42 @@
     }
 }
 
-fn publication(instance: &str, base: u64, text: &str) -> String {
+fn publication_body(instance: &str, base: u64, text: &str) -> String {
     let record = record::Record {
         rule: record::RULES_VERSION,
-        id: id(instance),
+        id: record_id(instance),
         entries: vec![record::Entry::Publish {
             base,
             text: text.to_owned(),
         }],
     };
-    serde_json::to_string(&record).expect("it has a JSON form")
+    serde_json::to_string(&record).expect("a record serializes to JSON")
 }
 
-/// What every instance makes of the log, as far as it is retained.
-fn ledger_of(state: &State) -> ledger::Ledger {
+/// Folds the retained records of the log, as every instance does.
+fn fold_log(state: &State) -> ledger::Ledger {
     let mut ledger = ledger::Ledger::new();
     for stored in &state.records {
-        ledger.fold(stored).expect("the log has no gap");
+        ledger.fold(stored).expect("the records have no gap");
     }
     ledger
 }
 
-async fn run(log: &Script, base: Option<u64>, wait: Duration) -> Outcome {
-    let until = time::Instant::now() + wait;
-    let publication = publish::Publication::new(DOCUMENT, until).with_base(base);
+async fn publish_document(log: &ScriptedLog, base: Option<u64>, wait: Duration) -> Outcome {
+    let deadline = time::Instant::now() + wait;
+    let publication = publish::Publication::new(DOCUMENT, deadline).with_base(base);
     publish::publish(log, &publication, |_, _| {}).await
 }
 
-/// Each case gives the script, the time to try, the outcome and how many copies were sent.
+/// Each case gives the script, the time limit, the expected outcome and the number of copies sent.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident: [$($append:ident),*], $wait:expr => $outcome:expr, $sent:expr;)+) => {
         $(
             $(#[$doc])*
             #[tokio::test]
             async fn $name() {
-                let log = Script::new(&[$(Append::$append),*]);
-                let outcome = run(&log, None, $wait).await;
+                let log = ScriptedLog::new(&[$(Append::$append),*]);
+                let outcome = publish_document(&log, None, $wait).await;
                 assert_eq!(outcome, $outcome);
                 let state = log.state();
                 assert_eq!(state.appends.len(), $sent);
@@ -227,38 +227,39 @@
 }
 
 cases! {
-    first_document: [], PATIENCE => Outcome::Accepted { version: 1 }, 1;
+    first_document: [], LONG_TIMEOUT => Outcome::Accepted { version: 1 }, 1;
 
-    /// The log takes the record and the connection breaks before the answer. An operator who is told of a
-    /// failure publishes again, or believes that the old caps still hold.
-    lost_answer: [StoreUnsaid], PATIENCE => Outcome::Accepted { version: 1 }, 1;
+    /// The log stores the record and the connection breaks before the answer. If the command reported a
+    /// failure, the operator would publish again or believe that the old caps are still in force.
+    lost_answer: [StoreAndLoseAnswer], LONG_TIMEOUT => Outcome::Accepted { version: 1 }, 1;
 
-    /// The request never reaches the log. Without a second sending the operator waits for nothing.
-    lost_request: [Vanish, StoreUnsaid], PATIENCE => Outcome::Accepted { version: 1 }, 2;
+    /// The request never reaches the log. Unless the record is sent again, the operator waits in vain.
+    lost_request: [Lose, StoreAndLoseAnswer], LONG_TIMEOUT => Outcome::Accepted { version: 1 }, 2;
 
-    /// The log refuses for a moment, as it does when its appends of a second are used up. The operator
-    /// notices only a short wait.
-    refused_at_first: [Refuse, Refuse], PATIENCE => Outcome::Accepted { version: 1 }, 3;
+    /// The log refuses appends for a moment, as it does when its limit of appends per second is reached. The
+    /// publication succeeds after a short delay.
+    refused_at_first: [Refuse, Refuse], LONG_TIMEOUT => Outcome::Accepted { version: 1 }, 3;
 
-    /// Another operator's record lands between the reading and the append. Both made their documents from
-    /// one version, so putting the second in force would silently undo the first.
-    rival_first: [AfterRival], PATIENCE => refused(1), 1;
+    /// Another operator's record is stored between the read and the append. Both documents are based on the
+    /// same version, so accepting the second would silently revert the first.
+    rival_first: [RivalFirst], LONG_TIMEOUT => refused(1), 1;
 
-    /// The same, and this operator's own request is lost. A later copy could only be void, so the refusal
-    /// is certain without one.
-    rival_first_and_lost_request: [RivalOnly], PATIENCE => refused(1), 1;
+    /// Like `rival_first`, but this operator's own request is lost. A later copy would be rejected, so the
+    /// refusal is certain without one.
+    rival_first_and_lost_request: [RivalOnly], LONG_TIMEOUT => refused(1), 1;
 
-    /// The log breaks down right after it took the record. The operator must hear neither that it was
-    /// accepted nor that it was not.
-    outage_after_the_append: [StoreAndFail], SHORT => unknown(Obstacle::Silence), 1;
+    /// The log fails directly after it has stored the record. The command must report neither that the
+    /// record was accepted nor that it was not.
+    outage_after_the_append: [StoreAndFail], SHORT_TIMEOUT => unknown(Cause::NoResponse), 1;
 
-    /// The answer is lost, and the log drops the record before it is read back; only a checkpoint is left.
-    /// Another version is in force, perhaps this one. A second copy would be void either way, and taking
-    /// that for a refusal would tell the operator the opposite of the truth.
-    dropped_unread: [StoreAndDrop], SHORT => unknown(Obstacle::Silence), 1;
+    /// The answer is lost, and the log drops the record before it is read back. Only a checkpoint is left.
+    /// Another version is in force, which may be this publication. A second copy would be rejected in both
+    /// cases, and reporting this as a refusal would be wrong if the first copy was accepted.
+    dropped_unread: [StoreAndDrop], SHORT_TIMEOUT => unknown(Cause::NoResponse), 1;
 
-    /// The same, but the answer arrived: the version in force is the one that this record made.
-    dropped_unread_but_its_place_is_known: [StoreAndDropSaid], PATIENCE
+    /// Like `dropped_unread`, but the answer arrived. Its offset shows that the version in force is this
+    /// publication.
+    dropped_unread_with_known_offset: [StoreDropAndAnswer], LONG_TIMEOUT
         => Outcome::Accepted { version: 1 }, 1;
 }
 
@@ -266,52 +267,52 @@
     Outcome::Refused {
         base: 0,
         newest,
-        same: false,
+        same_text: false,
     }
 }
 
-fn unknown(obstacle: Obstacle) -> Outcome {
-    Outcome::Unknown { base: 0, obstacle }
+fn unknown(cause: Cause) -> Outcome {
+    Outcome::Unknown { base: 0, cause }
 }
 
-/// A copy is held up in the network and lands after the one that was sent because of that. Judged anew it
-/// would put an old document in force again, after others were accepted.
+/// A copy is delayed in the network and is stored after the copy that was sent in its place. If it were
+/// decided again, it would put an old document in force after others were accepted.
 #[tokio::test]
 async fn late_copy_has_no_effect() {
-    let log = Script::new(&[Append::HoldUp]);
-    let outcome = run(&log, None, PATIENCE).await;
+    let log = ScriptedLog::new(&[Append::Delay]);
+    let outcome = publish_document(&log, None, LONG_TIMEOUT).await;
     assert_eq!(outcome, Outcome::Accepted { version: 1 });
     let mut state = log.state();
     assert_eq!(state.next, 2);
     state.store_rival();
     let late = state.appends[0].clone();
     state.store(late);
-    let ledger = ledger_of(&state);
+    let ledger = fold_log(&state);
     assert_eq!((ledger.version(), ledger.text()), (3, OTHER));
 }
 
-/// The log refuses until the time is up. Nothing was appended, and the operator can rely on that.
+/// The log refuses every append until the time limit. The command must report that nothing was appended.
 #[tokio::test]
-async fn refused_until_the_end() {
-    let log = Script::new(&[Append::Refuse; 1000]);
-    let outcome = run(&log, None, SHORT).await;
-    assert_eq!(outcome, Outcome::Unsent(Obstacle::Silence));
+async fn log_that_refuses_every_append_stores_nothing() {
+    let log = ScriptedLog::new(&[Append::Refuse; 1000]);
+    let outcome = publish_document(&log, None, SHORT_TIMEOUT).await;
+    assert_eq!(outcome, Outcome::Unsent(Cause::NoResponse));
     assert_eq!(log.state().next, 0);
 }
 
 #[tokio::test]
 async fn base_that_is_not_the_newest_is_refused_unsent() {
-    let log = Script::new(&[]);
+    let log = ScriptedLog::new(&[]);
     log.state().store_rival();
     for base in [0, 7] {
-        let outcome = run(&log, Some(base), PATIENCE).await;
-        let same = false;
+        let outcome = publish_document(&log, Some(base), LONG_TIMEOUT).await;
+        let same_text = false;
         assert_eq!(
             outcome,
             Outcome::Refused {
                 base,
                 newest: 1,
-                same
+                same_text
             }
         );
     }
@@ -320,38 +321,45 @@
 
 #[tokio::test]
 async fn refusal_says_when_the_newest_has_the_same_text() {
-    let log = Script::new(&[Append::AfterRival]);
+    let log = ScriptedLog::new(&[Append::RivalFirst]);
     log.state().rival_text = DOCUMENT;
-    let outcome = run(&log, None, PATIENCE).await;
+    let outcome = publish_document(&log, None, LONG_TIMEOUT).await;
     assert_eq!(
         outcome.to_string(),
         "refused: another version 1 was accepted first, with the same text"
     );
 }
 
-/// The log keeps records for a limited time, so the newest publication is long gone from it when an operator
-/// makes the next change. Reading only what is left would take version 0 for the newest.
+/// The log retains records for a limited time, so it no longer contains the newest publication when an
+/// operator makes the next change. A reader that ignored the checkpoint would take version 0 for the newest.
 #[tokio::test]
-async fn starts_from_a_checkpoint() {
-    let log = Script::new(&[]);
+async fn newest_version_is_read_from_a_checkpoint() {
+    let log = ScriptedLog::new(&[]);
     {
         let mut state = log.state();
         state.store_rival();
         state.store_rival();
-        state.drop_old();
+        state.compact();
     }
-    let outcome = run(&log, None, PATIENCE).await;
+    let outcome = publish_document(&log, None, LONG_TIMEOUT).await;
     assert_eq!(outcome, Outcome::Accepted { version: 4 });
-    let outcome = run(&log, Some(2), PATIENCE).await;
-    let (base, newest, same) = (2, 4, true);
-    assert_eq!(outcome, Outcome::Refused { base, newest, same });
+    let outcome = publish_document(&log, Some(2), LONG_TIMEOUT).await;
+    let (base, newest, same_text) = (2, 4, true);
+    assert_eq!(
+        outcome,
+        Outcome::Refused {
+            base,
+            newest,
+            same_text
+        }
+    );
 }
 
-/// The log's beginning is gone and no checkpoint is there. The newest version can't be known, so nothing may
-/// be sent: a guess could only be refused, or worse, be right by chance.
+/// The beginning of the log was dropped and there is no checkpoint, so the newest version is unknown. Nothing
+/// may be sent: a guessed base would be refused or, worse, be correct by chance.
 #[tokio::test]
 async fn nothing_is_sent_without_a_checkpoint() {
-    let log = Script::new(&[]);
+    let log = ScriptedLog::new(&[]);
     {
         let mut state = log.state();
         state.store_rival();
@@ -359,47 +367,48 @@
         state.first = 1;
         state.records.remove(0);
     }
-    let outcome = run(&log, None, SHORT).await;
-    let Outcome::Unsent(Obstacle::Start(_)) = outcome else {
+    let outcome = publish_document(&log, None, SHORT_TIMEOUT).await;
+    let Outcome::Unsent(Cause::NoState(_)) = outcome else {
         panic!("{outcome:?}");
     };
     assert_eq!(log.state().appends.len(), 0);
 }
 
-/// A newer build already writes records that this one can't judge. Going on would tell the operator a
+/// A newer build has written records that this build can't fold. If the command continued, it would report a
 /// version that no instance has in force.
 #[tokio::test]
 async fn nothing_is_sent_past_a_newer_rule() {
-    let log = Script::new(&[]);
-    let body = publication("operator/rival", 0, OTHER);
+    let log = ScriptedLog::new(&[]);
+    let body = publication_body("operator/rival", 0, OTHER);
     let rule = record::RULES_VERSION + 1;
     let old = format!("\"rule\":{}", record::RULES_VERSION);
     log.state()
         .store(body.replacen(&old, &format!("\"rule\":{rule}"), 1));
-    let outcome = run(&log, None, PATIENCE).await;
-    assert_eq!(outcome, Outcome::Unsent(Obstacle::Rule(rule)));
+    let outcome = publish_document(&log, None, LONG_TIMEOUT).await;
+    assert_eq!(outcome, Outcome::Unsent(Cause::UnsupportedRules(rule)));
 }
 
-/// Records of the largest size make a page too large for the adapter, which then gives no answer. Asking for
-/// the same page again would never end, and the operator would be told of an outage that isn't one.
+/// A page with records of the largest size is too large for the adapter, which then returns no answer. If the
+/// reader requested the same page again, it would never succeed, and the command would report an outage of
+/// the log.
 #[tokio::test]
 async fn pages_shrink_until_they_fit() {
-    let log = Script::new(&[]);
-    log.state().page_limit = 2;
-    let outcome = run(&log, None, PATIENCE).await;
+    let log = ScriptedLog::new(&[]);
+    log.state().max_page_records = 2;
+    let outcome = publish_document(&log, None, LONG_TIMEOUT).await;
     assert_eq!(outcome, Outcome::Accepted { version: 1 });
 }
 
-/// A document below its own limit becomes too long for a record, since each line end takes two bytes there.
-/// The log would refuse it again and again.
+/// A document within its size limit makes a record that is too long, because each line end takes two bytes in
+/// JSON. The log would refuse every append of this record.
 #[tokio::test]
 async fn document_too_long_for_a_record_is_not_sent() {
-    let log = Script::new(&[]);
+    let log = ScriptedLog::new(&[]);
     let text = format!("{DOCUMENT}{}", "\n".repeat(800 * 1024));
-    let until = time::Instant::now() + PATIENCE;
-    let publication = publish::Publication::new(text, until);
+    let deadline = time::Instant::now() + LONG_TIMEOUT;
+    let publication = publish::Publication::new(text, deadline);
     let outcome = publish::publish(&log, &publication, |_, _| {}).await;
-    let Outcome::Unsent(Obstacle::Length(length)) = outcome else {
+    let Outcome::Unsent(Cause::TooLong(length)) = outcome else {
         panic!("{outcome:?}");
     };
     assert!(length > publish::MAX_RECORD_BYTES);
