--- a/crates/fireflywheel_daemon/tests/faults_configuration.rs
+++ b/crates/fireflywheel_daemon/tests/faults_configuration.rs
@@ -1,5 +1,6 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts: operators race, an
-//! instance is cut off, instances are replaced, the log is out or has dropped what it held.
+//! Tests that an accepted configuration is in force at all instances within seconds and never reverts.
+//! Operators publish concurrently, an instance is cut off from the log, instances are replaced, and the log
+//! is unavailable or has dropped records.
 
 mod site;
 
@@ -10,11 +11,11 @@
 use futures_util::future;
 use site::{Plan, Site};
 
-/// Records that a log keeps beyond those that a test wants kept.
-const SLACK: u64 = 40;
+/// Number of records that the log retains in addition to those that a test needs.
+const RETAINED_MARGIN: u64 = 40;
 
-/// What the newest whole checkpoint in the log covers, and the log's end.
-async fn covered(site: &Site) -> anyhow::Result<(u64, u64)> {
+/// Returns the end of the offsets that the newest complete checkpoint covers, and the end of the log.
+async fn checkpoint_end(site: &Site) -> anyhow::Result<(u64, u64)> {
     let base = site.log.base("listening");
     let url = format!("{base}/v1/read?from=0&max=500&wait_ms=0");
     let page: serde_json::Value = site.client.get(&url).await?.json()?;
@@ -22,21 +23,21 @@
     let records =
         bodies.filter_map(|stored| record::Record::decode(stored["body"].as_str()?).ok()?);
     let entries = records.flat_map(|record| record.entries);
-    let covered = entries.filter_map(|entry| match entry {
+    let covered_end = entries.filter_map(|entry| match entry {
         record::Entry::Checkpoint(part) if part.part + 1 == part.parts => Some(part.next),
         _ => None,
     });
     Ok((
-        covered.max().unwrap_or(0),
+        covered_end.max().unwrap_or(0),
         page["next"].as_u64().unwrap_or(0),
     ))
 }
 
-/// Waits until a version is in force at all daemons.
-async fn in_force(site: &Site, version: u64) {
-    site.wait_for("the version everywhere", || async {
-        for place in 0..site.daemons.len() {
-            let Ok(status) = site.status(place).await else {
+/// Waits until a version or a later one is in force at all daemons.
+async fn wait_in_force(site: &Site, version: u64) {
+    site.wait_for("the version at all daemons", || async {
+        for index in 0..site.daemons.len() {
+            let Ok(status) = site.status(index).await else {
                 return false;
             };
             if status.version < version {
@@ -48,8 +49,8 @@
     .await;
 }
 
-/// Three operators publish at the same moment, each from the version they had before them. One wins; the
-/// others' documents must never be in force anywhere, not even for a moment.
+/// Three operators publish from the same version at the same time. One is accepted. The documents of the
+/// others must never be in force at any instance, not even briefly.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_race_from_one_version() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
@@ -63,34 +64,34 @@
             .collect::<Result<_, _>>()?;
         let first = *versions.iter().min().expect("three were appended");
         let last = *versions.iter().max().expect("three were appended");
-        // Every daemon has judged all three once it has read past the last.
-        site.wait_for("the race's end", || async {
-            let statuses = (0..3).map(|place| site.status(place));
+        // A daemon has decided on all three documents once it has read past the last one.
+        site.wait_for("all daemons to read the three publications", || async {
+            let statuses = (0..3).map(|index| site.status(index));
             let statuses = future::join_all(statuses).await;
             statuses
                 .iter()
                 .all(|status| status.as_ref().is_ok_and(|known| known.log.next >= last))
         })
         .await;
-        for place in 0..3 {
+        for index in 0..3 {
             assert_eq!(
-                site.status(place).await?.version,
+                site.status(index).await?.version,
                 first,
-                "a loser is in force"
+                "a refused document is in force"
             );
         }
         let next = site.publish(first, &site.plan.document(1)).await?;
-        in_force(&site, next).await;
-        for place in 0..3 {
-            assert_eq!(site.status(place).await?.version, next, "round {round}");
+        wait_in_force(&site, next).await;
+        for index in 0..3 {
+            assert_eq!(site.status(index).await?.version, next, "round {round}");
         }
         base = next;
     }
     Ok(())
 }
 
-/// One instance can't reach the log any more while operators publish. It follows its peers within seconds,
-/// and when it reads the log again it doesn't fall back.
+/// One instance loses access to the log while operators publish. It must receive the new version from its
+/// peers within seconds, and it must not revert when it can read the log again.
 #[tokio::test(flavor = "multi_thread")]
 async fn instance_cut_off_from_the_log_follows_its_peers() -> anyhow::Result<()> {
     let site = Site::start(Plan {
@@ -100,32 +101,33 @@
     .await?;
     let base = site.status(0).await?.version;
     site.relays[&1].set_cut(true);
-    site.wait_for("the cut", || async {
+    site.wait_for("the instance to lose the log", || async {
         site.status(1).await.is_ok_and(|status| !status.log.reading)
     })
     .await;
     let next = site.publish(base, &site.plan.document(2)).await?;
-    in_force(&site, next).await;
+    wait_in_force(&site, next).await;
     assert!(
         !site.status(1).await?.log.reading,
-        "it followed through the log"
+        "the instance read the log"
     );
     assert_eq!(
         site.ask(1, "m0", "cold, at the one that is cut off").await,
         Ok(())
     );
     site.relays[&1].set_cut(false);
-    site.wait_for("the log", || async {
+    site.wait_for("the instance to read the log", || async {
         site.status(1).await.is_ok_and(|status| status.log.reading)
     })
     .await;
     let last = site.publish(next, &site.plan.document(1)).await?;
-    in_force(&site, last).await;
+    wait_in_force(&site, last).await;
     Ok(())
 }
 
-/// All instances are replaced one after the other while operators publish. No process ever goes back to an
-/// older version, and none says that it is ready with one older than what was in force before it started.
+/// All instances are replaced one after the other while operators publish. No process may revert to an older
+/// version, and none may report that it is ready with a version older than the one in force before it
+/// started.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_instances_are_replaced_while_versions_are_published() -> anyhow::Result<()> {
     let mut site = Site::start(Plan {
@@ -134,17 +136,17 @@
     })
     .await?;
     let mut base = site.status(0).await?.version;
-    for place in 0..4 {
+    for index in 0..4 {
         let next = site
-            .publish(base, &site.plan.document(2 + place as u32 % 2))
+            .publish(base, &site.plan.document(2 + index as u32 % 2))
             .await?;
-        in_force(&site, next).await;
-        site.daemons[place].terminate()?;
-        site.daemons[place].wait().await?;
-        site.daemons[place] = site.start_daemon(place).await?;
+        wait_in_force(&site, next).await;
+        site.daemons[index].terminate()?;
+        site.daemons[index].wait().await?;
+        site.daemons[index] = site.start_daemon(index).await?;
         let mut seen = 0;
         loop {
-            let status = site.status(place).await?;
+            let status = site.status(index).await?;
             assert!(
                 status.version >= seen,
                 "from {seen} back to {}",
@@ -164,17 +166,17 @@
         base = next;
     }
     let last = site.publish(base, &site.plan.document(1)).await?;
-    in_force(&site, last).await;
+    wait_in_force(&site, last).await;
     Ok(())
 }
 
-/// An instance starts while the log can't be reached. It takes configuration and state from its peers, serves
-/// what is loaded, and is not ready before it has them.
+/// An instance starts while the log is unavailable. It must get configuration and state from its peers before
+/// it is ready, and then serve the loaded models.
 #[tokio::test(flavor = "multi_thread")]
 async fn instance_starts_during_an_outage() -> anyhow::Result<()> {
     let mut site = Site::start(Plan::default()).await?;
-    for place in 0..3 {
-        assert_eq!(site.ask(place, "m0", "warm").await, Ok(()));
+    for index in 0..3 {
+        assert_eq!(site.ask(index, "m0", "warm").await, Ok(()));
     }
     let version = site.status(0).await?.version;
     site.set_faults(&site.log, &fault::Change::new().with_outage(true))
@@ -187,12 +189,13 @@
     site.set_faults(&site.log, &fault::Change::new().with_outage(false))
         .await?;
     let next = site.publish(version, &site.plan.document(2)).await?;
-    in_force(&site, next).await;
+    wait_in_force(&site, next).await;
     Ok(())
 }
 
-/// The log has dropped the record of the configuration, as it does with all records after a while. All
-/// instances are replaced at once, so that no peer can help: a checkpoint has to.
+/// The log has dropped the record of the configuration, as it does with all records after the retention time.
+/// All instances are replaced at once, so that none can get the configuration from a peer. They must read it
+/// from a checkpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_instances_start_after_retention_dropped_the_record() -> anyhow::Result<()> {
     let plan = Plan {
@@ -204,49 +207,50 @@
     for round in 0..4 {
         let text = site.plan.document(1 + round % 2);
         version = site.publish(version, &text).await?;
-        in_force(&site, version).await;
+        wait_in_force(&site, version).await;
     }
-    // Records of other kinds, until a checkpoint covers far more than the configuration's.
-    let enough = version + 3 * SLACK;
+    // Appends other records until a checkpoint covers many more records than that of the configuration.
+    let min_covered = version + 3 * RETAINED_MARGIN;
     let append = format!("{}/v1/append", site.log.base("listening"));
-    for _ in 0..2 * enough {
+    for _ in 0..2 * min_covered {
         site.client.post(&append, "no record of ours").await?;
     }
-    site.wait_for("a checkpoint", || async {
-        covered(&site)
+    site.wait_for("a checkpoint that covers enough records", || async {
+        checkpoint_end(&site)
             .await
-            .is_ok_and(|(covered, _)| covered > enough)
+            .is_ok_and(|(covered_end, _)| covered_end > min_covered)
     })
     .await;
     for daemon in &mut site.daemons {
         daemon.kill().await?;
     }
-    // Nobody appends any more: drops what the newest checkpoint covers, the configuration's record with it.
-    let (covered, end) = covered(&site).await?;
-    // What the starting instances append must not push out what they start from.
-    let keep = end - covered + SLACK;
+    // No daemon appends any more. The log now drops what the newest checkpoint covers, including the
+    // configuration's record.
+    let (covered_end, log_end) = checkpoint_end(&site).await?;
+    // The records that the starting instances append must not displace the checkpoint that they start from.
+    let keep = log_end - covered_end + RETAINED_MARGIN;
     assert!(
-        covered > SLACK + version - 1,
-        "the configuration's record would be kept"
+        covered_end > RETAINED_MARGIN + version - 1,
+        "the configuration's record would be retained"
     );
     site.set_faults(&site.log, &fault::Change::new().with_retain(keep))
         .await?;
-    for place in 0..3 {
-        site.daemons[place] = site.start_daemon(place).await?;
+    for index in 0..3 {
+        site.daemons[index] = site.start_daemon(index).await?;
     }
     site.wait_ready().await;
-    for place in 0..3 {
+    for index in 0..3 {
         assert!(
-            site.status(place).await?.version >= version,
-            "an older version after a restart"
+            site.status(index).await?.version >= version,
+            "an older version is in force after a restart"
         );
     }
     assert_eq!(site.ask(0, "m0", "after all").await, Ok(()));
     site.hold(2).await
 }
 
-/// A document with faults, or made from an old version, reaches the log all the same, as an operator's tool of
-/// another kind could append it. It is never in force.
+/// A document with faults and a document based on an old version are stored in the log, as another tool could
+/// append them. Neither may be in force at any time.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_and_outdated_documents_are_never_in_force() -> anyhow::Result<()> {
     let site = Site::start(Plan::default()).await?;
@@ -255,9 +259,9 @@
         .await?;
     site.publish(0, &site.plan.document(3)).await?;
     let next = site.publish(version, &site.plan.document(2)).await?;
-    in_force(&site, next).await;
-    for place in 0..3 {
-        assert_eq!(site.status(place).await?.version, next);
+    wait_in_force(&site, next).await;
+    for index in 0..3 {
+        assert_eq!(site.status(index).await?.version, next);
     }
     Ok(())
 }
--- a/crates/fireflywheel_daemon/tests/links.rs
+++ b/crates/fireflywheel_daemon/tests/links.rs
@@ -1,5 +1,5 @@
-//! What the peers' door does with strangers and with peers that send nonsense: the link ends, it is counted,
-//! and the daemon goes on.
+//! Tests of the peer listener with clients that lack the key and with peers that send invalid messages. The
+//! daemon must close the link, count the failure and continue to serve requests.
 
 mod rig;
 
@@ -13,29 +13,29 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::{WebSocketStream, client_async};
 
-const LENGTH: usize = 32;
+const PROOF_BYTES: usize = 32;
 const OPENER: &[u8] = b"fireflywheel link 1 opener";
 const ACCEPTOR: &[u8] = b"fireflywheel link 1 acceptor";
 
-/// Handshakes that a daemon takes at once.
-const HANDSHAKES: usize = 32;
+/// Maximum number of concurrent incoming handshakes of a daemon.
+const MAX_HANDSHAKES: usize = 32;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// A ready daemon.
-struct Door {
+/// A daemon that is ready, with its surroundings.
+struct Fixture {
     rig: rig::Rig,
     daemon: process::Child,
 }
 
-/// What a peer knows before it proves the key.
+/// The nonces of both sides of one handshake.
 struct Nonces {
-    opener: [u8; LENGTH],
-    acceptor: [u8; LENGTH],
+    opener: [u8; PROOF_BYTES],
+    acceptor: [u8; PROOF_BYTES],
 }
 
-impl Door {
-    async fn open() -> Self {
+impl Fixture {
+    async fn start() -> Self {
         let rig = rig::Rig::start().await;
         let daemon = rig.daemon("a1", "").await;
         rig.publish().await;
@@ -53,46 +53,48 @@
         let url = format!("ws://{}/", self.daemon.address("peer"));
         client_async(url, self.connect().await)
             .await
-            .expect("the daemon speaks the websocket protocol")
+            .expect("the daemon accepts the WebSocket handshake")
             .0
     }
 
-    /// A link whose handshake is proven with `key`; what the daemon sent last, if it sent anything.
-    async fn prove(&self, key: &str, role: &[u8]) -> (Socket, Option<Vec<u8>>) {
+    /// Performs a handshake with a proof made with `key` for `role`. Returns the socket and the daemon's
+    /// proof, if the daemon sent one.
+    async fn handshake(&self, key: &str, role: &[u8]) -> (Socket, Option<Vec<u8>>) {
         let mut socket = self.websocket().await;
-        let nonces = exchange(&mut socket).await;
-        let mut me = Vec::new();
-        ciborium::into_writer(&introduction(), &mut me).expect("an update has a CBOR form");
-        let mut proof = mac(key, role, &nonces, &me);
-        proof.extend_from_slice(&me);
+        let nonces = exchange_nonces(&mut socket).await;
+        let mut update_bytes = Vec::new();
+        ciborium::into_writer(&peer_update(), &mut update_bytes)
+            .expect("an update serializes to CBOR");
+        let mut proof = mac(key, role, &nonces, &update_bytes);
+        proof.extend_from_slice(&update_bytes);
         send(&mut socket, proof).await;
         let answer = receive(&mut socket).await;
         if let Some(answer) = &answer {
-            let (proof, introduction) = answer.split_at(LENGTH);
-            assert_eq!(proof, mac(rig::KEY, ACCEPTOR, &nonces, introduction));
+            let (proof, encoded_update) = answer.split_at(PROOF_BYTES);
+            assert_eq!(proof, mac(rig::KEY, ACCEPTOR, &nonces, encoded_update));
             send(&mut socket, Vec::new()).await;
         }
         (socket, answer)
     }
 
-    /// A link as a peer has it.
-    async fn link(&self) -> Socket {
-        let (socket, answer) = self.prove(rig::KEY, OPENER).await;
-        let answer = answer.expect("the daemon proves the key as well");
+    /// Opens an authenticated link, as a peer does.
+    async fn open_link(&self) -> Socket {
+        let (socket, answer) = self.handshake(rig::KEY, OPENER).await;
+        let answer = answer.expect("the daemon proves the key");
         let update: member::Update =
-            ciborium::from_reader(&answer[LENGTH..]).expect("an update has a CBOR form");
+            ciborium::from_reader(&answer[PROOF_BYTES..]).expect("the answer contains an update");
         assert_eq!(update.by.instance, "a1");
         socket
     }
 
-    /// Waits until a failure was counted.
-    async fn counted(&self, cause: &str) {
+    /// Waits until the daemon has counted a link failure with this cause.
+    async fn await_failure(&self, cause: &str) {
         let name = format!("fireflywheel_link_failures_total{{cause=\"{cause}\"}}");
         let counted = async || self.rig.metric(&self.daemon, &name).await > 0;
         self.rig.until(&self.daemon, counted).await;
     }
 
-    async fn goes_on(&self) {
+    async fn assert_still_serving(&self) {
         let answer = self.rig.ask(&self.daemon).await;
         assert_eq!(answer.status, 200, "{}", answer.text());
         let stderr = self.daemon.stderr();
@@ -101,7 +103,7 @@
     }
 }
 
-fn introduction() -> member::Update {
+fn peer_update() -> member::Update {
     member::Update {
         by: record::Incarnation {
             instance: "b1".into(),
@@ -114,23 +116,23 @@
     }
 }
 
-async fn exchange(socket: &mut Socket) -> Nonces {
-    let opener = [7; LENGTH];
+async fn exchange_nonces(socket: &mut Socket) -> Nonces {
+    let opener = [7; PROOF_BYTES];
     send(socket, opener.to_vec()).await;
-    let acceptor = receive(socket).await.expect("a nonce");
+    let acceptor = receive(socket).await.expect("the daemon sends a nonce");
     Nonces {
         opener,
-        acceptor: acceptor.try_into().expect("the length of a nonce"),
+        acceptor: acceptor.try_into().expect("the nonce has 32 bytes"),
     }
 }
 
-fn mac(key: &str, role: &[u8], nonces: &Nonces, introduction: &[u8]) -> Vec<u8> {
+fn mac(key: &str, role: &[u8], nonces: &Nonces, encoded_update: &[u8]) -> Vec<u8> {
     let mut mac =
-        Hmac::<Sha256>::new_from_slice(key.as_bytes()).expect("HMAC takes keys of any length");
+        Hmac::<Sha256>::new_from_slice(key.as_bytes()).expect("HMAC accepts keys of any length");
     mac.update(role);
     mac.update(&nonces.opener);
     mac.update(&nonces.acceptor);
-    mac.update(introduction);
+    mac.update(encoded_update);
     mac.finalize().into_bytes().to_vec()
 }
 
@@ -141,7 +143,7 @@
         .expect("the link is up");
 }
 
-/// The next binary message; `None` when the other side has ended the link.
+/// Returns the next binary message, or `None` if the daemon has closed the link.
 async fn receive(socket: &mut Socket) -> Option<Vec<u8>> {
     loop {
         match socket.next().await {
@@ -152,67 +154,72 @@
     }
 }
 
-/// Waits until the other side has ended the link.
-async fn ended(mut socket: Socket) {
+/// Waits until the daemon has closed the link.
+async fn wait_until_closed(mut socket: Socket) {
     while receive(&mut socket).await.is_some() {}
 }
 
-/// Somebody on the network connects to the peer address without the key. It learns a random number and no
-/// more: not even the instance's name.
+/// A client without the key connects to the peer address. It must receive a random nonce and nothing else,
+/// not even the instance's name.
 #[tokio::test]
 async fn key_is_wrong() {
-    let door = Door::open().await;
-    let (_, answer) = door.prove("a key that some stranger made up", OPENER).await;
+    let fixture = Fixture::start().await;
+    let (_, answer) = fixture
+        .handshake("a key that some stranger made up", OPENER)
+        .await;
     assert_eq!(answer, None);
-    door.counted("handshake").await;
-    door.goes_on().await;
+    fixture.await_failure("handshake").await;
+    fixture.assert_still_serving().await;
 }
 
-/// A stranger sends a proof back that was made for the other role, as one could who has seen a handshake.
+/// A client sends back a proof that was made for the other role, as an attacker who has observed a handshake
+/// could.
 #[tokio::test]
 async fn proof_is_of_the_other_role() {
-    let door = Door::open().await;
-    let (_, answer) = door.prove(rig::KEY, ACCEPTOR).await;
+    let fixture = Fixture::start().await;
+    let (_, answer) = fixture.handshake(rig::KEY, ACCEPTOR).await;
     assert_eq!(answer, None);
-    door.counted("handshake").await;
-    door.goes_on().await;
+    fixture.await_failure("handshake").await;
+    fixture.assert_still_serving().await;
 }
 
-/// A stranger records a whole handshake and plays it again. The daemon's nonce is another then.
+/// A client replays the proof of an earlier handshake. The daemon must refuse it, because its nonce has
+/// changed.
 #[tokio::test]
 async fn proof_is_replayed() {
-    let door = Door::open().await;
-    let mut me = Vec::new();
-    ciborium::into_writer(&introduction(), &mut me).expect("an update has a CBOR form");
-    let recorded = exchange(&mut door.websocket().await).await;
-    let mut proof = mac(rig::KEY, OPENER, &recorded, &me);
-    proof.extend_from_slice(&me);
-    let mut socket = door.websocket().await;
-    let nonces = exchange(&mut socket).await;
+    let fixture = Fixture::start().await;
+    let mut update_bytes = Vec::new();
+    ciborium::into_writer(&peer_update(), &mut update_bytes).expect("an update serializes to CBOR");
+    let recorded = exchange_nonces(&mut fixture.websocket().await).await;
+    let mut proof = mac(rig::KEY, OPENER, &recorded, &update_bytes);
+    proof.extend_from_slice(&update_bytes);
+    let mut socket = fixture.websocket().await;
+    let nonces = exchange_nonces(&mut socket).await;
     assert_ne!(nonces.acceptor, recorded.acceptor);
     send(&mut socket, proof).await;
     assert_eq!(receive(&mut socket).await, None);
-    door.counted("handshake").await;
-    door.goes_on().await;
+    fixture.await_failure("handshake").await;
+    fixture.assert_still_serving().await;
 }
 
-/// Messages that a stranger sends where the handshake should be.
-macro_rules! strangers {
+/// Messages that a client sends instead of a valid nonce.
+macro_rules! invalid_nonces {
     ($($name:ident: $message:expr;)*) => {$(
-        /// A stranger speaks the websocket protocol, but not ours. The connection ends without an answer.
+        /// A client speaks the WebSocket protocol but not the link protocol. The daemon closes the connection
+        /// without an answer.
         #[tokio::test]
         async fn $name() {
-            let door = Door::open().await;
-            let mut socket = door.websocket().await;
+            let fixture = Fixture::start().await;
+            let mut socket = fixture.websocket().await;
             let _ = socket.send($message).await;
-            ended(socket).await;
-            door.counted("handshake").await;
-            door.goes_on().await;
+            wait_until_closed(socket).await;
+            fixture.await_failure("handshake").await;
+            fixture.assert_still_serving().await;
         }
     )*};
 }
 
-strangers! {
+invalid_nonces! {
     nonce_is_short: Message::Binary(vec![1; 31].into());
     nonce_is_long: Message::Binary(vec![1; 33].into());
     nonce_is_empty: Message::Binary(Vec::new().into());
@@ -222,16 +229,17 @@
     closes_at_once: Message::Close(None);
 }
 
-/// Bytes that are no websocket reach the peer port, as from a port scan or a caller at the wrong address.
+/// Bytes that are not a WebSocket handshake arrive at the peer port, as from a port scan or a misdirected
+/// caller.
 #[tokio::test]
-async fn garbage() {
-    let door = Door::open().await;
+async fn bytes_are_not_a_websocket() {
+    let fixture = Fixture::start().await;
     for bytes in [
         &b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc"[..],
         b"GET / HTTP/1.1\r\n\r\n",
         &[0; 4096],
     ] {
-        let mut stream = door.connect().await;
+        let mut stream = fixture.connect().await;
         stream.write_all(bytes).await.expect("the daemon reads");
         stream.shutdown().await.expect("the daemon listens");
         let mut rest = Vec::new();
@@ -239,33 +247,33 @@
         let rest = String::from_utf8_lossy(&rest).into_owned();
         assert!(!rest.contains("a1"), "{rest}");
     }
-    door.counted("handshake").await;
-    door.goes_on().await;
+    fixture.await_failure("handshake").await;
+    fixture.assert_still_serving().await;
 }
 
-/// Connections that say nothing must not keep peers out: beyond a number they are closed unheard, and each of
-/// them ends by itself, after which a peer gets in.
+/// Connections that send nothing must not block peers. The daemon closes connections beyond the maximum at
+/// once and the others after the handshake timeout. Then a peer can connect.
 #[tokio::test]
-async fn strangers_are_silent() {
-    let door = Door::open().await;
-    let mut silent = Vec::new();
-    for _ in 0..=HANDSHAKES {
-        silent.push(door.connect().await);
+async fn silent_connections_do_not_block_peers() {
+    let fixture = Fixture::start().await;
+    let mut connections = Vec::new();
+    for _ in 0..=MAX_HANDSHAKES {
+        connections.push(fixture.connect().await);
     }
-    door.counted("limit").await;
-    door.counted("slow").await;
-    for mut stream in silent {
+    fixture.await_failure("limit").await;
+    fixture.await_failure("slow").await;
+    for mut stream in connections {
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
         assert!(rest.is_empty());
     }
-    ended_by_us(door.link().await).await;
-    door.goes_on().await;
+    close_link(fixture.open_link().await).await;
+    fixture.assert_still_serving().await;
 }
 
-async fn ended_by_us(mut socket: Socket) {
+async fn close_link(mut socket: Socket) {
     socket.close(None).await.expect("the link is up");
-    ended(socket).await;
+    wait_until_closed(socket).await;
 }
 
 fn ping(number: u64) -> wire::Frame {
@@ -276,79 +284,88 @@
     }
 }
 
-/// A proven peer's frames are heard, also those that follow its handshake at once.
+/// The daemon handles the frames of an authenticated peer, including those sent immediately after the
+/// handshake.
 #[tokio::test]
 async fn frames_are_answered() {
-    let door = Door::open().await;
-    let mut socket = door.link().await;
+    let fixture = Fixture::start().await;
+    let mut socket = fixture.open_link().await;
     send(&mut socket, ping(41).encode()).await;
     loop {
         let bytes = receive(&mut socket).await.expect("the link stays up");
-        if let wire::Frame::Pong { number: 41, .. } = wire::Frame::decode(&bytes).expect("a frame")
+        if let wire::Frame::Pong { number: 41, .. } =
+            wire::Frame::decode(&bytes).expect("the daemon sends a frame")
         {
             break;
         }
     }
-    door.goes_on().await;
+    fixture.assert_still_serving().await;
 }
 
-/// Messages of a proven peer that no frame can be read from, with the cause that is counted.
-macro_rules! nonsense {
+/// Messages of an authenticated peer that can't be decoded as a frame, with the cause that is counted.
+macro_rules! invalid_frames {
     ($($name:ident: $message:expr => $cause:literal;)*) => {$(
-        /// A peer that knows the key sends what isn't a frame, such as a build with a fault. Its link ends;
-        /// requests go on.
+        /// An authenticated peer sends a message that isn't a frame, as a faulty build could. The daemon
+        /// closes the link and continues to serve requests.
         #[tokio::test]
         async fn $name() {
-            let door = Door::open().await;
-            let mut socket = door.link().await;
-            // The daemon may end the link while a long message is still on its way.
+            let fixture = Fixture::start().await;
+            let mut socket = fixture.open_link().await;
+            // The daemon may close the link while a long message is still being sent.
             let _ = socket.send($message).await;
-            ended(socket).await;
-            door.counted($cause).await;
-            door.goes_on().await;
+            wait_until_closed(socket).await;
+            fixture.await_failure($cause).await;
+            fixture.assert_still_serving().await;
         }
     )*};
 }
 
-nonsense! {
+invalid_frames! {
     frame_is_not_cbor: Message::Binary(vec![0xff; 64].into()) => "malformed";
     frame_is_other_cbor: Message::Binary(vec![0x83, 1, 2, 3].into()) => "malformed";
     frame_is_empty: Message::Binary(Vec::new().into()) => "malformed";
-    frame_is_cut: Message::Binary(ping(1).encode()[..6].to_vec().into()) => "malformed";
-    // An array that claims 2^32 items and has none must not be allocated for.
-    frame_claims_too_much: Message::Binary(vec![0x9a, 0xff, 0xff, 0xff, 0xff].into()) => "malformed";
-    // Deep nesting must not use up the stack.
-    frame_is_deep: Message::Binary(vec![0x81; 1 << 20].into()) => "malformed";
+    frame_is_truncated: Message::Binary(ping(1).encode()[..6].to_vec().into()) => "malformed";
+    // The daemon must not allocate memory for an array that claims 2^32 items and contains none.
+    frame_claims_too_many_items: Message::Binary(vec![0x9a, 0xff, 0xff, 0xff, 0xff].into()) => "malformed";
+    // Deep nesting must not overflow the stack.
+    frame_is_deeply_nested: Message::Binary(vec![0x81; 1 << 20].into()) => "malformed";
     frame_is_text: Message::Text("{}".into()) => "malformed";
     frame_is_too_long: Message::Binary(vec![0; wire::MAX_FRAME_BYTES + 1].into()) => "long";
 }
 
-/// Two instances that know each other's address connect to each other at the same time. One link stays, over
-/// which both hear of the same configuration.
+/// Two instances that know each other's address connect to each other at the same time. They must keep one
+/// link, over which both receive the same configuration.
 #[tokio::test]
-async fn one_link_for_a_pair() {
-    let door = Door::open().await;
-    let seeds = format!("seeds = {}\n", door.daemon.address("peer"));
-    let second = door.rig.daemon("b1", &seeds).await;
-    door.rig.ready(&second).await;
-    for daemon in [&door.daemon, &second] {
-        let linked = async || door.rig.metric(daemon, "fireflywheel_links").await == 1;
-        door.rig.until(daemon, linked).await;
+async fn pair_keeps_one_link() {
+    let fixture = Fixture::start().await;
+    let seeds = format!("seeds = {}\n", fixture.daemon.address("peer"));
+    let second = fixture.rig.daemon("b1", &seeds).await;
+    fixture.rig.ready(&second).await;
+    for daemon in [&fixture.daemon, &second] {
+        let linked = async || fixture.rig.metric(daemon, "fireflywheel_links").await == 1;
+        fixture.rig.until(daemon, linked).await;
     }
-    door.goes_on().await;
+    fixture.assert_still_serving().await;
 }
 
-/// An instance was given another key by mistake. It stays without links, and the others say so in a metric.
+/// An instance has a wrong key by mistake. It gets no links, and the other instances count the failure in a
+/// metric.
 #[tokio::test]
 async fn instance_has_another_key() {
-    let door = Door::open().await;
-    let seeds = format!("seeds = {}\n", door.daemon.address("peer"));
-    let stray = door
+    let fixture = Fixture::start().await;
+    let seeds = format!("seeds = {}\n", fixture.daemon.address("peer"));
+    let other = fixture
         .rig
         .daemon_with_key("b1", "a key of another deployment", &seeds)
         .await;
-    door.counted("handshake").await;
-    assert_eq!(door.rig.metric(&stray, "fireflywheel_links").await, 0);
-    assert_eq!(door.rig.metric(&door.daemon, "fireflywheel_links").await, 0);
-    door.goes_on().await;
+    fixture.await_failure("handshake").await;
+    assert_eq!(fixture.rig.metric(&other, "fireflywheel_links").await, 0);
+    assert_eq!(
+        fixture
+            .rig
+            .metric(&fixture.daemon, "fireflywheel_links")
+            .await,
+        0
+    );
+    fixture.assert_still_serving().await;
 }
--- a/crates/fireflywheel_daemon/tests/measures.rs
+++ b/crates/fireflywheel_daemon/tests/measures.rs
@@ -1,7 +1,7 @@
-//! Measurements of a whole site in processes of their own. Times are printed and never asserted; what is
-//! asserted are counts, and ratios within one run. `FIREFLYWHEEL_LONG=1` makes the runs longer.
+//! Measurements of a complete site whose parts are separate processes. Times are printed and never asserted.
+//! The tests assert counts and ratios within one run. `FIREFLYWHEEL_LONG=1` selects longer runs.
 //!
-//! `docs/MEASUREMENTS.md` has the figures with the command of each.
+//! `docs/MEASUREMENTS.md` contains the figures, each with the command that produced it.
 
 #[path = "measures/meter.rs"]
 mod meter;
@@ -18,30 +18,30 @@
 use site::{Plan, Site};
 use smol_str::SmolStr;
 
-/// The short number, or the long one where the environment asks for it.
-fn runs(short: u64, long: u64) -> u64 {
+/// Returns `long` if `FIREFLYWHEEL_LONG` is set, otherwise `short`.
+fn choose_count(short: u64, long: u64) -> u64 {
     let is_long = env::var_os("FIREFLYWHEEL_LONG").is_some();
     if is_long { long } else { short }
 }
 
-/// Median and the time that ninety-nine in a hundred stay under, in milliseconds.
+/// Returns the median and the 99th percentile, in milliseconds.
 fn quantiles(mut times: Vec<Duration>) -> (f64, f64) {
     times.sort();
     let rank = |share: f64| {
-        let place = (times.len() as f64 * share).ceil() as usize;
-        times[place.clamp(1, times.len()) - 1].as_secs_f64() * 1_000.0
+        let index = (times.len() as f64 * share).ceil() as usize;
+        times[index.clamp(1, times.len()) - 1].as_secs_f64() * 1_000.0
     };
     (rank(0.5), rank(0.99))
 }
 
-async fn appends(site: &Site) -> anyhow::Result<log::Counts> {
+async fn log_counts(site: &Site) -> anyhow::Result<log::Counts> {
     site.client.counts(&site.log.base("listening")).await
 }
 
 // ---- The log ----
 
-/// Each load and each unload must cost few appends, whatever the number of instances: the log takes several
-/// hundred a second for all of them together.
+/// A load or an unload must cost few appends, independent of the number of instances. The log accepts only
+/// several hundred appends per second for all instances together.
 #[tokio::test(flavor = "multi_thread")]
 async fn appends_of_loads_and_publications() -> anyhow::Result<()> {
     const PUBLICATIONS: u64 = 10;
@@ -50,19 +50,19 @@
         ..Plan::default()
     };
     let site = Site::start(plan).await?;
-    let before = appends(&site).await?;
+    let before = log_counts(&site).await?;
     for model in 0..4 {
         site.wait_for("an answer", || async {
             site.ask(model, &format!("m{model}"), "one").await.is_ok()
         })
         .await;
     }
-    site.wait_for("the outcomes", || async {
+    site.wait_for("the outcomes of the loads", || async {
         let status = site.status(0).await.expect("a running daemon answers");
         status.rights.len() == 4 && status.rights.iter().all(|right| right.state == "loaded")
     })
     .await;
-    let after = appends(&site).await?;
+    let after = log_counts(&site).await?;
     let loads = after.appends - before.appends;
     println!(
         "4 loads: {loads} appends, {} bytes of records",
@@ -73,23 +73,24 @@
         version = site.publish(version, &site.plan.document(1)).await?;
         wait_in_force(&site, &[0, 1, 2, 3], version).await;
     }
-    let published = appends(&site).await?;
+    let published = log_counts(&site).await?;
     let publications = published.appends - after.appends;
     println!(
         "{PUBLICATIONS} publications of {} bytes: {publications} appends, {} bytes of records",
         site.plan.document(1).len(),
         published.bytes - after.bytes
     );
-    // An intent and an outcome for each load. A steward that also had something else to say may add one.
+    // Each load appends an intent and an outcome. A steward that has other records to append may add one
+    // append.
     assert!((4..=12).contains(&loads), "{loads} appends for 4 loads");
     assert!(publications <= PUBLICATIONS + 2, "{publications} appends");
     Ok(())
 }
 
-async fn wait_in_force(site: &Site, places: &[usize], version: u64) {
-    let each = places.iter().map(|place| {
+async fn wait_in_force(site: &Site, indices: &[usize], version: u64) {
+    let each = indices.iter().map(|index| {
         site.wait_for("a version", move || async move {
-            site.status(*place)
+            site.status(*index)
                 .await
                 .is_ok_and(|status| status.version >= version)
         })
@@ -97,25 +98,27 @@
     futures_util::future::join_all(each).await;
 }
 
-/// Publications one after another, each timed until all these daemons have it in force.
+/// Publishes `count` documents one after the other. Returns for each the time until it is in force at all
+/// daemons in `indices`.
 async fn publication_times(
     site: &Site,
-    places: &[usize],
+    indices: &[usize],
     count: u64,
 ) -> anyhow::Result<Vec<Duration>> {
-    let mut version = site.status(places[0]).await?.version;
+    let mut version = site.status(indices[0]).await?.version;
     let mut times = Vec::new();
     for _ in 0..count {
         let start = Instant::now();
         version = site.publish(version, &site.plan.document(1)).await?;
-        wait_in_force(site, places, version).await;
+        wait_in_force(site, indices, version).await;
         times.push(start.elapsed());
     }
     Ok(times)
 }
 
-/// Operators publish again and again at sixteen daemons. Until a version is in force at the last one, callers
-/// there are still served by the old one; one daemon is then cut off from the log, and follows its peers.
+/// Operators publish repeatedly to sixteen daemons. Until a version is in force at the last daemon, this
+/// daemon serves its callers with the old version. In a second series one daemon is cut off from the log and
+/// gets the versions from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn version_in_force_at_sixteen() -> anyhow::Result<()> {
     let plan = Plan {
@@ -124,27 +127,28 @@
         ..Plan::default()
     };
     let site = Site::start(plan).await?;
-    let places: Vec<usize> = (0..16).collect();
-    let count = runs(40, 300);
-    let (median, most) = quantiles(publication_times(&site, &places, count).await?);
-    println!("in force at 16, {count} publications: median {median:.1} ms, 99 in 100 {most:.1} ms");
+    let indices: Vec<usize> = (0..16).collect();
+    let count = choose_count(40, 300);
+    let (median, p99) = quantiles(publication_times(&site, &indices, count).await?);
+    println!("in force at 16, {count} publications: median {median:.1} ms, p99 {p99:.1} ms");
     site.relays[&15].set_cut(true);
-    let count = runs(20, 100);
-    let (median, most) = quantiles(publication_times(&site, &places, count).await?);
+    let count = choose_count(20, 100);
+    let (median, p99) = quantiles(publication_times(&site, &indices, count).await?);
     println!(
-        "the same with one cut off from the log, {count} publications: median {median:.1} ms, 99 in 100 \
-         {most:.1} ms"
+        "the same with one daemon cut off from the log, {count} publications: median {median:.1} ms, p99 \
+         {p99:.1} ms"
     );
     Ok(())
 }
 
-/// Daemons read an accepted document from the log, and one that a peer is ahead of asks that peer for it too.
-/// How often it is handed over between peers decides what a change costs in a large fleet.
+/// Daemons read an accepted document from the log, and a daemon that is behind a peer also requests the
+/// document from this peer. The number of transfers between peers determines the cost of a change in a large
+/// fleet.
 #[tokio::test(flavor = "multi_thread")]
 async fn bytes_of_a_publication() -> anyhow::Result<()> {
     const DAEMONS: usize = 16;
     const PUBLICATIONS: u64 = 10;
-    const HANDED_LIMIT: f64 = 16.0;
+    const MAX_TRANSFERS: f64 = 16.0;
     let mut plan = Plan {
         daemons: DAEMONS,
         ..Plan::default()
@@ -156,17 +160,17 @@
     }
     let site = Site::start(plan).await?;
     let bytes = site.plan.document(1).len();
-    let places: Vec<usize> = (0..DAEMONS).collect();
+    let indices: Vec<usize> = (0..DAEMONS).collect();
     let before = all_frame_bytes(&site).await?;
-    publication_times(&site, &places, PUBLICATIONS).await?;
+    publication_times(&site, &indices, PUBLICATIONS).await?;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let each = (all_frame_bytes(&site).await? - before) / (2 * DAEMONS as u64 * PUBLICATIONS);
-    let handed = each as f64 / bytes as f64;
+    let transfers = each as f64 / bytes as f64;
     println!(
-        "a publication of {bytes} bytes at {DAEMONS}: each daemon sends {each} bytes to peers, the document \
-         {handed:.2} times"
+        "a publication of {bytes} bytes at {DAEMONS} daemons: each daemon sends {each} bytes to peers, {transfers:.2} \
+         times the document"
     );
-    assert!(handed < HANDED_LIMIT, "{handed} times");
+    assert!(transfers < MAX_TRANSFERS, "{transfers} times the document");
     Ok(())
 }
 
@@ -178,7 +182,7 @@
     Ok(bytes)
 }
 
-/// The steward is killed. Until another has taken the group over, nothing cold can be loaded.
+/// The steward is killed. Until another instance has taken over the group, no model can be loaded.
 #[tokio::test(flavor = "multi_thread")]
 async fn takeover_after_a_kill() -> anyhow::Result<()> {
     let plan = Plan {
@@ -188,20 +192,20 @@
     let mut site = Site::start(plan).await?;
     let mut times = Vec::new();
     let mut served = Vec::new();
-    for round in 0..runs(3, 20) {
-        let steward = site.steward().await.expect("a steward");
-        let look = (steward + 1) % 4;
-        let epoch = epoch(&site, look).await;
+    for round in 0..choose_count(3, 20) {
+        let steward = site.steward().await.expect("the group has a steward");
+        let observer = (steward + 1) % 4;
+        let epoch = epoch(&site, observer).await;
         let start = Instant::now();
         site.daemons[steward].kill().await?;
         site.wait_for("a takeover", || async {
-            self::epoch(&site, look).await > epoch
+            self::epoch(&site, observer).await > epoch
         })
         .await;
         times.push(start.elapsed());
         let model = format!("m{}", round % 4);
         site.wait_for("an answer", || async {
-            site.ask(look, &model, "after").await.is_ok()
+            site.ask(observer, &model, "after").await.is_ok()
         })
         .await;
         served.push(start.elapsed());
@@ -209,22 +213,26 @@
         site.wait_ready().await;
     }
     let count = times.len();
-    let (median, most) = quantiles(times);
-    println!("takeover after a kill, {count} times: median {median:.0} ms, longest {most:.0} ms");
-    let (median, most) = quantiles(served);
-    println!("and a model served: median {median:.0} ms, longest {most:.0} ms");
+    let (median, longest) = quantiles(times);
+    println!(
+        "takeover after a kill, {count} times: median {median:.0} ms, maximum {longest:.0} ms"
+    );
+    let (median, longest) = quantiles(served);
+    println!(
+        "first answer of a model after the kill: median {median:.0} ms, maximum {longest:.0} ms"
+    );
     site.hold(1).await
 }
 
-async fn epoch(site: &Site, place: usize) -> u64 {
-    let status = site.status(place).await.expect("a running daemon answers");
+async fn epoch(site: &Site, index: usize) -> u64 {
+    let status = site.status(index).await.expect("a running daemon answers");
     let held = status.stewards.iter().find(|held| held.group == "g");
     held.map_or(0, |held| held.epoch)
 }
 
 // ---- Requests ----
 
-fn streams(target: std::net::SocketAddr, seed: u64) -> load::Options {
+fn stream_options(target: std::net::SocketAddr, seed: u64) -> load::Options {
     load::Options {
         targets: vec![target],
         models: vec![SmolStr::new_static("m0")],
@@ -233,17 +241,17 @@
         stream: true,
         max_tokens: 25,
         rate: 300.0,
-        count: runs(1_200, 4_500),
+        count: choose_count(1_200, 4_500),
         seed,
         ..load::Options::default()
     }
 }
 
-/// Streams go to an engine directly and through a daemon, in the same seconds on the same machine, so that
-/// whatever else it does slows both.
+/// Streams go to an engine directly and through a daemon, at the same time on the same machine, so that other
+/// load on the machine delays both.
 #[tokio::test(flavor = "multi_thread")]
 async fn hop_against_direct_calls() -> anyhow::Result<()> {
-    const RATIO_LIMIT: f64 = 2.0;
+    const MAX_RATIO: f64 = 2.0;
     let plan = Plan {
         daemons: 1,
         engines: 1,
@@ -258,21 +266,21 @@
     })
     .await;
     let engine = &site.engines[0];
-    let via = streams(site.daemons[0].address("caller"), 1);
-    let direct = streams(engine.address("listening"), 2);
+    let via = stream_options(site.daemons[0].address("caller"), 1);
+    let direct = stream_options(engine.address("listening"), 2);
     let processor = processor_ms(&site.daemons[0]);
     let (direct, via) = tokio::join!(load::run(&direct), load::run(&via));
     let processor = processor_ms(&site.daemons[0]) - processor;
     let (direct, via) = (direct?.total, via?.total);
     let counts = site.engine_counts().await?;
-    let together = counts[0].max_running;
-    println!("at most {together} streams at once, about half of them each way");
+    let max_concurrent = counts[0].max_running;
+    println!("at most {max_concurrent} concurrent streams, about half of them through the daemon");
     for (what, direct, via) in [
         ("first token", direct.first_ms, via.first_ms),
         ("whole answer", direct.whole_ms, via.whole_ms),
     ] {
         println!(
-            "{what}: direct median {:.1} ms, 99 in 100 {:.1} ms; through the daemon {:.1} and {:.1}; ratios \
+            "{what}: direct median {:.1} ms, p99 {:.1} ms; through the daemon {:.1} and {:.1}; ratios \
              {:.3} and {:.3}",
             direct.p50,
             direct.p99,
@@ -282,10 +290,10 @@
             via.p99 / direct.p99
         );
     }
-    // The echo and then each token is an event.
+    // Each stream has one event for the echo of the prompt and one for each token.
     let events = via.served * 26;
     println!(
-        "processor time of the daemon: {:.0} us for each of {events} events",
+        "processor time of the daemon: {:.0} us per event, {events} events",
         processor as f64 * 1_000.0 / events as f64
     );
     println!(
@@ -297,13 +305,16 @@
         (direct.sent, via.sent),
         "{via:?}"
     );
-    assert!(together >= 1_000, "{together} streams at once");
-    assert!(via.whole_ms.p50 / direct.whole_ms.p50 < RATIO_LIMIT);
+    assert!(
+        max_concurrent >= 1_000,
+        "{max_concurrent} concurrent streams"
+    );
+    assert!(via.whole_ms.p50 / direct.whole_ms.p50 < MAX_RATIO);
     Ok(())
 }
 
-/// Four engines of four slots with a replica each.
-async fn small_site(extra: &str) -> anyhow::Result<Site> {
+/// Starts a site of four engines with four slots, and loads a replica on each engine.
+async fn start_small_site(extra: &str) -> anyhow::Result<Site> {
     let plan = Plan {
         daemons: 3,
         engines: 4,
@@ -316,7 +327,7 @@
     };
     let site = Site::start(plan).await?;
     for _ in 0..10 {
-        let mut warm = offered(&site, "t", 300.0, 1);
+        let mut warm = load_options(&site, "t", 300.0, 1);
         warm.deadline_ms = 4_000;
         warm.count = 450;
         load::run(&warm).await?;
@@ -327,9 +338,9 @@
     anyhow::bail!("only {} replicas under load", site.loads("m0").await?)
 }
 
-/// A load of one tenant on all daemons; some seconds long.
-fn offered(site: &Site, tenant: &str, rate: f64, seed: u64) -> load::Options {
-    let seconds = runs(3, 16) as f64 / 2.0;
+/// Returns the options for requests of one tenant to all daemons, for 1.5 s or, in a long run, 8 s.
+fn load_options(site: &Site, tenant: &str, rate: f64, seed: u64) -> load::Options {
+    let seconds = choose_count(3, 16) as f64 / 2.0;
     load::Options {
         targets: site
             .daemons
@@ -347,12 +358,12 @@
     }
 }
 
-/// Served in a second of arrivals.
+/// Returns the number of served requests per second of arrivals.
 fn goodput(class: &load::Class, rate: f64) -> f64 {
     class.served as f64 * rate / class.sent as f64
 }
 
-/// Final answers so far by their code, of all daemons.
+/// Returns the number of final answers of all daemons by their code.
 async fn outcomes(site: &Site) -> anyhow::Result<BTreeMap<String, u64>> {
     let mut outcomes = BTreeMap::new();
     for daemon in &site.daemons {
@@ -376,31 +387,33 @@
     Ok(outcomes)
 }
 
-/// Callers send up to ten times what the engines can do. Were requests taken in that can't be answered in
-/// time, the engines would work for callers who have given up, and the more came the fewer would be served.
+/// Callers send up to ten times the capacity of the engines. If the daemons admitted requests that can't be
+/// answered before their deadline, the engines would work for callers that have given up, and goodput would
+/// fall as load rises.
 #[tokio::test(flavor = "multi_thread")]
 async fn goodput_against_offered_load() -> anyhow::Result<()> {
-    const LEAST_SHARE: f64 = 0.5;
-    let site = small_site("").await?;
-    // What the engines do without a queue: sixteen slots, ten pieces of 20 ms each when all are in use.
+    const MIN_SHARE: f64 = 0.5;
+    let site = start_small_site("").await?;
+    // The capacity of sixteen slots. An answer has ten events, each of which takes 20 ms when all slots are
+    // in use.
     let capacity = 16.0 / 0.2;
     let mut rows = Vec::new();
     let mut bad = Vec::new();
     for (seed, share) in [0.5, 1.0, 2.0, 4.0, 10.0].into_iter().enumerate() {
         let rate = capacity * share;
         let before = site.engine_counts().await?;
-        let report = load::run(&offered(&site, "t", rate, 10 + seed as u64)).await?;
+        let report = load::run(&load_options(&site, "t", rate, 10 + seed as u64)).await?;
         let after = site.engine_counts().await?;
         let starts = before.iter().zip(&after);
         let starts: Vec<f64> = starts
             .map(|(before, after)| (after.runs.len() - before.runs.len()) as f64)
             .collect();
         let mean = starts.iter().sum::<f64>() / starts.len() as f64;
-        let most = starts.iter().copied().fold(0.0, f64::max);
+        let max_starts = starts.iter().copied().fold(0.0, f64::max);
         let total = report.total.clone();
         println!(
-            "offered {share} times ({rate:.0}/s): goodput {:.1}/s, sent {}, served {}, refused {:?}, late {}, \
-             wrong {:?}, broken {:?}, unanswered {:?}, 99 in 100 in {:.0} ms; busiest engine {:.2} times the mean",
+            "offered {share} times the capacity ({rate:.0}/s): goodput {:.1}/s, sent {}, served {}, refused {:?}, late {}, \
+             wrong {:?}, broken {:?}, unanswered {:?}, p99 {:.0} ms; busiest engine {:.2} times the mean",
             goodput(&total, rate),
             total.sent,
             total.served,
@@ -410,7 +423,7 @@
             total.broken,
             total.unanswered,
             total.whole_ms.p99,
-            most / mean
+            max_starts / mean
         );
         if !report.is_clean() {
             bad.push((share, total.clone()));
@@ -418,7 +431,7 @@
         rows.push((share, rate, total));
     }
     println!(
-        "final answers as the daemons count them: {:?}",
+        "final answers counted by the daemons: {:?}",
         outcomes(&site).await?
     );
     let best = rows
@@ -426,10 +439,10 @@
         .map(|(_, rate, total)| goodput(total, *rate))
         .fold(0.0, f64::max);
     for (share, rate, total) in &rows {
-        let needless = rate.min(best) - goodput(total, *rate);
+        let refused_needlessly = rate.min(best) - goodput(total, *rate);
         println!(
-            "offered {share} times: {:.1} in a hundred requests refused though there was room",
-            100.0 * needless.max(0.0) / rate
+            "offered {share} times the capacity: {:.1} % of requests refused despite free capacity",
+            100.0 * refused_needlessly.max(0.0) / rate
         );
     }
     assert!(bad.is_empty(), "late or wrong answers: {bad:?}");
@@ -438,25 +451,26 @@
         .map(|(_, rate, total)| goodput(total, *rate))
         .fold(best, f64::min);
     assert!(
-        least >= LEAST_SHARE * best,
+        least >= MIN_SHARE * best,
         "goodput falls from {best:.1}/s to {least:.1}/s"
     );
     Ok(())
 }
 
-/// One tenant sends five times what the engines can do, the other a quarter of it. Were they served in the
-/// order of arrival, the second would lose four in five of its requests to the first one's burst.
+/// One tenant sends five times the capacity of the engines, another sends a quarter of the capacity. If
+/// requests were served in the order of arrival, the second tenant would lose four in five of its requests to
+/// the burst of the first.
 #[tokio::test(flavor = "multi_thread")]
 async fn fairness_of_two_tenants() -> anyhow::Result<()> {
-    const LEAST_SHARE: f64 = 0.8;
-    let site = small_site("\n[tenant u]\nin_flight = 3000\n").await?;
+    const MIN_SHARE: f64 = 0.8;
+    let site = start_small_site("\n[tenant u]\nin_flight = 3000\n").await?;
     let capacity = 16.0 / 0.2;
-    let alone = load::run(&offered(&site, "u", capacity / 4.0, 20))
+    let alone = load::run(&load_options(&site, "u", capacity / 4.0, 20))
         .await?
         .total;
     let (burst, quiet) = (
-        offered(&site, "t", capacity * 5.0, 21),
-        offered(&site, "u", capacity / 4.0, 22),
+        load_options(&site, "t", capacity * 5.0, 21),
+        load_options(&site, "u", capacity / 4.0, 22),
     );
     let (burst, quiet) = tokio::join!(load::run(&burst), load::run(&quiet));
     let (burst, quiet) = (burst?.total, quiet?.total);
@@ -466,7 +480,7 @@
         ("quiet", &quiet),
     ] {
         println!(
-            "{who}: sent {}, served {} ({:.0} in a hundred), refused {:?}, late {}, median {:.0} ms, 99 in 100 \
+            "{who}: sent {}, served {} ({:.0} %), refused {:?}, late {}, median {:.0} ms, p99 \
              {:.0} ms",
             class.sent,
             class.served,
@@ -479,17 +493,17 @@
     }
     let share = |class: &load::Class| class.served as f64 / class.sent as f64;
     println!(
-        "share of its own requests served: quiet {:.2}, burst {:.2}",
+        "share of requests served: quiet {:.2}, burst {:.2}",
         share(&quiet),
         share(&burst)
     );
     assert_eq!(burst.late + quiet.late, 0);
-    // A quarter of the capacity is half of its part, so next to nothing of it has to wait for the other. The
-    // short run's thirty requests are too few to tell on a busy machine; `limits` holds a higher share in
-    // virtual time.
+    // The quiet tenant uses half of its fair share, so almost none of its requests have to wait for the other
+    // tenant. The thirty requests of a short run are too few for a reliable result on a busy machine. The
+    // `limits` test asserts a higher share in virtual time.
     if env::var_os("FIREFLYWHEEL_LONG").is_some() {
         assert!(
-            share(&quiet) >= LEAST_SHARE * share(&alone),
+            share(&quiet) >= MIN_SHARE * share(&alone),
             "{quiet:?} {burst:?}"
         );
     }
@@ -498,7 +512,7 @@
 
 // ---- Idle instances ----
 
-/// Bytes of frames that a daemon has received and sent.
+/// Returns the size of all frames that a daemon has received and sent, in bytes.
 async fn frame_bytes(site: &Site, daemon: &Child) -> anyhow::Result<u64> {
     let text = site
         .client
@@ -511,8 +525,8 @@
     Ok(bytes.sum::<f64>() as u64)
 }
 
-/// Daemons with the usual times of the settings, whose ways to log, list and engines are metered.
-async fn metered_daemons(
+/// Starts daemons with the default timing settings whose connections to the log and the list are metered.
+async fn start_metered_daemons(
     site: &mut Site,
     count: usize,
     log: &Meter,
@@ -525,7 +539,7 @@
     fs::create_dir_all(&files)?;
     let key = files.join("key");
     fs::write(&key, "a key of the tests, not a secret")?;
-    for place in 0..count {
+    for index in 0..count {
         let seeds: Vec<String> = site
             .daemons
             .iter()
@@ -537,14 +551,14 @@
             seeds => format!("seeds = {}\n", seeds.join(", ")),
         };
         let settings = format!(
-            "[instance]\nname = i{place}\nfailure_domain = fd1\n\n[listen]\ncaller = 127.0.0.1:0\n\
+            "[instance]\nname = i{index}\nfailure_domain = fd1\n\n[listen]\ncaller = 127.0.0.1:0\n\
              peer = 127.0.0.1:0\noperator = 127.0.0.1:0\n\n[platform]\nlog = http://{}\nlist = http://{}\n\n\
              [peers]\nkey_file = {}\n{seeds}",
             log.address,
             list.address,
             key.display()
         );
-        let file = files.join(format!("{count}-{place}.ini"));
+        let file = files.join(format!("{count}-{index}.ini"));
         fs::write(&file, settings)?;
         let daemon = Child::start(
             "fireflywheeld",
@@ -552,10 +566,10 @@
         )
         .await?;
         let entry = serde_json::json!({
-            "name": format!("i{place}"), "address": daemon.address("peer").to_string(),
+            "name": format!("i{index}"), "address": daemon.address("peer").to_string(),
             "kind": "router", "group": "", "failure_domain": "fd1", "state": "live",
         });
-        let url = format!("{}/v1/instances/i{place}", site.list.base("listening"));
+        let url = format!("{}/v1/instances/i{index}", site.list.base("listening"));
         site.client.put(&url, entry.to_string()).await?;
         site.daemons.push(daemon);
     }
@@ -563,9 +577,9 @@
     Ok(())
 }
 
-/// What instances cost while nothing happens: processor time, memory, and bytes to peers, log, list and
-/// engines. If it grew with the fleet, the fleet could not grow.
-async fn idle_cost(count: usize) -> anyhow::Result<f64> {
+/// Measures the cost of idle instances: processor time, memory, and bytes to peers, log, list and engines.
+/// The cost per instance must not grow with the fleet, or it would limit the size of the fleet.
+async fn measure_idle_cost(count: usize) -> anyhow::Result<f64> {
     const ENGINES: usize = 12;
     let plan = Plan {
         daemons: 0,
@@ -577,24 +591,24 @@
     let log = Meter::start(site.log.address("listening")).await?;
     let list = Meter::start(site.list.address("listening")).await?;
     let mut reports = Vec::new();
-    for place in 0..ENGINES {
-        let meter = Meter::start(site.engines[place].address("listening")).await?;
+    for index in 0..ENGINES {
+        let meter = Meter::start(site.engines[index].address("listening")).await?;
         let address = meter.address.to_string();
-        site.set_listed(&format!("engine-{place}"), "g", &address, "live")
+        site.set_listed(&format!("engine-{index}"), "g", &address, "live")
             .await?;
         reports.push(meter);
     }
-    metered_daemons(&mut site, count, &log, &list).await?;
+    start_metered_daemons(&mut site, count, &log, &list).await?;
     site.publish(0, &site.plan.document(1)).await?;
     site.wait_ready().await;
-    // Links and lists have settled.
+    // After this delay the links are established and the lists have been read.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let reported = || reports.iter().map(Meter::bytes).sum::<u64>();
     let frames = all_frame_bytes(&site).await?;
     let processor: u64 = site.daemons.iter().map(processor_ms).sum();
     let (start, log_bytes, list_bytes, report_bytes) =
         (Instant::now(), log.bytes(), list.bytes(), reported());
-    tokio::time::sleep(Duration::from_secs(runs(4, 20))).await;
+    tokio::time::sleep(Duration::from_secs(choose_count(4, 20))).await;
     let each = start.elapsed().as_secs_f64() * count as f64;
     let processor = (site.daemons.iter().map(processor_ms).sum::<u64>() - processor) as f64 / each;
     let log_bytes = (log.bytes() - log_bytes) as f64 / each;
@@ -603,8 +617,8 @@
     let peer_bytes = (all_frame_bytes(&site).await? - frames) as f64 / each;
     let resident: u64 = site.daemons.iter().map(resident_kb).sum();
     println!(
-        "idle, {count} instances, {ENGINES} engines: each {:.2} in a hundred of a core; bytes a second both \
-         ways: peers {peer_bytes:.0}, log {log_bytes:.0}, list {list_bytes:.0}, reports {report_bytes:.0}, all \
+        "idle, {count} instances, {ENGINES} engines: each {:.2} % of a core; bytes per second in both \
+         directions: peers {peer_bytes:.0}, log {log_bytes:.0}, list {list_bytes:.0}, reports {report_bytes:.0}, total \
          {:.0}; resident {} KB",
         processor / 10.0,
         peer_bytes + log_bytes + list_bytes + report_bytes,
@@ -617,10 +631,10 @@
     ($($name:ident: $count:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread")]
         async fn $name() -> anyhow::Result<()> {
-            // Sixteen neighbours at most, each pinged and answered some times a second.
-            const PEER_BYTES_LIMIT: f64 = 22_000.0;
-            let peer_bytes = idle_cost($count).await?;
-            assert!(peer_bytes < PEER_BYTES_LIMIT, "{peer_bytes} bytes a second");
+            // A daemon has at most sixteen neighbours and exchanges a few pings per second with each.
+            const MAX_PEER_BYTES: f64 = 22_000.0;
+            let peer_bytes = measure_idle_cost($count).await?;
+            assert!(peer_bytes < MAX_PEER_BYTES, "{peer_bytes} bytes per second");
             Ok(())
         }
     )*};
--- a/crates/fireflywheel_daemon/tests/measures/meter.rs
+++ b/crates/fireflywheel_daemon/tests/measures/meter.rs
@@ -1,4 +1,4 @@
-//! What a process and a way to a server use, read from outside.
+//! Measures the processor time and memory of a process, and the bytes on the connections to a server.
 #![allow(missing_docs, reason = "a part of one test")]
 
 use std::{
@@ -15,7 +15,7 @@
     net::{TcpListener, TcpStream, tcp},
 };
 
-/// A way to a server that counts what goes over it.
+/// A TCP relay to a server that counts the bytes in both directions.
 pub struct Meter {
     pub address: std::net::SocketAddr,
     bytes: Arc<AtomicU64>,
@@ -42,12 +42,16 @@
         };
         let (from_read, from_write) = from.into_split();
         let (to_read, to_write) = to.into_split();
-        tokio::spawn(pass(from_read, to_write, Arc::clone(&bytes)));
-        tokio::spawn(pass(to_read, from_write, Arc::clone(&bytes)));
+        tokio::spawn(copy_and_count(from_read, to_write, Arc::clone(&bytes)));
+        tokio::spawn(copy_and_count(to_read, from_write, Arc::clone(&bytes)));
     }
 }
 
-async fn pass(mut from: tcp::OwnedReadHalf, mut to: tcp::OwnedWriteHalf, bytes: Arc<AtomicU64>) {
+async fn copy_and_count(
+    mut from: tcp::OwnedReadHalf,
+    mut to: tcp::OwnedWriteHalf,
+    bytes: Arc<AtomicU64>,
+) {
     let mut buffer = vec![0; 16 << 10];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
         bytes.fetch_add(count as u64, Ordering::Relaxed);
@@ -57,21 +61,22 @@
     }
 }
 
-/// Processor time of a process so far, in milliseconds.
+/// Returns the processor time that a process has used, in milliseconds.
 pub fn processor_ms(child: &Child) -> u64 {
     const TICK_MS: u64 = 10;
     let text = fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
-    // The name in parentheses may hold spaces.
-    let after = text.rsplit(')').next().unwrap_or_default();
-    let fields: Vec<&str> = after.split_whitespace().collect();
-    let ticks = |place: usize| {
+    // The process name in parentheses may contain spaces.
+    let after_name = text.rsplit(')').next().unwrap_or_default();
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
+    let ticks = |index: usize| {
         fields
-            .get(place)
+            .get(index)
             .and_then(|field| field.parse::<u64>().ok())
     };
     (ticks(11).unwrap_or(0) + ticks(12).unwrap_or(0)) * TICK_MS
 }
 
+/// Returns the resident memory of a process, in KB.
 pub fn resident_kb(child: &Child) -> u64 {
     let text = fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/fireflywheel_daemon/tests/site/mod.rs
+++ b/crates/fireflywheel_daemon/tests/site/mod.rs
@@ -1,5 +1,5 @@
-//! A whole site on loopback, each part a process of its own: the platform's stand-ins, engines, plain
-//! services and daemons. Only the test runner starts processes.
+//! A complete deployment on loopback. The platform's stand-ins, engines, plain services and daemons are
+//! separate processes, which only the test runner starts.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part")]
 
 pub mod relay;
@@ -10,11 +10,11 @@
 use fireflywheel_standin::{client::Client, engine, fault, list, process::Child, service};
 use serde_json::json;
 
-/// How long a test waits for something that must come; only a failing test waits so long.
+/// Time limit for a condition that must become true. Only a failing test waits this long.
 pub const GUARD: Duration = Duration::from_secs(30);
 
-/// Between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 pub struct Site {
     pub log: Child,
@@ -25,12 +25,12 @@
     pub daemons: Vec<Child>,
     pub client: Client,
     pub plan: Plan,
-    /// Ways to the log that can be cut, by the daemon's place.
+    /// The relays between daemons and the log, by the index of the daemon.
     pub relays: std::collections::BTreeMap<usize, relay::Relay>,
     files: path::PathBuf,
 }
 
-/// What a site is made of.
+/// The configuration of a site.
 #[derive(Clone)]
 pub struct Plan {
     pub daemons: usize,
@@ -46,7 +46,7 @@
     pub model_mb: u64,
     pub models: usize,
     pub cap: u32,
-    /// Daemons that reach the log over a way that can be cut.
+    /// The indices of the daemons that reach the log over a relay.
     pub relayed: Vec<usize>,
     pub settings: String,
     pub extra: String,
@@ -75,7 +75,7 @@
 }
 
 impl Plan {
-    /// The serving configuration.
+    /// Returns the serving document, with `cap` replicas at most for each model.
     pub fn document(&self, cap: u32) -> String {
         let mut text = format!(
             "[serving]\ncold_start_weight = 1\n\n\
@@ -93,7 +93,7 @@
                 "\n[model m{model}]\ngroup = g\nversion = 1\nmemory_mb = {}\nreplicas = {cap}\nload_ms = {}\nservice_ms = 20\n",
                 self.model_mb, self.load_ms
             )
-            .expect("a string takes text");
+            .expect("writing to a string does not fail");
         }
         text.push_str(&self.extra);
         text
@@ -101,7 +101,7 @@
 }
 
 impl Site {
-    /// Starts everything, publishes the plan's document and waits until all daemons are ready.
+    /// Starts all processes, publishes the plan's document and waits until all daemons are ready.
     pub async fn start(plan: Plan) -> anyhow::Result<Self> {
         let site = Self::start_unpublished(plan).await?;
         site.publish(0, &site.plan.document(site.plan.cap)).await?;
@@ -109,8 +109,9 @@
         Ok(site)
     }
 
+    /// Starts all processes without publishing a document.
     pub async fn start_unpublished(plan: Plan) -> anyhow::Result<Self> {
-        let files = scratch()?;
+        let files = create_temp_dir()?;
         fs::write(files.join("key"), "a key of the tests, not a secret")?;
         let log = Child::start("fireflywheel_standin", ["log"]).await?;
         let list = Child::start("fireflywheel_standin", ["list"]).await?;
@@ -127,28 +128,28 @@
             plan,
             relays: std::collections::BTreeMap::new(),
         };
-        for place in site.plan.relayed.clone() {
+        for index in site.plan.relayed.clone() {
             let relay = relay::Relay::start(site.log.address("listening")).await?;
-            site.relays.insert(place, relay);
+            site.relays.insert(index, relay);
         }
         for _ in 0..site.plan.engines {
             site.add_engine().await?;
         }
-        for place in 0..site.plan.services {
+        for index in 0..site.plan.services {
             let service = Child::start("fireflywheel_standin", ["service"]).await?;
-            site.list_backend(&format!("desk-{place}"), "desk", &service)
+            site.list_backend(&format!("desk-{index}"), "desk", &service)
                 .await?;
             site.services.push(service);
         }
-        for place in 0..site.plan.daemons {
-            let daemon = site.start_daemon(place).await?;
+        for index in 0..site.plan.daemons {
+            let daemon = site.start_daemon(index).await?;
             site.daemons.push(daemon);
         }
         Ok(site)
     }
 
     pub async fn add_engine(&mut self) -> anyhow::Result<()> {
-        let place = self.engines.len();
+        let index = self.engines.len();
         let plan = &self.plan;
         let args = [
             "engine".to_owned(),
@@ -162,7 +163,7 @@
             },
         ];
         let engine = Child::start("fireflywheel_standin", args).await?;
-        self.list_backend(&format!("engine-{place}"), "g", &engine)
+        self.list_backend(&format!("engine-{index}"), "g", &engine)
             .await?;
         self.engines.push(engine);
         Ok(())
@@ -189,15 +190,16 @@
         Ok(())
     }
 
-    fn log_of(&self, place: usize) -> String {
-        match self.relays.get(&place) {
+    fn log_url(&self, index: usize) -> String {
+        match self.relays.get(&index) {
             Some(relay) => format!("http://{}", relay.address),
             None => self.log.base("listening"),
         }
     }
 
-    /// A daemon that finds the others through the list, in which it is entered.
-    pub async fn start_daemon(&self, place: usize) -> anyhow::Result<Child> {
+    /// Starts a daemon and enters it in the list of instances. It finds its peers through the list, and
+    /// through the first two daemons as seeds.
+    pub async fn start_daemon(&self, index: usize) -> anyhow::Result<Child> {
         let seeds: Vec<String> = self
             .daemons
             .iter()
@@ -205,13 +207,13 @@
             .map(|daemon| daemon.address("peer").to_string())
             .collect();
         let settings = format!(
-            "[instance]\nname = i{place}\nfailure_domain = fd1\n\n\
+            "[instance]\nname = i{index}\nfailure_domain = fd1\n\n\
              [listen]\ncaller = 127.0.0.1:0\npeer = 127.0.0.1:0\noperator = 127.0.0.1:0\n\n\
              [platform]\nlog = {}\nlist = {}\n\n\
              [peers]\nkey_file = {}\n{}\n\
              [timing]\nping_ms = 100\nsuspect_ms = 400\ndead_ms = 600\nlist_ms = 100\nreport_ms = 100\n\
              drain_delay_ms = 200\ndrain_limit_ms = 20000\ngone_after_s = 2\n{}",
-            self.log_of(place),
+            self.log_url(index),
             self.list.base("listening"),
             self.files.join("key").display(),
             if seeds.is_empty() {
@@ -221,7 +223,7 @@
             },
             self.plan.settings,
         );
-        let file = self.files.join(format!("i{place}.ini"));
+        let file = self.files.join(format!("i{index}.ini"));
         fs::write(&file, settings)?;
         let daemon = Child::start(
             "fireflywheeld",
@@ -229,15 +231,15 @@
         )
         .await?;
         let entry = json!({
-            "name": format!("i{place}"), "address": daemon.address("peer").to_string(),
+            "name": format!("i{index}"), "address": daemon.address("peer").to_string(),
             "kind": "router", "group": "", "failure_domain": "fd1", "state": "live",
         });
-        let url = format!("{}/v1/instances/i{place}", self.list.base("listening"));
+        let url = format!("{}/v1/instances/i{index}", self.list.base("listening"));
         self.client.put(&url, entry.to_string()).await?;
         Ok(daemon)
     }
 
-    /// Appends a document as an operator does; gives its version if the log took it.
+    /// Appends a document as an operator does. Returns the version that it gets if it is accepted.
     pub async fn publish(&self, base: u64, text: &str) -> anyhow::Result<u64> {
         let record = record::Record {
             rule: record::RULES_VERSION,
@@ -263,7 +265,7 @@
 
     pub async fn wait_ready(&self) {
         for daemon in &self.daemons {
-            self.wait_for("ready", || async {
+            self.wait_for("a daemon to be ready", || async {
                 let url = format!("{}/readyz", daemon.base("operator"));
                 self.client
                     .get(&url)
@@ -276,7 +278,7 @@
             .await;
     }
 
-    /// Looks until something holds.
+    /// Polls a condition until it is true. Panics with the state and the logs of the daemons after [`GUARD`].
     pub async fn wait_for<F, R>(&self, what: &str, mut holds: F)
     where
         F: FnMut() -> R,
@@ -284,29 +286,30 @@
     {
         let wait = async {
             while !holds().await {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         if tokio::time::timeout(GUARD, wait).await.is_err() {
             let mut logs = String::new();
-            for place in 0..self.daemons.len() {
-                let status = tokio::time::timeout(Duration::from_secs(1), self.status(place)).await;
-                let wrote = self.daemons[place].stderr();
-                write!(logs, "-- {place}: {status:?}\n{wrote}").expect("a string takes text");
+            for index in 0..self.daemons.len() {
+                let status = tokio::time::timeout(Duration::from_secs(1), self.status(index)).await;
+                let stderr = self.daemons[index].stderr();
+                write!(logs, "-- {index}: {status:?}\n{stderr}")
+                    .expect("writing to a string does not fail");
             }
-            panic!("waited in vain for {what}; the daemons:\n{logs}");
+            panic!("timed out waiting for {what}; the daemons:\n{logs}");
         }
     }
 
-    pub async fn status(&self, place: usize) -> anyhow::Result<status::Status> {
-        let url = format!("{}/v1/status", self.daemons[place].base("operator"));
+    pub async fn status(&self, index: usize) -> anyhow::Result<status::Status> {
+        let url = format!("{}/v1/status", self.daemons[index].base("operator"));
         self.client.get(&url).await?.json()
     }
 
-    /// The place of the daemon that serves group `g`, by the first that answers.
+    /// Returns the index of the steward of group `g`, as reported by the first daemon that answers.
     pub async fn steward(&self) -> Option<usize> {
-        for place in 0..self.daemons.len() {
-            let Ok(status) = self.status(place).await else {
+        for index in 0..self.daemons.len() {
+            let Ok(status) = self.status(index).await else {
                 continue;
             };
             let holder = status
@@ -318,13 +321,13 @@
         None
     }
 
-    pub fn caller(&self, place: usize) -> String {
-        self.daemons[place].base("caller")
+    pub fn caller(&self, index: usize) -> String {
+        self.daemons[index].base("caller")
     }
 
-    /// A chat request with its own text; `Ok` when the answer is whole and its own.
-    pub async fn ask(&self, place: usize, model: &str, text: &str) -> Result<(), Refused> {
-        let url = format!("{}/v1/chat/completions", self.caller(place));
+    /// Sends a chat request. Returns `Ok` if the answer is complete and belongs to this request.
+    pub async fn ask(&self, index: usize, model: &str, text: &str) -> Result<(), Refused> {
+        let url = format!("{}/v1/chat/completions", self.caller(index));
         let body = json!({
             "model": model, "max_tokens": 8,
             "messages": [{"role": "user", "content": text}],
@@ -340,14 +343,14 @@
         let content = value["choices"][0]["message"]["content"]
             .as_str()
             .unwrap_or_default();
-        let named = answer
+        let has_own_id = answer
             .header("x-request-id")
             .is_some_and(|id| value["id"] == id);
-        if named && content == engine::content(text, 8) {
+        if has_own_id && content == engine::content(text, 8) {
             return Ok(());
         }
         Err(Refused::broken(&format!(
-            "another's answer or a short one: {value}"
+            "answer of another request or truncated answer: {value}"
         )))
     }
 
@@ -359,13 +362,13 @@
         Ok(all)
     }
 
-    pub async fn service_counts(&self, place: usize) -> anyhow::Result<service::Counts> {
+    pub async fn service_counts(&self, index: usize) -> anyhow::Result<service::Counts> {
         self.client
-            .counts(&self.services[place].base("listening"))
+            .counts(&self.services[index].base("listening"))
             .await
     }
 
-    /// The most replicas of a model at one moment, and the most memory on one engine.
+    /// Returns the peak number of concurrent replicas of a model, and the peak memory in MB on one engine.
     pub async fn peaks(&self, model: &str) -> anyhow::Result<(usize, u64)> {
         let counts = self.engine_counts().await?;
         let histories = counts.iter().map(|counts| counts.history.as_slice());
@@ -378,7 +381,7 @@
         Ok((replicas, memory))
     }
 
-    /// Loads of a model that began, over all engines.
+    /// Returns the number of loads of a model that were started on all engines.
     pub async fn loads(&self, model: &str) -> anyhow::Result<u64> {
         let counts = self.engine_counts().await?;
         let loads = counts.iter().flat_map(|counts| &counts.loads);
@@ -392,7 +395,8 @@
             .await
     }
 
-    /// Checks what must hold at every moment, by the engines' own histories.
+    /// Checks in the histories of the engines that no model ever exceeded `cap` replicas and no engine its
+    /// memory.
     pub async fn hold(&self, cap: usize) -> anyhow::Result<()> {
         for model in 0..self.plan.models {
             let (replicas, memory) = self.peaks(&format!("m{model}")).await?;
@@ -409,12 +413,12 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // Left behind, it would only take space.
+        // A directory that can't be removed only takes up space.
         let _ = fs::remove_dir_all(&self.files);
     }
 }
 
-/// A request that got no whole answer.
+/// The result of a request that did not get a complete answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refused {
     pub status: u16,
@@ -446,7 +450,7 @@
     }
 }
 
-fn scratch() -> anyhow::Result<path::PathBuf> {
+fn create_temp_dir() -> anyhow::Result<path::PathBuf> {
     let mut random = [0; 8];
     std::io::Read::read_exact(&mut fs::File::open("/dev/urandom")?, &mut random)?;
     let name = format!("fireflywheel-{:x}", u64::from_ne_bytes(random));
@@ -455,5 +459,5 @@
     Ok(files)
 }
 
-/// Entries of the list, for tests that change it.
+/// An entry of the list of instances, for tests that change the list.
 pub type Listed = list::Instance;
--- a/crates/fireflywheel_daemon/tests/site/relay.rs
+++ b/crates/fireflywheel_daemon/tests/site/relay.rs
@@ -1,4 +1,4 @@
-//! A way to a server that can be cut: what a test puts between one daemon and the log.
+//! A TCP relay that a test places between one daemon and the log, and that can be cut.
 
 use std::net::SocketAddr;
 
@@ -16,12 +16,13 @@
     pub async fn start(target: SocketAddr) -> anyhow::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (cut, watched) = watch::channel(false);
-        tokio::spawn(serve(listener, target, watched));
+        let (cut, receiver) = watch::channel(false);
+        tokio::spawn(serve(listener, target, receiver));
         Ok(Self { address, cut })
     }
 
-    /// Ends all connections and lets no new one through, or lets them through again.
+    /// If `cut` is true, closes all connections, and new ones as soon as they are accepted. Otherwise relays
+    /// new connections again.
     pub fn set_cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
@@ -35,14 +36,14 @@
         }
         tokio::spawn(async move {
             tokio::select! {
-                _ = pass(from, target) => {}
+                _ = copy_both_ways(from, target) => {}
                 _ = cut.wait_for(|cut| *cut) => {}
             }
         });
     }
 }
 
-async fn pass(mut from: TcpStream, target: SocketAddr) -> std::io::Result<()> {
+async fn copy_both_ways(mut from: TcpStream, target: SocketAddr) -> std::io::Result<()> {
     let mut to = TcpStream::connect(target).await?;
     tokio::io::copy_bidirectional(&mut from, &mut to).await?;
     Ok(())
