--- a/crates/fireflywheel/src/fleet/backoff.rs
+++ b/crates/fireflywheel/src/fleet/backoff.rs
@@ -30,7 +30,12 @@
     /// Returns how long a caller has to wait, or zero if it may call now. While the store fails, one caller
     /// at a time may call: the next may after another delay, or as soon as that call has succeeded.
     /// `max_delay` is the longest delay.
-    pub fn claim(&mut self, now: clock::Instant, max_delay: Duration, draw: f64) -> Duration {
+    pub fn reserve_call(
+        &mut self,
+        now: clock::Instant,
+        max_delay: Duration,
+        draw: f64,
+    ) -> Duration {
         if self.failures == 0 {
             return Duration::ZERO;
         }
@@ -55,7 +60,7 @@
     /// the read doesn't wait: a silent store would hold it up for that wait in addition to the call's
     /// time-out, and a configuration accepted as soon as the store is back would take effect too late.
     #[must_use]
-    pub fn wait(&self, usual: Duration) -> Duration {
+    pub fn long_poll_wait(&self, usual: Duration) -> Duration {
         if self.failures == 0 {
             usual
         } else {
--- a/crates/fireflywheel/src/fleet/config.rs
+++ b/crates/fireflywheel/src/fleet/config.rs
@@ -37,12 +37,14 @@
     /// The longest time that a caller waits for a response.
     pub timeout: Duration,
     /// The target time for a response, or for the first event of a stream.
-    pub objective: Duration,
+    #[serde(rename = "objective")]
+    pub latency_objective: Duration,
     /// The target for the longest gap between events of a stream; `None` for routes without one.
     #[serde(rename = "pause")]
     pub max_event_gap: Option<Duration>,
     /// The priority of the route's requests; 0 is the most urgent.
-    pub rank: u8,
+    #[serde(rename = "rank")]
+    pub priority: u8,
     /// Groups that serve the route, by weight.
     pub targets: Vec<Target>,
     /// The largest number of backend servers that one request may be sent to.
@@ -139,9 +141,11 @@
     /// The largest body, in bytes.
     pub body_bytes: usize,
     /// The longest time that a caller may take to send a header.
-    pub header_time: Duration,
+    #[serde(rename = "header_time")]
+    pub header_timeout: Duration,
     /// The longest time that a connection may be idle.
-    pub idle: Duration,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -150,8 +154,8 @@
         Self {
             header_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            header_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/fireflywheel/src/fleet/demand.rs
+++ b/crates/fireflywheel/src/fleet/demand.rs
@@ -36,7 +36,8 @@
     /// Whether the instance is stopping and can't become steward.
     pub leaving: bool,
     /// The engines that didn't hold what the steward had reported of them.
-    pub denied: Vec<SmolStr>,
+    #[serde(rename = "denied")]
+    pub servers_to_check: Vec<SmolStr>,
     /// The models whose engines the instance wants updates for.
     #[serde(default, rename = "asks")]
     pub subscriptions: Vec<SmolStr>,
@@ -47,11 +48,11 @@
     #[serde(default)]
     pub era: Option<Era>,
     /// The limits that servers' answers have reported since the last report.
-    #[serde(default)]
-    pub limits: Vec<limit::Notice>,
+    #[serde(default, rename = "limits")]
+    pub limit_notices: Vec<limit::Notice>,
     /// The requests that wait for permits and have not been reported to the steward yet.
-    #[serde(default)]
-    pub permits: Vec<limit::Request>,
+    #[serde(default, rename = "permits")]
+    pub permit_requests: Vec<limit::Request>,
     /// The version of the configuration in force at the instance, 0 for none. It is absent from releases in
     /// which each instance reads all configurations for itself.
     #[serde(default)]
--- a/crates/fireflywheel/src/fleet/frame.rs
+++ b/crates/fireflywheel/src/fleet/frame.rs
@@ -73,8 +73,8 @@
         /// would appear fresh.
         stamp_ms: u64,
         /// Standbys are to read the store themselves, so that one that the store answers can take over.
-        #[serde(default)]
-        standbys_read: bool,
+        #[serde(default, rename = "standbys_read")]
+        standbys_must_read: bool,
     },
     /// The newest configuration that the sender knows, to a receiver with an older one. Instances that the
     /// store does not answer get the configuration this way.
@@ -111,14 +111,14 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Holdings {
     /// Engines, each with its complete holdings.
-    pub engines: Vec<Holding>,
+    pub engines: Vec<EngineHoldings>,
     /// Models to which the receiver subscribes and that no engine outside `engines` holds.
     pub complete: Vec<SmolStr>,
 }
 
 /// The holdings of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Holding {
+pub struct EngineHoldings {
     /// The engine's entry in the directory.
     pub entry: Entry,
     /// Models in memory, with their adapters.
@@ -134,7 +134,8 @@
     /// Entries that are new or have changed.
     pub entries: Vec<Entry>,
     /// Ids of entries that were removed.
-    pub gone: Vec<SmolStr>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<SmolStr>,
 }
 
 /// A backend server's entry in the directory, without its holdings.
@@ -147,13 +148,15 @@
     /// The address that the server listens on.
     pub address: SocketAddr,
     /// The server's failure domain.
-    pub domain: SmolStr,
+    #[serde(rename = "domain")]
+    pub failure_domain: SmolStr,
     /// The number of requests that the server runs at once.
     pub slots: u32,
     /// The server accepts new requests.
     pub ready: bool,
     /// The time until the server stops, in milliseconds; `None` if it has not announced a stop.
-    pub leaves_ms: Option<u32>,
+    #[serde(rename = "leaves_ms")]
+    pub stops_in_ms: Option<u32>,
     /// When the server started, in Unix milliseconds.
     #[serde(rename = "born")]
     pub started_ms: u64,
@@ -172,10 +175,10 @@
             id: server.id.clone(),
             group: server.group.clone(),
             address: server.address,
-            domain: server.domain.clone(),
+            failure_domain: server.failure_domain.clone(),
             slots: server.slots,
             ready: server.ready,
-            leaves_ms: server.leaves.map(left),
+            stops_in_ms: server.stops_at.map(left),
             started_ms: server.started_ms,
             revision: server.revision,
         }
@@ -184,17 +187,17 @@
     /// The server, received at `now`, without its holdings.
     #[must_use]
     pub fn server(self, now: clock::Instant) -> server::Server {
-        let leaves = self
-            .leaves_ms
+        let stops_at = self
+            .stops_in_ms
             .map(|left| now.after(Duration::from_millis(left.into())));
         server::Server {
             id: self.id,
             group: self.group,
             address: self.address,
-            domain: self.domain,
+            failure_domain: self.failure_domain,
             slots: self.slots,
             ready: self.ready,
-            leaves,
+            stops_at,
             started_ms: self.started_ms,
             revision: self.revision,
             held: server::Held::default(),
@@ -204,9 +207,9 @@
     /// Whether both entries are equal. The remaining time until a stop and the revision are ignored: the
     /// first counts down, and the second rises with each heartbeat.
     fn is_equivalent(&self, other: &Self) -> bool {
-        let same_leaving_state = self.leaves_ms.is_some() == other.leaves_ms.is_some();
+        let same_leaving_state = self.stops_in_ms.is_some() == other.stops_in_ms.is_some();
         let other = Self {
-            leaves_ms: self.leaves_ms,
+            stops_in_ms: self.stops_in_ms,
             revision: self.revision,
             ..other.clone()
         };
@@ -229,13 +232,13 @@
         let changes = Self {
             complete_groups: BTreeSet::new(),
             entries: after.values().filter(is_changed).cloned().collect(),
-            gone: before
+            removed: before
                 .keys()
                 .filter(|id| !after.contains_key(*id))
                 .cloned()
                 .collect(),
         };
-        (!changes.entries.is_empty() || !changes.gone.is_empty()).then_some(changes)
+        (!changes.entries.is_empty() || !changes.removed.is_empty()).then_some(changes)
     }
 }
 
@@ -247,13 +250,13 @@
         F: Fn(&SmolStr) -> bool,
     {
         let entries = self.entries.iter().filter(|entry| is_selected(&entry.id));
-        let gone = self.gone.iter().filter(|id| is_selected(id));
+        let removed = self.removed.iter().filter(|id| is_selected(id));
         let changes = Self {
             complete_groups: self.complete_groups.clone(),
             entries: entries.cloned().collect(),
-            gone: gone.cloned().collect(),
+            removed: removed.cloned().collect(),
         };
-        (!changes.entries.is_empty() || !changes.gone.is_empty()).then_some(changes)
+        (!changes.entries.is_empty() || !changes.removed.is_empty()).then_some(changes)
     }
 }
 
--- a/crates/fireflywheel/src/fleet/lease.rs
+++ b/crates/fireflywheel/src/fleet/lease.rs
@@ -287,7 +287,7 @@
     }
 
     /// Processes a reading that was requested at `requested_at`.
-    pub fn observe(&mut self, requested_at: clock::Instant, reading: Reading) {
+    pub fn record_reading(&mut self, requested_at: clock::Instant, reading: Reading) {
         let era = reading.end.era;
         if self.era.is_some_and(|known| era < known) {
             return;
@@ -496,7 +496,7 @@
     /// Processes the successful write of a proposal that was sent at `sent`. A renewal that succeeds after
     /// the lease was handed over does not return the lease, or two instances would act. A renewal that was
     /// meant for an earlier era matched an offset that was assigned again, and does not count.
-    pub fn accepted(&mut self, sent: clock::Instant, position: Position, record: &Record) {
+    pub fn record_accepted(&mut self, sent: clock::Instant, position: Position, record: &Record) {
         let held = self.held.map(|held| held.fencing);
         if record.fencing.is_some() && record.fencing != held {
             return;
@@ -520,25 +520,25 @@
     /// Processes a proposal that was refused because another record was written at its end. If that may be
     /// a late renewal by the predecessor that handed the lease over, only a reading of the record can show it,
     /// so the lease is kept. In another era the end says nothing.
-    pub fn refused(&mut self, end: Position) {
+    pub fn record_conflict(&mut self, end: Position) {
         if self.era != Some(end.era) {
             return;
         }
         if self.held.is_none_or(|held| held.predecessor.is_none()) {
-            self.lost();
+            self.mark_lost();
         }
     }
 
     /// Processes a proposal that was sent at `sent` and had no answer, or an answer that does not say
     /// whether another instance wrote.
-    pub fn unanswered(&mut self, sent: clock::Instant) {
+    pub fn record_unanswered(&mut self, sent: clock::Instant) {
         if let Some(held) = &mut self.held {
             held.unanswered_at = Some(sent);
         }
     }
 
     /// Drops the lease: another instance holds it, or a server has accepted orders of a later holder.
-    pub fn lost(&mut self) {
+    pub fn mark_lost(&mut self) {
         self.held = None;
         self.observation = None;
     }
@@ -583,7 +583,7 @@
     /// only once it is renewed, because the rest of the holder's term cannot be compared across clocks. In
     /// that case a lease handed over in an earlier era is void: others may have taken it before the store
     /// was restored.
-    pub fn receive(&mut self, now: clock::Instant, hand_over: HandOver) {
+    pub fn accept_hand_over(&mut self, now: clock::Instant, hand_over: HandOver) {
         self.enter_era(now, hand_over.end.era);
         if !self.fenced && self.era != Some(hand_over.end.era) {
             return;
@@ -620,7 +620,12 @@
     /// Processes a report that another instance acts as steward and that its record ends at `end`. If
     /// engines check fencing numbers, this holder may have continued past its term while the store refused
     /// its calls; a later end shows that the other instance took over. Returns whether it did.
-    pub fn overtaken(&mut self, now: clock::Instant, end: Position, holder: Record) -> bool {
+    pub fn observe_overtaking(
+        &mut self,
+        now: clock::Instant,
+        end: Position,
+        holder: Record,
+    ) -> bool {
         let is_later = |held: &Tenure| held.end.era == end.era && held.end.offset < end.offset;
         if !self.held.as_ref().is_some_and(is_later) {
             return false;
@@ -722,7 +727,7 @@
 
     /// How long until the next action is due; `None` while this instance must read the record first.
     #[must_use]
-    pub fn due(&self, now: clock::Instant) -> Option<Duration> {
+    pub fn next_action_in(&self, now: clock::Instant) -> Option<Duration> {
         let at = match (self.held, &self.observation) {
             (Some(held), _) => held
                 .renewed_at
--- a/crates/fireflywheel/src/fleet/limit.rs
+++ b/crates/fireflywheel/src/fleet/limit.rs
@@ -28,7 +28,8 @@
     /// The id of the server that the waiting request would go to.
     pub server: SmolStr,
     /// How long the waiting request can still wait, in milliseconds.
-    pub left_ms: u32,
+    #[serde(rename = "left_ms")]
+    pub max_wait_ms: u32,
 }
 
 /// The steward's answer to a [`Request`].
--- a/crates/fireflywheel/src/fleet/limit/gate.rs
+++ b/crates/fireflywheel/src/fleet/limit/gate.rs
@@ -44,7 +44,7 @@
     /// The number of instances that share the limit.
     pub instances: usize,
     /// There is a steward that grants permits.
-    pub steward: bool,
+    pub has_steward: bool,
 }
 
 /// A limit with the time at which it became known.
@@ -191,7 +191,7 @@
     /// asked; it is not if a request is already pending.
     pub fn request_permit(&mut self, view: View<'_>, left: Duration) -> bool {
         self.drop_expired(view.now);
-        let is_due = view.steward && self.is_limited() && !self.is_waiting(view.now);
+        let is_due = view.has_steward && self.is_limited() && !self.is_waiting(view.now);
         if is_due {
             self.pending_request = Some(Pending::Unsent(left));
         }
@@ -243,7 +243,7 @@
         self.pending_request = Some(Pending::Sent(now));
         Some(Request {
             server: server.clone(),
-            left_ms: frame::millis(left),
+            max_wait_ms: frame::millis(left),
         })
     }
 
@@ -276,7 +276,7 @@
             self.pending_request,
             Some(Pending::Sent(at)) if view.now.since(at) >= STEWARD_TIMEOUT
         );
-        !view.steward || timed_out
+        !view.has_steward || timed_out
     }
 
     fn drop_expired(&mut self, now: clock::Instant) {
--- a/crates/fireflywheel/src/fleet/limit/pacer.rs
+++ b/crates/fireflywheel/src/fleet/limit/pacer.rs
@@ -123,7 +123,7 @@
             return Outcome::Granted;
         }
         let wait = account.wait(account.queue.len());
-        let left = Duration::from_millis(request.left_ms.into());
+        let left = Duration::from_millis(request.max_wait_ms.into());
         if wait > left {
             return Outcome::Refused(frame::millis(wait));
         }
--- a/crates/fireflywheel/src/fleet/load.rs
+++ b/crates/fireflywheel/src/fleet/load.rs
@@ -31,10 +31,10 @@
 /// The time for which requests reported by the steward count. It reports several times a second, so a steward
 /// that is silent for longer has failed or is cut off, and engines would otherwise look full forever to the
 /// instances that heard from it last.
-const REPORT_VALIDITY: Duration = Duration::from_millis(1000);
+const STEWARD_TOTALS_TTL: Duration = Duration::from_millis(1000);
 
-/// The half-life of [`Pressure`], about as long as a swap takes.
-const PRESSURE_HALF_LIFE: Duration = Duration::from_secs(1);
+/// The half-life of [`PrefillWait`], about as long as a swap takes.
+const PREFILL_WAIT_HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// The prompt of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -42,7 +42,7 @@
     /// The number of all its tokens.
     pub tokens: u32,
     /// The number of tokens at its start that other requests share.
-    pub shared: u32,
+    pub shared_tokens: u32,
 }
 
 /// The load of an engine, as the steward reports it.
@@ -77,15 +77,17 @@
 /// The prefill time of the tokens waiting at an engine, averaged over the last moments. Two long prompts that
 /// meet by chance are prefilled within half a second; only a sustained wait justifies another engine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pressure {
+pub struct PrefillWait {
     seconds: f64,
     updated: clock::Instant,
 }
 
-impl Pressure {
+impl PrefillWait {
     /// Updates the average with the current number of waiting tokens and returns it.
     pub fn update(&mut self, now: clock::Instant, prefill_tokens: u32) -> Duration {
-        let half_lives = now.since(self.updated).div_duration_f64(PRESSURE_HALF_LIFE);
+        let half_lives = now
+            .since(self.updated)
+            .div_duration_f64(PREFILL_WAIT_HALF_LIFE);
         let retained = 0.5_f64.powf(half_lives);
         let waiting = prefill_time(f64::from(prefill_tokens)).as_secs_f64();
         self.seconds = self.seconds * retained + waiting * (1.0 - retained);
@@ -99,7 +101,7 @@
     /// before.
     #[must_use]
     pub fn prefill_tokens(self, cached: bool) -> u32 {
-        let skipped = if cached { self.shared } else { 0 };
+        let skipped = if cached { self.shared_tokens } else { 0 };
         self.tokens.saturating_sub(skipped)
     }
 }
@@ -154,7 +156,7 @@
     /// outdated.
     #[must_use]
     pub fn other_requests(&self, now: clock::Instant) -> u32 {
-        let is_fresh = now.since(self.updated) < REPORT_VALIDITY;
+        let is_fresh = now.since(self.updated) < STEWARD_TOTALS_TTL;
         if is_fresh { self.other_requests } else { 0 }
     }
 
@@ -176,7 +178,7 @@
 where
     I: ExactSizeIterator<Item = &'a str>,
 {
-    if prompt.shared < MIN_CACHED_PREFIX_TOKENS || servers.len() < 2 {
+    if prompt.shared_tokens < MIN_CACHED_PREFIX_TOKENS || servers.len() < 2 {
         return None;
     }
     rendezvous::first(parts, servers)
--- a/crates/fireflywheel/src/fleet/organisation.rs
+++ b/crates/fireflywheel/src/fleet/organisation.rs
@@ -55,28 +55,29 @@
 pub struct Organisation {
     /// The organisation's name, as sent to backend servers.
     pub name: SmolStr,
-    /// The priority of the organisation's requests, which takes precedence over the rank of a route; 0 is
+    /// The priority of the organisation's requests, which takes precedence over the priority of a route; 0 is
     /// the most urgent.
-    pub rank: Option<u8>,
+    #[serde(rename = "rank")]
+    pub priority: Option<u8>,
     /// The organisation's quota; `None` if it is not limited.
     pub quota: Option<quota::Quota>,
 }
 
 impl Organisation {
-    /// Creates an organisation without a rank or a quota.
+    /// Creates an organisation without a priority or a quota.
     #[must_use]
     pub fn new(name: impl Into<SmolStr>) -> Self {
         Self {
             name: name.into(),
-            rank: None,
+            priority: None,
             quota: None,
         }
     }
 
-    /// Sets the rank.
+    /// Sets the priority.
     #[must_use]
-    pub fn with_rank(mut self, rank: u8) -> Self {
-        self.rank = Some(rank);
+    pub fn with_priority(mut self, priority: u8) -> Self {
+        self.priority = Some(priority);
         self
     }
 
--- a/crates/fireflywheel/src/fleet/plan.rs
+++ b/crates/fireflywheel/src/fleet/plan.rs
@@ -37,7 +37,7 @@
     /// The number of requests in progress, by model and adapter.
     pub running: BTreeMap<(SmolStr, Option<SmolStr>), u32>,
     /// How long the prompts waiting at the engine take to prefill, averaged over the last moments.
-    pub pressure: Duration,
+    pub prefill_wait: Duration,
     /// The requests per second that the engine accepts, if it reports a limit.
     pub limit: Option<f64>,
     /// The times from which the engine has held each model and adapter.
@@ -53,9 +53,9 @@
     }
 
     /// Whether the engine loads from the weight store, or makes room for such a load.
-    fn occupies_store(&self) -> bool {
+    fn occupies_weight_store(&self) -> bool {
         let next = self.making_room_for.as_ref();
-        self.fetching || next.is_some_and(|model| nearest_tier(self, model) == Tier::Store)
+        self.fetching || next.is_some_and(|model| nearest_tier(self, model) == Tier::WeightStore)
     }
 }
 
@@ -118,7 +118,7 @@
         matches!(
             self,
             Self::Load {
-                tier: Tier::Store,
+                tier: Tier::WeightStore,
                 ..
             }
         )
@@ -133,7 +133,7 @@
     /// The server's disk.
     Disk,
     /// The shared weight store.
-    Store,
+    WeightStore,
 }
 
 impl Tier {
@@ -143,7 +143,7 @@
         match self {
             Self::Host => model.host_load_time,
             Self::Disk => model.disk_load_time,
-            Self::Store => model.store_load_time,
+            Self::WeightStore => model.store_load_time,
         }
     }
 }
@@ -175,7 +175,7 @@
     let active_fetches = view
         .engines
         .iter()
-        .filter(|engine| engine.occupies_store())
+        .filter(|engine| engine.occupies_weight_store())
         .count();
     let mut planner = planner::Planner {
         view,
@@ -259,7 +259,7 @@
         return "no engine stores the model, and the weight store is in use";
     }
     let usable = view.engines.iter().filter(|engine| engine.usable);
-    let mut copies = usable.filter(|engine| nearest_tier(engine, model) != Tier::Store);
+    let mut copies = usable.filter(|engine| nearest_tier(engine, model) != Tier::WeightStore);
     if copies.clone().all(|engine| engine.fetching) {
         return "the engines that store the model are loading from the weight store";
     }
@@ -275,6 +275,6 @@
     } else if engine.held.on_disk.contains(model) {
         Tier::Disk
     } else {
-        Tier::Store
+        Tier::WeightStore
     }
 }
--- a/crates/fireflywheel/src/fleet/plan/planner.rs
+++ b/crates/fireflywheel/src/fleet/plan/planner.rs
@@ -10,7 +10,7 @@
 
 /// The number of requests in progress on one replica above which another replica is loaded: beyond it, each
 /// further request slows down all others of its batch.
-const MAX_REQUESTS_PER_REPLICA: u32 = 8;
+const HOT_REQUESTS_PER_REPLICA: u32 = 8;
 /// The prefill wait at each replica of a model above which another replica is loaded: half of the shortest
 /// objective for the first event.
 const HOT_PREFILL_WAIT: Duration = Duration::from_millis(400);
@@ -24,7 +24,7 @@
 const MIN_ADAPTER_RESIDENCE: Duration = Duration::from_millis(300);
 /// The cost, in seconds, added for an engine that reports a limit: it is overloaded, so a model goes there
 /// only if every other placement takes this much longer.
-const OVERLOAD_PENALTY_S: f64 = 3.0;
+const LIMITED_ENGINE_PENALTY_S: f64 = 3.0;
 /// The arrival rate, in requests per second, assumed for models that are never requested, so that larger
 /// models are evicted before smaller ones.
 const MIN_ARRIVAL_RATE: f64 = 0.001;
@@ -214,10 +214,10 @@
 
     /// Adds replicas of other hot models.
     pub(super) fn replicate_hot(&mut self) {
-        let spare = self.unstored_models().next().is_none();
+        let may_fetch = self.unstored_models().next().is_none();
         for model in self.hot_models() {
             if !self.is_saturated(model)
-                && let Some(placement) = self.best_placement(model, 0.0, spare)
+                && let Some(placement) = self.best_placement(model, 0.0, may_fetch)
             {
                 self.add_placement(model, placement);
             }
@@ -234,8 +234,8 @@
             .filter_map(|model| {
                 let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
                 let requests = self.survey.requests(model);
-                let many_requests = requests > replicas * MAX_REQUESTS_PER_REPLICA;
-                let long_wait = requests > 0 && self.survey.pressure(model) > HOT_PREFILL_WAIT;
+                let many_requests = requests > replicas * HOT_REQUESTS_PER_REPLICA;
+                let long_wait = requests > 0 && self.survey.prefill_wait(model) > HOT_PREFILL_WAIT;
                 (replicas > 0 && (many_requests || long_wait)).then(|| (requests / replicas, model))
             })
             .collect();
@@ -247,7 +247,7 @@
         let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
         let slots = replicas.saturating_mul(self.view.config.slots);
         let many_requests = self.survey.is_full(model) && self.survey.requests(model) > slots;
-        many_requests || self.survey.pressure(model) > SATURATED_PREFILL_WAIT
+        many_requests || self.survey.prefill_wait(model) > SATURATED_PREFILL_WAIT
     }
 
     /// Fetches models that no server stores, while the weight store is otherwise idle.
@@ -272,7 +272,7 @@
     }
 
     fn add_placement(&mut self, model: &SmolStr, placement: Placement) {
-        if placement.tier == Tier::Store {
+        if placement.tier == Tier::WeightStore {
             self.active_fetches += 1;
         }
         self.push_step(placement.step(model));
@@ -284,8 +284,8 @@
     }
 
     /// Returns the cheapest placement of a model among the engines that can take an order now.
-    fn best_placement(&self, model: &SmolStr, waited: f64, fetch: bool) -> Option<Placement> {
-        let fetch = fetch
+    fn best_placement(&self, model: &SmolStr, waited: f64, may_fetch: bool) -> Option<Placement> {
+        let may_fetch = may_fetch
             && self.active_fetches < self.view.max_fetches
             && !self.survey.has_unloaded_copy(model)
             && !self.survey.is_loading(model);
@@ -294,7 +294,7 @@
             .filter_map(|index| self.placement(index, model))
             // A model that another engine stores is loaded there, even if that engine is busy and has to be
             // waited for.
-            .filter(|placement| placement.tier != Tier::Store || fetch)
+            .filter(|placement| placement.tier != Tier::WeightStore || may_fetch)
             .map(|placement| Placement {
                 cost: placement.cost - waited * WAIT_WEIGHT,
                 ..placement
@@ -321,7 +321,7 @@
             .sum();
         // A load at this engine delays the swaps of all models stored there.
         let swap_delay_cost = self.swap_rate(index) * time.as_secs_f64();
-        let overload_penalty = engine.limit.map_or(0.0, |_| OVERLOAD_PENALTY_S);
+        let limit_penalty = engine.limit.map_or(0.0, |_| LIMITED_ENGINE_PENALTY_S);
         Some(Placement {
             engine: index,
             tier,
@@ -329,8 +329,8 @@
             cost: time.as_secs_f64()
                 + eviction_cost
                 + swap_delay_cost
-                + overload_penalty
-                + engine.pressure.as_secs_f64(),
+                + limit_penalty
+                + engine.prefill_wait.as_secs_f64(),
         })
     }
 
@@ -390,12 +390,15 @@
             .any(|pending| pending.model == *model);
         let needed = replicas <= 1 && is_pending;
         let many_requests =
-            self.survey.requests(model) > replicas.saturating_sub(1) * MAX_REQUESTS_PER_REPLICA;
+            self.survey.requests(model) > replicas.saturating_sub(1) * HOT_REQUESTS_PER_REPLICA;
         let is_hot =
-            replicas > 0 && (many_requests || self.survey.pressure(model) > HOT_PREFILL_WAIT);
-        let spare = replicas > 1 && !is_hot;
+            replicas > 0 && (many_requests || self.survey.prefill_wait(model) > HOT_PREFILL_WAIT);
+        let is_redundant = replicas > 1 && !is_hot;
         let stayed_long_enough = self.view.now.since(since) >= MIN_MODEL_RESIDENCE;
-        running == 0 && stayed_long_enough && !needed && (spare || self.survey.requests(model) == 0)
+        running == 0
+            && stayed_long_enough
+            && !needed
+            && (is_redundant || self.survey.requests(model) == 0)
     }
 
     /// Returns the cost of evicting this replica: the request rate that it serves, weighted by the time to
--- a/crates/fireflywheel/src/fleet/plan/survey.rs
+++ b/crates/fireflywheel/src/fleet/plan/survey.rs
@@ -17,8 +17,8 @@
     waiting: BTreeMap<&'a SmolStr, u32>,
     /// The requests at engines that hold a model, beyond those that the engines run at once.
     excess: BTreeMap<&'a SmolStr, u32>,
-    /// The lowest pressure among the engines that hold a model.
-    pressure: BTreeMap<&'a SmolStr, Duration>,
+    /// The lowest prefill_wait among the engines that hold a model.
+    prefill_wait: BTreeMap<&'a SmolStr, Duration>,
     /// The models held by an engine that has a free slot.
     with_free_slot: BTreeSet<&'a SmolStr>,
     stored: BTreeSet<&'a SmolStr>,
@@ -37,7 +37,7 @@
             requests: BTreeMap::new(),
             waiting: BTreeMap::new(),
             excess: BTreeMap::new(),
-            pressure: BTreeMap::new(),
+            prefill_wait: BTreeMap::new(),
             with_free_slot: BTreeSet::new(),
             stored: BTreeSet::new(),
             stored_unloaded: BTreeSet::new(),
@@ -50,8 +50,11 @@
             let replica_count = usize::from(!engine.is_overloaded(view.arrival_rates));
             for model in engine.held.models.keys() {
                 *survey.replicas.entry(model).or_default() += replica_count;
-                let min_pressure = survey.pressure.entry(model).or_insert(engine.pressure);
-                *min_pressure = engine.pressure.min(*min_pressure);
+                let min_prefill_wait = survey
+                    .prefill_wait
+                    .entry(model)
+                    .or_insert(engine.prefill_wait);
+                *min_prefill_wait = engine.prefill_wait.min(*min_prefill_wait);
             }
             let requests: u32 = engine.running.values().sum();
             if requests < view.config.slots && replica_count > 0 {
@@ -61,7 +64,7 @@
                 let excess = survey.excess.entry(model).or_default();
                 *excess += requests.saturating_sub(view.config.slots);
             }
-            if !engine.occupies_store() {
+            if !engine.occupies_weight_store() {
                 survey.loading_locally.extend(&engine.loading);
                 survey.loading_locally.extend(&engine.making_room_for);
             }
@@ -125,8 +128,8 @@
     }
 
     /// Returns how long a request waits before its prompt is prefilled, at the engine with the shortest wait.
-    pub(super) fn pressure(&self, model: &SmolStr) -> Duration {
-        self.pressure.get(model).copied().unwrap_or_default()
+    pub(super) fn prefill_wait(&self, model: &SmolStr) -> Duration {
+        self.prefill_wait.get(model).copied().unwrap_or_default()
     }
 
     /// Whether a usable engine has the model in memory, in host memory or on disk.
--- a/crates/fireflywheel/src/fleet/quota.rs
+++ b/crates/fireflywheel/src/fleet/quota.rs
@@ -100,8 +100,8 @@
     pub admitted: i32,
     /// The cost admitted in the window before the link to the steward was opened, in [`SPAN_COUNT`] equal
     /// spans, the newest first; only in the first usage on a link.
-    #[serde(default)]
-    pub before: Vec<u32>,
+    #[serde(default, rename = "before")]
+    pub inherited: Vec<u32>,
 }
 
 /// The steward's decision on one organisation.
--- a/crates/fireflywheel/src/fleet/quota/gate.rs
+++ b/crates/fireflywheel/src/fleet/quota/gate.rs
@@ -276,15 +276,15 @@
     /// Takes the usage since the last call; `None` if there was none.
     pub fn take_usage(&mut self, now: clock::Instant, organisation: &SmolStr) -> Option<Usage> {
         let history = self.history.as_ref().filter(|_| self.history_unreported);
-        let before = history.map_or_else(Vec::new, |history| history.newest_first(now));
-        if self.offered == 0.0 && self.admitted == 0.0 && before.is_empty() {
+        let inherited = history.map_or_else(Vec::new, |history| history.newest_first(now));
+        if self.offered == 0.0 && self.admitted == 0.0 && inherited.is_empty() {
             return None;
         }
         let usage = Usage {
             organisation: organisation.clone(),
             offered: self.offered.round() as u32,
             admitted: self.admitted.round() as i32,
-            before,
+            inherited,
         };
         self.offered = 0.0;
         self.admitted = 0.0;
--- a/crates/fireflywheel/src/fleet/quota/meter.rs
+++ b/crates/fireflywheel/src/fleet/quota/meter.rs
@@ -87,7 +87,7 @@
     /// The cost admitted per second.
     pub used: f64,
     /// The remaining burst; a negative value has to be made up for.
-    pub level: f64,
+    pub burst_left: f64,
     /// The rate that instances without a link may admit, per second.
     pub reserved: f64,
 }
@@ -100,7 +100,7 @@
         Some(Figures {
             offered: account.offered.per_second(now, OFFER_HALF_LIFE),
             used: account.admitted.per_second(now, USE_HALF_LIFE),
-            level: account.level,
+            burst_left: account.level,
             reserved: account.reserved_rate,
         })
     }
@@ -226,7 +226,7 @@
     fn charge(&mut self, now: clock::Instant, instance: &SmolStr, used: &Usage) {
         if now.since(self.started_at) < INHERITANCE_PERIOD {
             let Limit { quota, window } = self.limit;
-            self.inherit(&quota, window, &used.before);
+            self.inherit(&quota, window, &used.inherited);
         }
         let admitted = f64::from(used.admitted);
         self.offered.add(now, OFFER_HALF_LIFE, used.offered.into());
--- a/crates/fireflywheel/src/fleet/routing.rs
+++ b/crates/fireflywheel/src/fleet/routing.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 
 /// The time for which a load report counts in full. Servers send one with each response.
-const REPORT_VALIDITY: Duration = Duration::from_millis(1500);
+const SERVER_REPORT_TTL: Duration = Duration::from_millis(1500);
 /// The half-life of the failure rate, which gives a failed server another chance a few seconds later.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
 /// The weight of one further failure or success in the failure rate.
@@ -119,7 +119,7 @@
 
     /// Whether the server is considered unreachable.
     #[must_use]
-    pub fn is_down(&self, now: clock::Instant) -> bool {
+    pub fn is_unreachable(&self, now: clock::Instant) -> bool {
         now < self.unreachable_until
     }
 
@@ -133,7 +133,7 @@
         let own = f64::from(self.in_flight);
         let reported = self
             .report
-            .filter(|(at, _)| now.since(*at) < REPORT_VALIDITY)
+            .filter(|(at, _)| now.since(*at) < SERVER_REPORT_TTL)
             .map_or(0.0, |(_, report)| {
                 f64::from(report.running + report.waiting)
             });
@@ -179,7 +179,10 @@
         .filter(|index| candidates[*index].has_room(now))
         .min_by(|a, b| {
             let (a, b) = (&candidates[*a], &candidates[*b]);
-            let down = a.stats.is_down(now).cmp(&b.stats.is_down(now));
+            let down = a
+                .stats
+                .is_unreachable(now)
+                .cmp(&b.stats.is_unreachable(now));
             down.then(a.cost(now).total_cmp(&b.cost(now)))
         })
 }
--- a/crates/fireflywheel/src/fleet/server.rs
+++ b/crates/fireflywheel/src/fleet/server.rs
@@ -18,13 +18,13 @@
     /// The address that the server listens on.
     pub address: SocketAddr,
     /// The server's failure domain.
-    pub domain: SmolStr,
+    pub failure_domain: SmolStr,
     /// The number of requests that the server runs at once.
     pub slots: u32,
     /// The server accepts new requests.
     pub ready: bool,
     /// When the server will stop; `None` if it has not announced a stop.
-    pub leaves: Option<clock::Instant>,
+    pub stops_at: Option<clock::Instant>,
     /// When the server started, in Unix milliseconds.
     pub started_ms: u64,
     /// The number of this entry among the server's entries since its start; 0 if the server does not number
--- a/crates/fireflywheel/src/fleet/settings.rs
+++ b/crates/fireflywheel/src/fleet/settings.rs
@@ -73,7 +73,7 @@
     /// `[instance] name`: the instance's name.
     pub instance: SmolStr,
     /// `[instance] failure_domain`: the instance's failure domain.
-    pub domain: SmolStr,
+    pub failure_domain: SmolStr,
     /// `[instance] cpu_share`, 1 if left out: the instance's share of a processor.
     pub cpu_share: f64,
     /// `[listen] callers`: the address for callers.
@@ -106,7 +106,7 @@
     pub all_engines_limit: usize,
     /// `[steward] config_bytes`, a megabyte if left out: a new configuration is sent to all instances if
     /// the total size is at most this, and otherwise only to those that the store does not answer.
-    pub config_bytes: usize,
+    pub config_broadcast_limit: usize,
     /// `[repeats] ratio`, `extra` and `window_ms`: the retry budget; a tenth of the requests and nothing
     /// more if left out.
     pub retry_budget: retry_budget::Options,
@@ -116,9 +116,9 @@
     /// requests to a leaving backend server must stop.
     pub leaving_deadline: Duration,
     /// `[stop] grace_ms`, 8,000 if left out: the longest time that a planned stop may take.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// The number of concurrent connections of callers, derived from `[limits] descriptors`.
-    pub connections: usize,
+    pub max_connections: usize,
     /// `[log]`: what is written to the log.
     pub log: Log,
 }
@@ -169,7 +169,7 @@
 
 fn read(sections: &[ini_text::Section], faults: &mut fault::List) -> Settings {
     let find = |name| ini_text::find(sections, name);
-    let (instance, domain, cpu_share) = read_instance(&find("instance"), faults);
+    let (instance, failure_domain, cpu_share) = read_instance(&find("instance"), faults);
     let ([callers, ready, peers], peers_advertised) = read_listen(&find("listen"), faults);
     let (store, config_deadline) = read_platform(&find("platform"), faults);
     let steward = read_steward(&find("steward"), faults);
@@ -179,7 +179,7 @@
     let grace = read_duration(&find("stop"), "grace_ms", GRACE_MS_RANGE, faults);
     Settings {
         instance,
-        domain,
+        failure_domain,
         cpu_share,
         callers,
         ready,
@@ -191,12 +191,12 @@
         fenced: steward.fenced,
         first_start: steward.first_start,
         all_engines_limit: steward.all_engines_limit,
-        config_bytes: steward.config_bytes,
+        config_broadcast_limit: steward.config_broadcast_limit,
         retry_budget,
         quotas,
         leaving_deadline: leaving_deadline.unwrap_or(Duration::from_secs(2)),
-        grace: grace.unwrap_or(Duration::from_secs(8)),
-        connections: read_connections(&find("limits"), faults),
+        grace_period: grace.unwrap_or(Duration::from_secs(8)),
+        max_connections: read_connections(&find("limits"), faults),
         log: read_log(&find("log"), faults),
     }
 }
@@ -204,10 +204,10 @@
 fn read_instance(section: &ini_text::Section, faults: &mut fault::List) -> (SmolStr, SmolStr, f64) {
     let mut reader = field::Reader::new(section, faults);
     let name = reader.name("name");
-    let domain = reader.name("failure_domain");
+    let failure_domain = reader.name("failure_domain");
     let cpu_share = reader.optional_number("cpu_share", CPU_SHARE_RANGE);
     reader.finish();
-    (name, domain, cpu_share.unwrap_or(1.0))
+    (name, failure_domain, cpu_share.unwrap_or(1.0))
 }
 
 /// Reads the addresses for callers, for readiness checks and for peers, and the address announced to peers.
@@ -237,7 +237,7 @@
     fenced: bool,
     first_start: bool,
     all_engines_limit: usize,
-    config_bytes: usize,
+    config_broadcast_limit: usize,
 }
 
 fn read_steward(section: &ini_text::Section, faults: &mut fault::List) -> Steward {
@@ -246,7 +246,7 @@
     let fenced = reader.optional_word("fenced", &BOOLEAN_WORDS);
     let first_start = reader.optional_word("first_start", &BOOLEAN_WORDS);
     let all_engines_limit = reader.optional_whole("tell_all", TELL_ALL_RANGE);
-    let config_bytes = reader.optional_whole("config_bytes", CONFIG_BYTES_RANGE);
+    let config_broadcast_limit = reader.optional_whole("config_bytes", CONFIG_BYTES_RANGE);
     reader.finish();
     let term = term.unwrap_or(Duration::from_secs(3));
     let all_engines_limit = all_engines_limit.and_then(|limit: u64| usize::try_from(limit).ok());
@@ -255,7 +255,7 @@
         fenced: fenced.unwrap_or(false),
         first_start: first_start.unwrap_or(true),
         all_engines_limit: all_engines_limit.unwrap_or(50_000),
-        config_bytes: config_bytes
+        config_broadcast_limit: config_broadcast_limit
             .and_then(|limit: u64| usize::try_from(limit).ok())
             .unwrap_or(1 << 20),
     }
--- a/crates/fireflywheel/src/fleet/successor.rs
+++ b/crates/fireflywheel/src/fleet/successor.rs
@@ -32,7 +32,7 @@
 
 /// The steward itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Own {
+pub struct Steward {
     /// The steward's share of a processor.
     pub cpu_share: f64,
     /// The steward's last call to the store had no usable answer.
@@ -44,14 +44,14 @@
 /// The successor of a steward that is being stopped: the strongest instance that stays. Returns its index
 /// in `peers`.
 #[must_use]
-pub fn of_stopping(peers: &[Peer]) -> Option<usize> {
+pub fn for_stopping(peers: &[Peer]) -> Option<usize> {
     strongest(peers, |_| true)
 }
 
 /// The successor of a steward that stays, if it should hand the lease over. Changes must be obeyed within
 /// `deadline`. Returns an index in `peers`.
 #[must_use]
-pub fn of_staying(own: Own, peers: &[Peer], deadline: Duration) -> Option<usize> {
+pub fn for_running(own: Steward, peers: &[Peer], deadline: Duration) -> Option<usize> {
     // An instance that does not read the store itself may be unable to reach it, and would hand the lease
     // back.
     let is_fresh = |peer: &Peer| peer.read_age <= deadline.mul_f64(FRESH_READS_RATIO);
@@ -72,12 +72,12 @@
 /// Whether standbys should read the store themselves. Their reads show which of them the store answers,
 /// since the steward may have to hand the lease over to one of them.
 #[must_use]
-pub fn standbys_read(own: Own, peers: &[Peer]) -> bool {
+pub fn needs_standby_reads(own: Steward, peers: &[Peer]) -> bool {
     let mut staying = peers.iter().filter(|peer| !peer.leaving);
     own.store_fails || staying.any(|peer| is_much_stronger(own, peer))
 }
 
-fn is_much_stronger(own: Own, peer: &Peer) -> bool {
+fn is_much_stronger(own: Steward, peer: &Peer) -> bool {
     is_share_much_larger(peer.cpu_share, own.cpu_share)
 }
 
--- a/crates/fireflywheel/src/fleet/timeout.rs
+++ b/crates/fireflywheel/src/fleet/timeout.rs
@@ -45,7 +45,7 @@
     }
     let gap_timeout = route.max_event_gap.unwrap_or_default() * STREAM_TIMEOUT_GAPS;
     let timeout = MIN_STREAM_TIMEOUT
-        .max(route.objective * STREAM_TIMEOUT_OBJECTIVES)
+        .max(route.latency_objective * STREAM_TIMEOUT_OBJECTIVES)
         .max(gap_timeout);
     limit.min(timeout)
 }
--- a/crates/fireflywheel/src/fleet/tracker.rs
+++ b/crates/fireflywheel/src/fleet/tracker.rs
@@ -50,7 +50,7 @@
     /// elsewhere for models that are loaded here.
     published: bool,
     loading: Option<Loading>,
-    finished_fetch: Option<Fetched>,
+    finished_fetch: Option<FinishedFetch>,
     /// The time before which the engine gets no order.
     next_order_at: clock::Instant,
     /// Whether a report has been requested and not received yet.
@@ -58,7 +58,7 @@
     /// The time at which the next report is needed.
     next_report_at: Option<clock::Instant>,
     held_since: BTreeMap<(SmolStr, Option<SmolStr>), clock::Instant>,
-    pressure: load::Pressure,
+    prefill_wait: load::PrefillWait,
     /// The time at which an order was last accepted or left unanswered. A report requested earlier shows the
     /// state before it.
     last_order_at: clock::Instant,
@@ -76,13 +76,13 @@
 
 /// A finished load from the weight store.
 #[derive(Clone, Debug)]
-pub struct Fetched {
+pub struct FinishedFetch {
     /// The model.
     pub model: SmolStr,
     /// The number of loads from the weight store when this one began, itself included.
-    pub first: usize,
+    pub concurrent_at_start: usize,
     /// The duration of the load.
-    pub took: Duration,
+    pub load_time: Duration,
 }
 
 impl Tracker {
@@ -105,7 +105,7 @@
             report_pending: false,
             next_report_at: Some(clock::Instant::default()),
             held_since: BTreeMap::new(),
-            pressure: load::Pressure::default(),
+            prefill_wait: load::PrefillWait::default(),
             last_order_at: clock::Instant::default(),
             busy_since: None,
         }
@@ -133,7 +133,7 @@
     ) -> plan::EngineState {
         let staying = self
             .server
-            .leaves
+            .stops_at
             .is_none_or(|at| at.since(now) > LEAVING_NOTICE);
         let unknown_fetch = self.held.busy
             && self.loading.is_none()
@@ -160,7 +160,7 @@
                 .or(self.making_room_for.as_ref())
                 .cloned(),
             running,
-            pressure: self.pressure.update(now, prefill_tokens),
+            prefill_wait: self.prefill_wait.update(now, prefill_tokens),
             limit: None,
             held_since: self.held_since.clone(),
         }
@@ -168,8 +168,8 @@
 
     /// Returns what the instances are sent of the engine.
     #[must_use]
-    pub fn holding(&self, now: clock::Instant) -> frame::Holding {
-        frame::Holding {
+    pub fn holding(&self, now: clock::Instant) -> frame::EngineHoldings {
+        frame::EngineHoldings {
             entry: frame::Entry::new(&self.server, now),
             models: self.held.models.clone(),
         }
@@ -219,7 +219,7 @@
                 self.busy_since = Some(now);
                 self.loading = Some(Loading {
                     model: model.clone(),
-                    fetch: *tier == plan::Tier::Store,
+                    fetch: *tier == plan::Tier::WeightStore,
                     since: now,
                     concurrent_fetches,
                 });
@@ -266,7 +266,7 @@
     }
 
     /// Records that the engine didn't hold a model that it was believed to hold.
-    pub fn denied(&mut self, now: clock::Instant) {
+    pub fn request_report(&mut self, now: clock::Instant) {
         self.next_report_at.get_or_insert(now);
     }
 
@@ -323,10 +323,10 @@
             let finished_fetch = self.loading.take().filter(|loading| loading.fetch);
             self.finished_fetch = finished_fetch
                 .filter(|loading| self.held.holds(&loading.model, None))
-                .map(|loading| Fetched {
+                .map(|loading| FinishedFetch {
                     model: loading.model,
-                    first: loading.concurrent_fetches,
-                    took: now.since(loading.since),
+                    concurrent_at_start: loading.concurrent_fetches,
+                    load_time: now.since(loading.since),
                 });
             self.busy_since = None;
         } else {
@@ -341,7 +341,7 @@
     }
 
     /// Takes the load from the weight store that the last report has shown to be finished.
-    pub fn take_fetched(&mut self) -> Option<Fetched> {
+    pub fn take_finished_fetch(&mut self) -> Option<FinishedFetch> {
         self.finished_fetch.take()
     }
 
--- a/crates/fireflywheel/tests/fleet/backoff.rs
+++ b/crates/fireflywheel/tests/fleet/backoff.rs
@@ -17,7 +17,8 @@
 const USUAL_WAIT: Duration = Duration::from_millis(1500);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 const OUTAGE: Duration = Duration::from_secs(8);
-/// The maximum number of calls of the whole fleet during one outage.
+/// The maximum number of calls that the whole fleet may make during one outage. It is the target that was set
+/// for the fleet.
 const MAX_CALLS: usize = 4000;
 
 /// One instance with several readers that each call whenever they may.
@@ -37,7 +38,7 @@
             self.backoff.record_failure(now, MAX_DELAY, draw);
         }
         while self.refused.len() < READERS_PER_INSTANCE
-            && self.backoff.claim(now, MAX_DELAY, draw).is_zero()
+            && self.backoff.reserve_call(now, MAX_DELAY, draw).is_zero()
         {
             self.refused.push(now.after(REFUSAL_TIME));
             self.calls += 1;
@@ -51,12 +52,12 @@
     let mut backoff = Backoff::default();
     let mut now = Instant(0);
     for draw in draws.iter().cycle() {
-        now = now.after(backoff.claim(now, MAX_DELAY, *draw));
+        now = now.after(backoff.reserve_call(now, MAX_DELAY, *draw));
         if now.0 >= outage_ms {
             break;
         }
         // The silent store answers nothing until the call's time-out.
-        now = now.after(backoff.wait(USUAL_WAIT) + CALL_TIMEOUT);
+        now = now.after(backoff.long_poll_wait(USUAL_WAIT) + CALL_TIMEOUT);
         backoff.record_failure(now, MAX_DELAY, *draw);
     }
     now.0.saturating_sub(outage_ms)
@@ -109,7 +110,7 @@
             for _ in 0..u.int_in_range(1..=2000)? {
                 let draw = f64::from(u.arbitrary::<u16>()?) / 65536.0;
                 backoff.record_failure(now, MAX_DELAY, draw);
-                let remaining = backoff.claim(now, MAX_DELAY, draw);
+                let remaining = backoff.reserve_call(now, MAX_DELAY, draw);
                 assert!(remaining <= MAX_DELAY, "{remaining:?}");
                 now = now.after(remaining);
             }
@@ -120,15 +121,15 @@
     /// While the store fails, one reader at a time retries. Once a call succeeds, all may continue.
     one_caller_retries_at_a_time => {
         let mut backoff = Backoff::default();
-        assert!(backoff.claim(Instant(0), MAX_DELAY, 0.5).is_zero());
+        assert!(backoff.reserve_call(Instant(0), MAX_DELAY, 0.5).is_zero());
         backoff.record_failure(Instant(0), MAX_DELAY, 0.5);
-        let remaining = backoff.claim(Instant(0), MAX_DELAY, 0.5);
+        let remaining = backoff.reserve_call(Instant(0), MAX_DELAY, 0.5);
         let later = Instant(0).after(remaining);
         assert!(!remaining.is_zero());
-        assert!(backoff.claim(later, MAX_DELAY, 0.5).is_zero());
-        assert!(!backoff.claim(later, MAX_DELAY, 0.5).is_zero());
+        assert!(backoff.reserve_call(later, MAX_DELAY, 0.5).is_zero());
+        assert!(!backoff.reserve_call(later, MAX_DELAY, 0.5).is_zero());
         assert!(backoff.record_success());
-        assert!(backoff.claim(later, MAX_DELAY, 0.5).is_zero());
+        assert!(backoff.reserve_call(later, MAX_DELAY, 0.5).is_zero());
         assert!(!backoff.record_success());
     };
 }
--- a/crates/fireflywheel/tests/fleet/lease.rs
+++ b/crates/fireflywheel/tests/fleet/lease.rs
@@ -29,8 +29,8 @@
     let mut log = Log::default();
     let mut first = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
-    second.observe(at(0), log.read());
-    first.unanswered(at(1000));
+    second.record_reading(at(0), log.read());
+    first.record_unanswered(at(1000));
     let stopped_at = (0..10_000).find(|now| first.fencing(at(*now)).is_none());
     let started_at = (0..10_000).find(|now| second.proposal(at(*now)).is_some());
     assert!(
@@ -43,7 +43,7 @@
     let mut log = Log::default();
     let mut lease = held("a", true, &mut log, 0);
     for now in (1000..30_000).step_by(1000) {
-        lease.unanswered(at(now));
+        lease.record_unanswered(at(now));
         assert_eq!(lease.fencing(at(now + 500)), Some(0), "at {now}");
     }
 }
@@ -51,7 +51,7 @@
 fn resumed_holder_renews_before_it_acts() {
     let mut log = Log::default();
     let mut lease = held("a", true, &mut log, 0);
-    lease.unanswered(at(1000));
+    lease.record_unanswered(at(1000));
     assert_eq!(lease.fencing(at(8000)), None);
 }
 
@@ -59,10 +59,10 @@
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
-    second.observe(at(0), log.read());
+    second.record_reading(at(0), log.read());
     act(&mut second, &mut log, 3000);
     assert!(second.fencing(at(3000)) > Some(0));
-    first.unanswered(at(2900));
+    first.record_unanswered(at(2900));
     act(&mut first, &mut log, 3500);
     assert_eq!(first.fencing(at(3500)), None);
 }
@@ -74,7 +74,7 @@
         let (end, record) = first.release().expect("it holds it");
         log.write(end, record).expect("nobody else wrote");
         let mut second = lease("b", fenced);
-        second.observe(at(100), log.read());
+        second.record_reading(at(100), log.read());
         assert_eq!(second.proposal(at(100)).is_some(), fenced);
         assert_eq!(second.holder(), None);
     }
@@ -83,11 +83,11 @@
 fn takeover_with_lost_answer_is_recognised() {
     let mut log = Log::default();
     let mut lease = lease("a", false);
-    lease.observe(at(0), log.read());
+    lease.record_reading(at(0), log.read());
     let (end, record) = lease.proposal(at(0)).expect("the lease is free");
     log.write(end, record);
-    lease.unanswered(at(0));
-    lease.observe(at(500), log.read());
+    lease.record_unanswered(at(0));
+    lease.record_reading(at(500), log.read());
     assert_eq!(
         lease.fencing(at(500)),
         None,
@@ -100,14 +100,14 @@
 fn restarted_instance_keeps_its_number() {
     let mut log = Log::default();
     let mut other = held("b", false, &mut log, 0);
-    other.lost();
+    other.mark_lost();
     let mut before = lease("a", false);
-    before.observe(at(0), log.read());
+    before.record_reading(at(0), log.read());
     act(&mut before, &mut log, 3000);
     let fencing = before.fencing(at(3000));
     drop(before);
     let mut after = restarted("a", 2, ADDRESS);
-    after.observe(at(3100), log.read());
+    after.record_reading(at(3100), log.read());
     assert_eq!(
         after.fencing(at(3100)),
         None,
@@ -122,10 +122,10 @@
     let _before = held("a", false, &mut log, 0);
     let stale_reading = log.read();
     let mut other = lease("b", false);
-    other.observe(at(0), log.read());
+    other.record_reading(at(0), log.read());
     act(&mut other, &mut log, 3000);
     let mut after = restarted("a", 2, ADDRESS);
-    after.observe(at(3100), stale_reading);
+    after.record_reading(at(3100), stale_reading);
     act(&mut after, &mut log, 3100);
     assert_eq!(after.fencing(at(3100)), None);
 }
@@ -136,7 +136,7 @@
     let [mut standby, mut other] = ["b", "c"].map(|name| lease(name, false));
     let standbys = [standby.own_record().clone()];
     for lease in [&mut standby, &mut other] {
-        lease.observe(at(0), log.read());
+        lease.record_reading(at(0), log.read());
         lease.set_standbys(&standbys);
     }
     let first_proposal = |lease: &Lease| (0..20_000).find(|now| lease.proposal(at(*now)).is_some());
@@ -151,7 +151,7 @@
     let mut log = Log::default();
     let dead = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
-    second.observe(at(0), log.read());
+    second.record_reading(at(0), log.read());
     for now in (0..3000).step_by(100) {
         second.redirect(at(now), dead.own_record().clone());
         assert_eq!(second.proposal(at(now)), None);
@@ -163,7 +163,7 @@
     let mut log = Log::default();
     let _before = held("a", false, &mut log, 0);
     let mut after = restarted("a", 2, "10.0.0.9:1");
-    after.observe(at(100), log.read());
+    after.record_reading(at(100), log.read());
     assert_eq!(after.proposal(at(2000)), None);
     assert!(after.proposal(at(3100)).is_some());
 }
@@ -172,11 +172,11 @@
     let mut log = Log::default();
     let mut first = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
-    second.observe(at(0), log.read());
+    second.record_reading(at(0), log.read());
     act(&mut first, &mut log, 1000);
     second.observe_end(at(1010), log.end());
     second.observe_end(at(1900), log.end());
-    second.observe(at(2500), log.read());
+    second.record_reading(at(2500), log.read());
     assert_eq!(second.proposal(at(4000)), None);
     assert!(second.proposal(at(4010)).is_some());
 }
@@ -210,13 +210,13 @@
                     incarnation += 1;
                     *lease = restarted(names[index], incarnation, ADDRESS);
                 }
-                0 => lease.observe(at(now), log.read()),
+                0 => lease.record_reading(at(now), log.read()),
                 1 => {
                     if let Some((end, record)) = lease.proposal(at(now)) {
                         // The write succeeds, but its answer is lost.
                         log.write(end, record);
-                        lease.unanswered(at(now));
-                        lease.observe(at(now), log.read());
+                        lease.record_unanswered(at(now));
+                        lease.record_reading(at(now), log.read());
                     }
                 }
                 2 => lease.observe_end(at(now), log.end()),
@@ -241,13 +241,13 @@
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
-    second.observe(at(0), log.read());
+    second.record_reading(at(0), log.read());
     let earlier_end = log.end();
     act(&mut second, &mut log, 3000);
-    first.unanswered(at(3000));
+    first.record_unanswered(at(3000));
     assert!(first.fencing(at(3100)).is_some());
-    assert!(!first.overtaken(at(3100), earlier_end, second.own_record().clone()));
-    assert!(first.overtaken(at(3200), log.end(), second.own_record().clone()));
+    assert!(!first.observe_overtaking(at(3100), earlier_end, second.own_record().clone()));
+    assert!(first.observe_overtaking(at(3200), log.end(), second.own_record().clone()));
     assert_eq!(first.fencing(at(3200)), None);
     let holder = first.holder().map(|holder| holder.instance.as_str());
     assert_eq!(holder, Some("b"));
@@ -263,7 +263,7 @@
     let mut first = held("a", true, &mut log, 0);
     let hand_over = first.hand_over(at(100), successor()).expect("it holds it");
     for now in [150, 1000, 2000] {
-        first.observe(at(now), log.read());
+        first.record_reading(at(now), log.read());
         assert_eq!(first.fencing(at(now)), None);
         assert_eq!(
             first.proposal(at(now)),
@@ -273,7 +273,7 @@
         let holder = first.holder().map(|holder| holder.instance.as_str());
         assert_eq!(holder, Some("b"));
     }
-    first.observe(at(3000), log.read());
+    first.record_reading(at(3000), log.read());
     act(&mut first, &mut log, 3200);
     let fencing = first.fencing(at(3200));
     assert!(
@@ -288,17 +288,17 @@
     let mut first = held("a", true, &mut log, 0);
     let (end, renewal) = first.proposal(at(1500)).expect("a renewal is due");
     let mut second = lease("b", true);
-    second.receive(
+    second.accept_hand_over(
         at(1510),
         first.hand_over(at(1505), successor()).expect("it holds it"),
     );
     let offset = log.write(end, renewal.clone()).expect("nobody else wrote");
-    first.accepted(at(1500), offset, &renewal);
+    first.record_accepted(at(1500), offset, &renewal);
     assert_eq!(first.fencing(at(1520)), None, "it handed the lease over");
     // The late renewal has moved the end that came with the hand-over.
     act(&mut second, &mut log, 1530);
     assert_eq!(second.fencing(at(1530)), Some(1));
-    second.observe(at(1540), log.read());
+    second.record_reading(at(1540), log.read());
     act(&mut second, &mut log, 1550);
     assert_eq!(second.fencing(at(3500)), Some(1));
 }
@@ -309,7 +309,7 @@
     let mut log = Log::default();
     let first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
-    second.observe(at(10), log.read());
+    second.record_reading(at(10), log.read());
     second.set_standbys(&[]);
     assert!(!second.defers_to_standbys(at(20)));
     second.set_standbys(&[first.own_record().clone()]);
@@ -321,17 +321,17 @@
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
-    second.receive(
+    second.accept_hand_over(
         at(10),
         first.hand_over(at(10), successor()).expect("it holds it"),
     );
     let back = second
         .hand_over(at(20), first.own_record().clone())
         .expect("it holds it");
-    first.receive(at(20), back);
+    first.accept_hand_over(at(20), back);
     act(&mut first, &mut log, 30);
     assert_eq!(first.fencing(at(1000)), Some(2));
-    first.observe(at(1100), log.read());
+    first.record_reading(at(1100), log.read());
     assert_eq!(first.fencing(at(1100)), Some(2));
 }
 
@@ -342,12 +342,12 @@
     assert_eq!(first.fencing(at(1)), None);
     assert_eq!(first.proposal(at(1)), None);
     let mut second = lease("b", true);
-    second.receive(at(10), hand_over);
+    second.accept_hand_over(at(10), hand_over);
     assert_eq!(second.fencing(at(10)), Some(1));
     act(&mut second, &mut log, 20);
     assert_eq!(second.fencing(at(2000)), Some(1));
     let mut third = lease("c", true);
-    third.observe(at(2500), log.read());
+    third.record_reading(at(2500), log.read());
     act(&mut third, &mut log, 6000);
     assert!(
         third.fencing(at(6000)) > Some(1),
@@ -361,7 +361,7 @@
         .hand_over(at(0), successor())
         .expect("it holds it");
     let mut second = lease("b", false);
-    second.receive(at(10), hand_over);
+    second.accept_hand_over(at(10), hand_over);
     assert_eq!(second.fencing(at(10)), None);
     act(&mut second, &mut log, 20);
     assert_eq!(second.fencing(at(20)), Some(1));
@@ -373,10 +373,10 @@
         .hand_over(at(0), successor())
         .expect("it holds it");
     let mut other = lease("c", false);
-    other.observe(at(0), log.read());
+    other.record_reading(at(0), log.read());
     act(&mut other, &mut log, 3000);
     let mut second = lease("b", false);
-    second.receive(at(3500), hand_over);
+    second.accept_hand_over(at(3500), hand_over);
     act(&mut second, &mut log, 3500);
     assert_eq!(second.fencing(at(3500)), None);
 }
@@ -385,26 +385,26 @@
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
-    second.receive(
+    second.accept_hand_over(
         at(10),
         first.hand_over(at(10), successor()).expect("it holds it"),
     );
-    second.observe(at(12), log.read());
+    second.record_reading(at(12), log.read());
     assert!(
         second.fencing(at(12)).is_some(),
         "the record is still its predecessor's"
     );
     let mut third = lease("c", true);
-    third.observe(at(0), log.read());
+    third.record_reading(at(0), log.read());
     third.holder_moved(at(11), second.own_record().clone());
-    third.observe(at(13), log.read());
+    third.record_reading(at(13), log.read());
     assert_eq!(
         third.holder().map(|holder| holder.instance.as_str()),
         Some("b")
     );
     act(&mut second, &mut log, 20);
     assert!(second.fencing(at(2000)).is_some());
-    third.observe(at(30), log.read());
+    third.record_reading(at(30), log.read());
     assert_eq!(
         third.holder().map(|holder| holder.instance.as_str()),
         Some("b")
@@ -415,9 +415,9 @@
     let mut log = Log::default();
     let _dead = held("a", true, &mut log, 0);
     let mut second = lease("b", true);
-    second.observe(at(100), log.read());
+    second.record_reading(at(100), log.read());
     second.holder_ended(1);
-    second.observe(at(150), log.read());
+    second.record_reading(at(150), log.read());
     assert!(second.proposal(at(150)).is_some());
     assert_eq!(second.holder(), None);
 }
@@ -427,7 +427,7 @@
         let mut log = Log::default();
         let _dead = held("a", fenced, &mut log, 0);
         let mut second = lease("b", fenced);
-        second.observe(at(100), log.read());
+        second.record_reading(at(100), log.read());
         second.holder_ended(7);
         assert_eq!(
             second.proposal(at(100)),
--- a/crates/fireflywheel/tests/fleet/lease/eras.rs
+++ b/crates/fireflywheel/tests/fleet/lease/eras.rs
@@ -35,7 +35,7 @@
             "no record was written in this era"
         );
         assert!(first.needs_read());
-        first.observe(at(4510), log.read());
+        first.record_reading(at(4510), log.read());
         assert_eq!(first.fencing(at(4510)), None);
         act(&mut first, &mut log, 4520);
         assert_eq!(
@@ -63,9 +63,9 @@
     let mut log = Log::default();
     let mut first = held("a", true, &mut log, 0);
     let copy = log.clone();
-    first.lost();
+    first.mark_lost();
     let mut second = lease("b", true);
-    second.observe(at(10), log.read());
+    second.record_reading(at(10), log.read());
     for now in (0..50_000).step_by(1000) {
         act(&mut second, &mut log, now + 20);
     }
@@ -73,7 +73,7 @@
     let last_fencing = hand_over.expect("it holds it").fencing;
     log.restore(&copy);
     let mut third = lease("c", true).with_first_start(false);
-    third.observe(at(50_100), log.read());
+    third.record_reading(at(50_100), log.read());
     act(&mut third, &mut log, 50_100 + TERM_MS);
     let fencing = third.fencing(at(50_100 + TERM_MS));
     assert!(
@@ -87,16 +87,16 @@
     let mut log = Log::default();
     let mut first = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
-    second.observe(at(0), log.read());
+    second.record_reading(at(0), log.read());
     let copy = log.clone();
     act(&mut second, &mut log, 3000);
     let fencing = second.fencing(at(3000));
     log.restore(&copy);
     first.enter_era(at(3500), log.era);
-    first.observe(at(3500), log.read());
+    first.record_reading(at(3500), log.read());
     assert_eq!(first.proposal(at(3600)), None);
     second.enter_era(at(3600), log.era);
-    second.observe(at(3600), log.read());
+    second.record_reading(at(3600), log.read());
     act(&mut second, &mut log, 3610);
     assert_eq!(second.fencing(at(3610)), fencing);
     assert_eq!(first.fencing(at(3610)), None);
@@ -108,9 +108,9 @@
     let mut first = held("a", false, &mut log, 0);
     let copy = log.clone();
     let mut second = lease("b", false);
-    second.observe(at(0), log.read());
+    second.record_reading(at(0), log.read());
     act(&mut second, &mut log, 3000);
-    first.observe(at(3100), log.read());
+    first.record_reading(at(3100), log.read());
     log.restore(&copy);
     first.enter_era(at(3200), log.era);
     act(&mut first, &mut log, 3200);
@@ -124,7 +124,7 @@
     let copy = log.clone();
     log.restore(&copy);
     let mut after = restarted("a", 2, ADDRESS).with_first_start(false);
-    after.observe(at(100), log.read());
+    after.record_reading(at(100), log.read());
     assert_eq!(
         after.proposal(at(200)),
         None,
@@ -144,10 +144,10 @@
     log.restore(&copy);
     let position = log.write(end, renewal.clone()).expect("the offset fits");
     first.enter_era(at(9000), log.era);
-    first.accepted(at(1500), position, &renewal);
+    first.record_accepted(at(1500), position, &renewal);
     assert_eq!(first.fencing(at(1600)), None);
     let mut second = lease("b", false).with_first_start(false);
-    second.observe(at(9100), log.read());
+    second.record_reading(at(9100), log.read());
     let holder = second.holder().map(|holder| holder.instance.as_str());
     assert_eq!(
         holder, None,
@@ -160,14 +160,14 @@
     let mut first = held("a", true, &mut log, 0);
     let copy = log.clone();
     let mut second = lease("b", true);
-    second.observe(at(5), log.read());
+    second.record_reading(at(5), log.read());
     let hand_over = first.hand_over(at(10), second.own_record().clone());
     log.restore(&copy);
     second.enter_era(at(20), log.era);
-    second.receive(at(30), hand_over.expect("it holds it"));
+    second.accept_hand_over(at(30), hand_over.expect("it holds it"));
     assert_eq!(second.fencing(at(30)), None);
     assert!(second.needs_read());
-    second.observe(at(40), log.read());
+    second.record_reading(at(40), log.read());
     act(&mut second, &mut log, 50);
     assert_eq!(second.fencing(at(50)), Some(1));
 }
@@ -178,13 +178,13 @@
     let mut log = Log::default();
     let mut first = held("a", false, &mut log, 0);
     let mut second = lease("b", false);
-    second.observe(at(5), log.read());
+    second.record_reading(at(5), log.read());
     let hand_over = first.hand_over(at(10), second.own_record().clone());
     let copy = log.clone();
     log.restore(&copy);
     second.enter_era(at(8000), log.era);
-    second.receive(at(8010), hand_over.expect("it holds it"));
-    second.observe(at(8020), log.read());
+    second.accept_hand_over(at(8010), hand_over.expect("it holds it"));
+    second.record_reading(at(8020), log.read());
     act(&mut second, &mut log, 8030);
     assert_eq!(second.fencing(at(8030)), None);
 }
@@ -194,7 +194,7 @@
     let mut log = Log::default();
     log.restore(&Log::default());
     let mut first = lease("a", false).with_first_start(false);
-    first.observe(at(10), log.read());
+    first.record_reading(at(10), log.read());
     assert_eq!(first.proposal(at(20)), None);
     assert!(first.proposal(at(10 + TERM_MS)).is_some());
 }
@@ -208,7 +208,7 @@
     first.enter_era(at(100), log.era);
     act(&mut first, &mut log, 110);
     act(&mut first, &mut log, 120);
-    first.observe(at(130), stale_reading);
+    first.record_reading(at(130), stale_reading);
     assert_eq!(first.fencing(at(130)), Some(0));
     first.observe_end(
         at(140),
@@ -251,7 +251,7 @@
                 if let Some((end, record)) = leases[index].proposal(at(now)) {
                     // The write succeeds, but its answer is lost.
                     log.write(end, record);
-                    leases[index].unanswered(at(now));
+                    leases[index].record_unanswered(at(now));
                 }
             }
             3 => {
@@ -268,16 +268,16 @@
             5 => leases[index].observe_end(at(now), log.end()),
             6 | 7 => {
                 leases[index].enter_era(at(now), log.era);
-                leases[index].observe(at(now), log.read());
+                leases[index].record_reading(at(now), log.read());
             }
             _ => {
                 if let Some(handed) = in_transit.iter().position(|(to, _)| *to == index) {
                     let (_, handed) = in_transit.remove(handed);
-                    leases[index].receive(at(now), handed);
+                    leases[index].accept_hand_over(at(now), handed);
                 }
                 if leases[index].needs_read() {
                     leases[index].enter_era(at(now), log.era);
-                    leases[index].observe(at(now), log.read());
+                    leases[index].record_reading(at(now), log.read());
                 }
                 act(&mut leases[index], &mut log, now);
             }
--- a/crates/fireflywheel/tests/fleet/lease/rig.rs
+++ b/crates/fireflywheel/tests/fleet/lease/rig.rs
@@ -68,17 +68,17 @@
             let position = log.write(end, record.clone());
             lease.enter_era(at(now), log.era);
             match position {
-                Some(position) => lease.accepted(at(now), position, &record),
-                None => lease.refused(end),
+                Some(position) => lease.record_accepted(at(now), position, &record),
+                None => lease.record_conflict(end),
             }
         }
-        None => lease.observe(at(now), log.read()),
+        None => lease.record_reading(at(now), log.read()),
     }
 }
 
 pub fn held(name: &str, fenced: bool, log: &mut Log, now: u64) -> Lease {
     let mut lease = lease(name, fenced);
-    lease.observe(at(now), log.read());
+    lease.record_reading(at(now), log.read());
     act(&mut lease, log, now);
     assert!(
         lease.fencing(at(now)).is_some(),
--- a/crates/fireflywheel/tests/fleet/limit.rs
+++ b/crates/fireflywheel/tests/fleet/limit.rs
@@ -224,7 +224,7 @@
                 now,
                 instance: &instance.name,
                 instances: scenario.instances,
-                steward: instance.linked,
+                has_steward: instance.linked,
             };
             while let Some(from) = instance.waiting.front().copied() {
                 if !instance.gate.is_open(view) {
--- a/crates/fireflywheel/tests/fleet/load.rs
+++ b/crates/fireflywheel/tests/fleet/load.rs
@@ -17,7 +17,7 @@
 const ENGINES: [&str; 6] = ["e1", "e2", "e3", "e4", "e5", "e6"];
 const PROMPT: Prompt = Prompt {
     tokens: 9190,
-    shared: 6300,
+    shared_tokens: 6300,
 };
 /// The number of different second parts behind the same first part of a prompt.
 const PARTS: usize = 34;
--- a/crates/fireflywheel/tests/fleet/plan.rs
+++ b/crates/fireflywheel/tests/fleet/plan.rs
@@ -35,7 +35,7 @@
         matches!(
             step,
             Step::Load {
-                tier: Tier::Store,
+                tier: Tier::WeightStore,
                 ..
             }
         )
@@ -106,7 +106,7 @@
     let mut world = World::new(8).fetching(0, "m0").pending("m2");
     world.max_fetches = 2;
     world.engines[1].making_room_for = Some("m3".into());
-    assert_eq!(world.steps(), [load(1, "m3", Tier::Store)]);
+    assert_eq!(world.steps(), [load(1, "m3", Tier::WeightStore)]);
 }
 
 fn store_loads_stay_within_limit() {
@@ -131,7 +131,7 @@
 fn prefill_wait_adds_replica() {
     let world = |millis| {
         let world = World::new(2).holding(0, "m1").all_on_disk(1);
-        world.running(0, "m1", 4).pressure(0, millis)
+        world.running(0, "m1", 4).prefill_wait(0, millis)
     };
     let disk_load = Step::Load {
         engine: 1,
@@ -145,7 +145,7 @@
 fn saturated_engine_is_relieved_from_store() {
     let is_relieved = |millis| {
         let world = World::new(2).holding(0, "m1").running(0, "m1", 4);
-        let mut world = world.pressure(0, millis);
+        let mut world = world.prefill_wait(0, millis);
         world.max_fetches = 1;
         let mut steps = world.steps().into_iter();
         steps.any(|step| matches!(step, Step::Load { engine: 1, model, .. } if model == "m1"))
@@ -167,7 +167,7 @@
     let fetches = |steps: &[Step], name: &str| {
         let mut steps = steps.iter();
         steps.any(
-            |step| matches!(step, Step::Load { model, tier: Tier::Store, .. } if model == name),
+            |step| matches!(step, Step::Load { model, tier: Tier::WeightStore, .. } if model == name),
         )
     };
     assert!(fetches(&world(7), "m1"), "the engine has a free slot");
--- a/crates/fireflywheel/tests/fleet/plan/world.rs
+++ b/crates/fireflywheel/tests/fleet/plan/world.rs
@@ -80,8 +80,8 @@
         self
     }
 
-    pub fn pressure(mut self, engine: usize, millis: u64) -> Self {
-        self.engines[engine].pressure = Duration::from_millis(millis);
+    pub fn prefill_wait(mut self, engine: usize, millis: u64) -> Self {
+        self.engines[engine].prefill_wait = Duration::from_millis(millis);
         self
     }
 
--- a/crates/fireflywheel/tests/fleet/settings.rs
+++ b/crates/fireflywheel/tests/fleet/settings.rs
@@ -36,7 +36,7 @@
     assert_eq!(settings.instance, "a1");
     assert!(settings.fenced);
     assert_eq!(settings.lease.term, Duration::from_secs(3));
-    assert_eq!(settings.connections, 1310);
+    assert_eq!(settings.max_connections, 1310);
 }
 
 fn advertised_address_defaults_to_peers() {
--- a/crates/fireflywheel/tests/fleet/successor.rs
+++ b/crates/fireflywheel/tests/fleet/successor.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fireflywheel::fleet::successor::{self, Own, Peer};
+use fireflywheel::fleet::successor::{self, Peer, Steward};
 
 use crate::cases;
 
@@ -23,62 +23,62 @@
     }
 }
 
-fn own(cpu_share: f64, store_fails: bool, read_ms: u64) -> Own {
-    Own {
+fn own(cpu_share: f64, store_fails: bool, read_ms: u64) -> Steward {
+    Steward {
         cpu_share,
         store_fails,
         read_age: Duration::from_millis(read_ms),
     }
 }
 
-fn assert_successor_of_stopping(peers: &[Peer], expected: Option<usize>) {
-    assert_eq!(successor::of_stopping(peers), expected);
+fn assert_successor_for_stopping(peers: &[Peer], expected: Option<usize>) {
+    assert_eq!(successor::for_stopping(peers), expected);
 }
 
-fn assert_successor_of_staying(own: Own, peers: &[Peer], expected: Option<usize>) {
-    assert_eq!(successor::of_staying(own, peers, DEADLINE), expected);
+fn assert_successor_for_running(own: Steward, peers: &[Peer], expected: Option<usize>) {
+    assert_eq!(successor::for_running(own, peers, DEADLINE), expected);
 }
 
-fn assert_standbys_read(own: Own, peers: &[Peer], expected: bool) {
-    assert_eq!(successor::standbys_read(own, peers), expected);
+fn assert_needs_standby_reads(own: Steward, peers: &[Peer], expected: bool) {
+    assert_eq!(successor::needs_standby_reads(own, peers), expected);
 }
 
 cases! {
     /// A planned stop. If the lease went to an instance that is leaving as well, it would move on at once.
-    planned_stop => assert_successor_of_stopping(&[peer(0.1, 0), leaving(0.9), peer(0.5, 60_000)], Some(2));
+    planned_stop => assert_successor_for_stopping(&[peer(0.1, 0), leaving(0.9), peer(0.5, 60_000)], Some(2));
     /// There is no instance left to hand the lease to.
-    no_peer_stays => assert_successor_of_stopping(&[leaving(0.5)], None);
+    no_peer_stays => assert_successor_for_stopping(&[leaving(0.5)], None);
     /// The store refuses the steward's calls and answers a standby. Until the steward is answered again no
     /// changes would be announced, and all instances would read the store at once, the last of them later
     /// than the deadline for applying a configuration.
-    store_refuses_steward => assert_successor_of_staying(own(0.5, true, 2000), &[peer(0.5, 60_000), peer(0.5, 300)], Some(1));
+    store_refuses_steward => assert_successor_for_running(own(0.5, true, 2000), &[peer(0.5, 60_000), peer(0.5, 300)], Some(1));
     /// The store refuses a strong steward, and a weak instance has just read it. Strong standbys will read
     /// within a moment; a weak steward would have to hand over again, and all instances would reconnect
     /// twice.
-    store_refuses_steward_with_fresh_weak_peer => assert_successor_of_staying(own(0.5, true, 1_600), &[peer(0.084, 300), peer(0.5, 9_000)], None);
+    store_refuses_steward_with_fresh_weak_peer => assert_successor_for_running(own(0.5, true, 1_600), &[peer(0.084, 300), peer(0.5, 9_000)], None);
     /// The store answers no strong instance. Without any steward, all instances would read the store at
     /// once.
-    store_answers_weak_peer_only => assert_successor_of_staying(own(0.5, true, 3_000), &[peer(0.084, 300), peer(0.5, 9_000)], Some(0));
+    store_answers_weak_peer_only => assert_successor_for_running(own(0.5, true, 3_000), &[peer(0.084, 300), peer(0.5, 9_000)], Some(0));
     /// One call was lost. The next may be answered.
-    lost_call => assert_successor_of_staying(own(0.5, true, 900), &[peer(0.5, 300)], None);
+    lost_call => assert_successor_for_running(own(0.5, true, 900), &[peer(0.5, 300)], None);
     /// The store is unreachable for all instances, so no other steward would do better.
-    store_unreachable_for_all => assert_successor_of_staying(own(0.5, true, 9000), &[peer(0.5, 9000)], None);
+    store_unreachable_for_all => assert_successor_for_running(own(0.5, true, 9000), &[peer(0.5, 9000)], None);
     /// A weak instance took the lease while the strong ones were stopped. The work for the whole fleet
     /// occupies its processor, and callers of unloaded models wait for its orders.
-    weak_steward => assert_successor_of_staying(own(0.12, false, 300), &[peer(0.12, 0), peer(0.5, 600)], Some(1));
+    weak_steward => assert_successor_for_running(own(0.12, false, 300), &[peer(0.12, 0), peer(0.5, 600)], Some(1));
     /// The strong instance handed over because the store refuses it, and its reads are old. It would have
     /// to hand over again, and there would be no steward meanwhile.
-    weak_steward_with_strong_peer_without_store => assert_successor_of_staying(own(0.12, false, 300), &[peer(0.5, 60_000)], None);
+    weak_steward_with_strong_peer_without_store => assert_successor_for_running(own(0.12, false, 300), &[peer(0.5, 60_000)], None);
     /// The store answers one of two strong instances.
-    weak_steward_with_two_strong_peers => assert_successor_of_staying(own(0.12, false, 300), &[peer(0.6, 9_000), peer(0.5, 1_500)], Some(1));
+    weak_steward_with_two_strong_peers => assert_successor_for_running(own(0.12, false, 300), &[peer(0.6, 9_000), peer(0.5, 1_500)], Some(1));
     /// A weak steward cannot tell which standbys the store answers unless they read.
-    standbys_of_weak_steward_read => assert_standbys_read(own(0.12, false, 300), &[peer(0.5, 60_000)], true);
+    standbys_of_weak_steward_read => assert_needs_standby_reads(own(0.12, false, 300), &[peer(0.5, 60_000)], true);
     /// The same for a steward that the store refuses.
-    standbys_of_refused_steward_read => assert_standbys_read(own(0.5, true, 900), &[peer(0.5, 60_000)], true);
+    standbys_of_refused_steward_read => assert_needs_standby_reads(own(0.5, true, 900), &[peer(0.5, 60_000)], true);
     /// A strong steward does not ask for reads, because each costs a call to the store.
-    standbys_of_strong_steward_do_not_read => assert_standbys_read(own(0.5, false, 300), &[peer(0.5, 60_000)], false);
+    standbys_of_strong_steward_do_not_read => assert_needs_standby_reads(own(0.5, false, 300), &[peer(0.5, 60_000)], false);
     /// A slightly stronger instance is not worth reconnecting all instances.
-    slightly_stronger_peer => assert_successor_of_staying(own(0.3, false, 300), &[peer(0.5, 0)], None);
+    slightly_stronger_peer => assert_successor_for_running(own(0.3, false, 300), &[peer(0.5, 0)], None);
     /// A strong instance that is about to stop would hand the lease back.
-    leaving_strong_peer => assert_successor_of_staying(own(0.12, false, 300), &[leaving(0.5)], None);
+    leaving_strong_peer => assert_successor_for_running(own(0.12, false, 300), &[leaving(0.5)], None);
 }
--- a/crates/fireflywheel/tests/fleet/tracker.rs
+++ b/crates/fireflywheel/tests/fleet/tracker.rs
@@ -17,10 +17,10 @@
         id: "e1".into(),
         group: "engines".into(),
         address: ([127, 0, 0, 1], 9).into(),
-        domain: "a".into(),
+        failure_domain: "a".into(),
         slots: 16,
         ready: true,
-        leaves: None,
+        stops_at: None,
         started_ms: 1,
         revision: 0,
         held: Held::default(),
@@ -47,7 +47,7 @@
     Step::Load {
         engine: 0,
         model: model.into(),
-        tier: Tier::Store,
+        tier: Tier::WeightStore,
     }
 }
 
--- a/crates/fireflywheel_daemon/src/fleet/access.rs
+++ b/crates/fireflywheel_daemon/src/fleet/access.rs
@@ -66,12 +66,15 @@
         organisation: &organisation::Organisation,
         call: &platform::Call,
     ) -> Result<Option<node::Charge>, errors::Problem> {
-        self.node.charge(organisation, call.tokens).map_err(|wait| {
-            let left = call.deadline.unwrap_or(wait);
-            let message = format_smolstr!("organisation {} is over its quota", organisation.name);
-            errors::Problem::new(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
-                .with_retry_after(retry_after(wait, left))
-        })
+        self.node
+            .charge(organisation, call.total_tokens)
+            .map_err(|wait| {
+                let left = call.deadline.unwrap_or(wait);
+                let message =
+                    format_smolstr!("organisation {} is over its quota", organisation.name);
+                errors::Problem::new(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
+                    .with_retry_after(retry_after(wait, left))
+            })
     }
 }
 
--- a/crates/fireflywheel_daemon/src/fleet/attempt.rs
+++ b/crates/fireflywheel_daemon/src/fleet/attempt.rs
@@ -41,7 +41,7 @@
     /// The organisation that sent the request; `None` if it is anonymous or the configuration has no organisations.
     pub organisation: Option<SmolStr>,
     /// The priority; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// When the request arrived.
     pub arrived: clock::Instant,
     /// When the final response is due.
@@ -105,28 +105,28 @@
     P: platform::Platform,
 {
     let now = node.now();
-    let left = job.deadline.since(now);
-    if left.is_zero() {
+    let remaining = job.deadline.since(now);
+    if remaining.is_zero() {
         return Outcome::NotRun("no time left");
     }
     let server = &chosen.server;
     let mut in_flight = node.register_in_flight(chosen, &job.queue);
-    let request = build_request(&node.platform, job, chosen, left, last_event);
+    let request = build_request(&node.platform, job, chosen, remaining, last_event);
     let pending = node
         .pool
         .send(now, chosen.address, chosen.connections, request);
     tokio::pin!(pending);
-    let timeout = node.response_timeout(&job.route.name).unwrap_or(left);
-    let within_timeout = time::timeout(left.min(timeout), &mut pending).await;
+    let timeout = node.response_timeout(&job.route.name).unwrap_or(remaining);
+    let within_timeout = time::timeout(remaining.min(timeout), &mut pending).await;
     let sent = match within_timeout {
         Ok(sent) => sent,
-        Err(_) if timeout >= left => return Outcome::TimedOut,
+        Err(_) if timeout >= remaining => return Outcome::TimedOut,
         Err(_) => {
             node.record_outcome(server, node::ServerOutcome::Failed);
             if on_timeout == OnTimeout::Abandon {
                 return Outcome::Lost("silent");
             }
-            match time::timeout(left - timeout, pending).await {
+            match time::timeout(remaining - timeout, pending).await {
                 Ok(sent) => sent,
                 Err(_) => return Outcome::TimedOut,
             }
@@ -134,7 +134,7 @@
     };
     let (response, connection) = match sent {
         Ok(sent) => sent,
-        Err(fault) => return handle_fault(node, server, fault),
+        Err(error) => return handle_pool_error(node, server, error),
     };
     let (head, body) = response.into_parts();
     let reply = node.platform.read_reply(&head);
@@ -142,7 +142,7 @@
         node.record_load_report(server, load);
     }
     let limit = node::Answer {
-        per_second: reply.limit,
+        per_second: reply.rate_limit,
         sent: now,
         authentic: reply.authentic,
     };
@@ -188,9 +188,9 @@
 where
     P: platform::Platform,
 {
-    let left = job.deadline.since(node.now());
+    let remaining = job.deadline.since(node.now());
     let collecting = Limited::new(response.body, MAX_BUFFERED_RESPONSE_BYTES).collect();
-    let Ok(collected) = time::timeout(left, collecting).await else {
+    let Ok(collected) = time::timeout(remaining, collecting).await else {
         return Err(Outcome::TimedOut);
     };
     let Ok(collected) = collected else {
@@ -207,7 +207,7 @@
         },
     );
     node.pool
-        .keep(node.now(), response.connection, response.reply.keep_alive);
+        .release(node.now(), response.connection, response.reply.keep_alive);
     Ok((response.head, collected.to_bytes()))
 }
 
@@ -215,7 +215,7 @@
     platform: &P,
     job: &Job,
     chosen: &node::Chosen,
-    left: Duration,
+    remaining: Duration,
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>>
 where
@@ -230,8 +230,8 @@
     }
     let attempt = platform::Attempt {
         server: &chosen.server,
-        left,
-        rank: job.rank,
+        remaining,
+        priority: job.priority,
         last_event,
         organisation: job.organisation.as_deref(),
     };
@@ -239,23 +239,23 @@
     request
 }
 
-fn handle_fault<P>(node: &Arc<node::Node<P>>, server: &str, fault: pool::Fault) -> Outcome<P>
+fn handle_pool_error<P>(node: &Arc<node::Node<P>>, server: &str, error: pool::Error) -> Outcome<P>
 where
     P: platform::Platform,
 {
-    match fault {
-        pool::Fault::Unreachable => {
+    match error {
+        pool::Error::Unreachable => {
             node.record_outcome(server, node::ServerOutcome::Unreachable);
-            Outcome::NotRun(fault.as_str())
+            Outcome::NotRun(error.as_str())
         }
-        pool::Fault::Full => {
+        pool::Error::NoConnectionFree => {
             node.record_outcome(server, node::ServerOutcome::Full);
-            Outcome::NotRun(fault.as_str())
+            Outcome::NotRun(error.as_str())
         }
-        pool::Fault::Unsent => Outcome::NotRun(fault.as_str()),
-        pool::Fault::Lost => {
+        pool::Error::Unsent => Outcome::NotRun(error.as_str()),
+        pool::Error::Lost => {
             node.record_outcome(server, node::ServerOutcome::Failed);
-            Outcome::Lost(fault.as_str())
+            Outcome::Lost(error.as_str())
         }
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/daemon.rs
+++ b/crates/fireflywheel_daemon/src/fleet/daemon.rs
@@ -126,7 +126,7 @@
 
     /// Waits until a background task ends, which must never happen. The process should then be restarted, because it
     /// can't work without one of its tasks.
-    pub async fn failed(&mut self) {
+    pub async fn wait_for_failure(&mut self) {
         let ended = self.tasks.join_next().await;
         let why = ended
             .and_then(Result::err)
@@ -137,7 +137,7 @@
     /// Stops the instance without cutting off any request that can end within the grace period.
     pub async fn stop(mut self) {
         let started = self.node.now();
-        let grace = self.node.settings.grace.saturating_sub(STOP_MARGIN);
+        let grace = self.node.settings.grace_period.saturating_sub(STOP_MARGIN);
         log::info!(grace_ms = clock::millis(grace); "planned stop");
         self.node.drain(grace);
         self.steward.release().await;
@@ -159,10 +159,10 @@
 fn door_limits(settings: &settings::Settings) -> fireflywheel::settings::Limits {
     let limits = config::Limits::default();
     fireflywheel::settings::Limits {
-        connections: settings.connections,
+        connections: settings.max_connections,
         header_bytes: limits.header_bytes,
         body_bytes: limits.body_bytes,
-        idle: limits.idle,
+        idle: limits.idle_timeout,
         stream_buffer_bytes: STREAM_BUFFER_BYTES,
         queue: 0,
     }
--- a/crates/fireflywheel_daemon/src/fleet/links.rs
+++ b/crates/fireflywheel_daemon/src/fleet/links.rs
@@ -113,13 +113,13 @@
         }
         // An instance that can't read the lease from the store learns the steward from a standby; otherwise it would
         // have none until the store answers again.
-        if let Some(standby) = steward.standby() {
+        if let Some(standby) = steward.random_standby() {
             let result = run_link(&steward, &standby, OPEN_TIMEOUT).await;
             let why = result.err().map(|error| error.to_string());
             log::debug!(standby = standby.instance.as_str(), why = why.unwrap_or_default().as_str(); "queried a standby for the current steward");
             mark_unlinked(&steward);
         }
-        let delay = retry_delay(steward.node.instances());
+        let delay = retry_delay(steward.node.instance_count());
         time::sleep(retry.delay(delay, rand::random())).await;
     }
 }
@@ -131,7 +131,7 @@
     P: platform::Platform,
 {
     steward.set_linked(false);
-    steward.node.set_steward_link(false);
+    steward.node.set_has_steward(false);
 }
 
 fn retry_delay(instances: usize) -> Duration {
@@ -154,7 +154,7 @@
         }
         tokio::select! {
             () = node.demand_changed.notified() => timer.expire_within(node.now(), DEMAND_BATCH_DELAY),
-            () = node.usage_changed.notified() => timer.expire_within(node.now(), usage_delay(node.instances())),
+            () = node.usage_changed.notified() => timer.expire_within(node.now(), usage_delay(node.instance_count())),
             () = time::sleep(left) => {}
         }
     }
@@ -203,13 +203,13 @@
                 last_received = steward.node.now();
                 match frame {
                     Ok(frame::Frame::Demand(demand)) => {
-                        learn_era(steward, demand.era);
+                        observe_era(steward, demand.era);
                         steward.handle_demand(link_id, &demand);
                         steward.update_demand(&process_key, demand);
                     }
                     Ok(frame::Frame::Configuration(config)) => {
                         steward.node.apply_config(config, node::ConfigSource::Peer);
-                        steward.wake.notify_one();
+                        steward.plan_wake.notify_one();
                     }
                     Ok(_) => {}
                     Err(_) => break "broken",
@@ -276,8 +276,8 @@
                 handle_frame(steward, holder, frame)?;
                 last_received = steward.node.now();
                 if heartbeat
-                    && let Some(config) = steward.node.config_ahead(sent_version)
-                    && rand::random_bool(config_send_probability(steward.node.instances()))
+                    && let Some(config) = steward.node.config_newer_than_steward(sent_version)
+                    && rand::random_bool(config_send_probability(steward.node.instance_count()))
                 {
                     sent_version = config.version;
                     send(&mut socket, &frame::Frame::Configuration(config)).await?;
@@ -288,12 +288,12 @@
     }
 }
 
-fn learn_era<P>(steward: &steward::Steward<P>, era: Option<Era>)
+fn observe_era<P>(steward: &steward::Steward<P>, era: Option<Era>)
 where
     P: platform::Platform,
 {
     if let Some(era) = era {
-        steward.node.platform.learn_era(era);
+        steward.node.platform.observe_era(era);
     }
 }
 
@@ -338,20 +338,20 @@
             config_version,
             read_age_ms,
             stamp_ms,
-            standbys_read,
+            standbys_must_read,
             ..
         } => {
-            learn_era(steward, era);
+            observe_era(steward, era);
             let end = Position {
                 era: lease_era,
                 offset: lease_end,
             };
-            if steward.is_active() && !steward.is_overtaken(holder, end) {
+            if steward.is_active() && !steward.check_overtaken(holder, end) {
                 anyhow::bail!("this instance holds the lease");
             }
             steward.observe_steward(holder);
             steward.observe_lease_end(end);
-            if standbys_read && steward.node.is_standby() {
+            if standbys_must_read && steward.node.is_standby() {
                 steward.node.steward_reads.send_replace(node::StewardReads {
                     version: config_version,
                     ..node::StewardReads::default()
@@ -360,17 +360,17 @@
                 update_steward_reads(steward, config_version, read_age_ms, stamp_ms);
             }
             steward.node.extend_shares(clock::Instant(stamp_ms));
-            steward.node.learn_instances(instances as usize);
+            steward.node.update_instance_count(instances as usize);
             steward.set_linked(true);
-            steward.node.set_steward_link(true);
+            steward.node.set_has_steward(true);
         }
-        frame::Frame::Held(holdings) => steward.node.learn_holdings(holdings),
+        frame::Frame::Held(holdings) => steward.node.update_holdings(holdings),
         frame::Frame::AllEngines(complete) => steward.node.set_all_engines(complete),
-        frame::Frame::Limits(notices) => steward.node.learn_limits(&notices),
-        frame::Frame::Permits(replies) => steward.node.learn_permits(&replies),
-        frame::Frame::Shares(shares) => steward.node.learn_shares(shares),
-        frame::Frame::Load(loads) => steward.node.learn_load(&loads),
-        frame::Frame::Forecast(forecasts) => steward.node.learn_forecasts(forecasts),
+        frame::Frame::Limits(notices) => steward.node.update_limits(&notices),
+        frame::Frame::Permits(replies) => steward.node.handle_permit_replies(&replies),
+        frame::Frame::Shares(shares) => steward.node.replace_shares(shares),
+        frame::Frame::Load(loads) => steward.node.replace_loads(&loads),
+        frame::Frame::Forecast(forecasts) => steward.node.replace_forecasts(forecasts),
         frame::Frame::HandOver(hand_over) => {
             steward.accept_hand_over(hand_over);
             anyhow::bail!("the steward handed the lease over");
@@ -393,7 +393,7 @@
                 .node
                 .apply_config(config, node::ConfigSource::Steward);
         }
-        frame::Frame::Directory(changes) => steward.node.learn_entries(changes),
+        frame::Frame::Directory(changes) => steward.node.apply_directory_changes(changes),
         frame::Frame::Hello { .. } | frame::Frame::Demand(_) => {}
     }
     Ok(())
@@ -411,17 +411,17 @@
     let settings = &steward.node.settings;
     let demand_sent = clock::Instant(stamp_ms);
     let read_age = Duration::from_millis(read_age_ms.into());
-    let until = link::reads_valid_until(
+    let valid_until = link::reads_valid_until(
         steward.node.now(),
         demand_sent,
         read_age,
         settings.leaving_deadline.min(settings.config_deadline),
     );
-    if until.is_some() {
+    if valid_until.is_some() {
         steward.node.record_store_recovery();
     }
     let reads = node::StewardReads {
-        until,
+        valid_until,
         read: Some(demand_sent.before(read_age)),
         version,
     };
--- a/crates/fireflywheel_daemon/src/fleet/log_output.rs
+++ b/crates/fireflywheel_daemon/src/fleet/log_output.rs
@@ -88,7 +88,7 @@
 impl Writer {
     /// Returns whether the rate limit admits another line.
     fn is_within_limit(&self) -> bool {
-        let mut limit = self.limit.lock().expect("no panic while it was held");
+        let mut limit = self.limit.lock().expect("the lock is not poisoned");
         limit.try_acquire(self.clock.now())
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/metrics.rs
+++ b/crates/fireflywheel_daemon/src/fleet/metrics.rs
@@ -147,7 +147,7 @@
         let mut labelled = self
             .labelled_organisations
             .lock()
-            .expect("no panic while it was held");
+            .expect("the lock is not poisoned");
         let known = labelled.contains(organisation);
         if !known && labelled.len() < MAX_ORGANISATION_LABELS {
             labelled.insert(organisation.into());
@@ -164,7 +164,7 @@
     }
 
     /// Sets the version of the configuration in force.
-    pub fn set_version(&self, version: u64) {
+    pub fn set_config_version(&self, version: u64) {
         self.config_version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
--- a/crates/fireflywheel_daemon/src/fleet/node.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node.rs
@@ -3,11 +3,11 @@
 mod choice;
 mod demand;
 mod guard;
-mod knowledge;
 mod limit;
 mod quota;
 mod state;
 mod store;
+mod updates;
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StewardReads {
     /// Until when its reads replace this instance's own.
-    pub until: Option<Instant>,
+    pub valid_until: Option<Instant>,
     /// When it last read the store, or a later time.
     pub read: Option<Instant>,
     /// The newest configuration version that it knows of.
@@ -162,7 +162,7 @@
         let (version, routes) = (config.version, config.routes.len() as u64);
         let is_new = self.lock().apply_config(config);
         if is_new {
-            self.metrics.set_version(version);
+            self.metrics.set_config_version(version);
             self.wake();
         }
         log::info!(version = version, routes = routes, taken = is_new, reader = source.as_str(); "configuration read");
@@ -183,7 +183,7 @@
 
     /// The configuration in force, if it is later than the steward's and than `sent`.
     #[must_use]
-    pub fn config_ahead(&self, sent: u64) -> Option<Arc<config::Config>> {
+    pub fn config_newer_than_steward(&self, sent: u64) -> Option<Arc<config::Config>> {
         let known = self.steward_reads.borrow().version.max(sent);
         self.config().filter(|config| config.version > known)
     }
@@ -234,7 +234,7 @@
     /// Whether the steward's reads of the store replace this instance's own.
     #[must_use]
     pub fn steward_reads_valid(&self) -> bool {
-        let until = self.steward_reads.borrow().until;
+        let until = self.steward_reads.borrow().valid_until;
         until.is_some_and(|until| self.now() < until)
     }
 
@@ -256,7 +256,7 @@
 
     /// Number of instances that share limits, as far as it is known.
     #[must_use]
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.lock().instances.count()
     }
 
@@ -299,8 +299,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state
-            .lock()
-            .expect("no thread panics while it holds the lock")
+        self.state.lock().expect("the lock is not poisoned")
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/choice.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/choice.rs
@@ -65,7 +65,7 @@
     /// Servers that it was already sent to; they are left out if there are others.
     pub tried: &'a [SmolStr],
     /// How long it can still wait for a server.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// A server that was picked.
@@ -156,7 +156,7 @@
             let is_full = !open.is_empty() || !permitted.is_empty();
             let limited: Vec<SmolStr> = server_ids(&limited).cloned().collect();
             let expected = forecast_wait(&state, queue, now);
-            if state.request_permit(view, query.left, &limited) {
+            if state.request_permit(view, query.remaining, &limited) {
                 self.demand_changed.notify_one();
             }
             return match is_full {
@@ -170,9 +170,9 @@
             connections: (group.connections / state.instances.count()).max(1),
             prefill_tokens: picked.prefill_tokens,
         };
-        let is_down = queue.model.is_some() && picked.known.stats.is_down(now);
+        let is_unreachable = queue.model.is_some() && picked.known.stats.is_unreachable(now);
         if let Some(known) = state.servers.get_mut(&chosen.server) {
-            if is_down && !known.stats.try_probe(now) {
+            if is_unreachable && !known.stats.try_probe(now) {
                 return Choice::Unreachable;
             }
             known.limit.use_permit(view);
@@ -189,7 +189,10 @@
     ) -> Option<Picked<'a>> {
         let Query { route, call, .. } = query;
         let prompt = prompt(call);
-        let parts = call.shared.as_ref().map_or("", |shared| &shared.parts);
+        let parts = call
+            .shared_prefix
+            .as_ref()
+            .map_or("", |prefix| &prefix.parts);
         let cached_server =
             load::prefix_cache_server(prompt, parts, server_ids(servers).map(SmolStr::as_str));
         let prefill_tokens = |known: &state::ServerState| {
@@ -200,7 +203,7 @@
             .map(|known| routing::Candidate {
                 stats: &known.stats,
                 slots: known.server.slots,
-                same_domain: known.server.domain == self.settings.domain,
+                same_domain: known.server.failure_domain == self.settings.failure_domain,
                 other_requests: known.backlog.other_requests(now),
                 prefill_ratio: prefill_ratio(now, route, known, prefill_tokens(known)),
             })
@@ -218,7 +221,7 @@
             now,
             instance: &self.settings.instance,
             instances: state.instances.count(),
-            steward: state.has_steward,
+            has_steward: state.has_steward,
         }
     }
 
@@ -322,10 +325,13 @@
 }
 
 fn prompt(call: &platform::Call) -> load::Prompt {
-    let shared = call.shared.as_ref().map_or(0, |shared| shared.tokens);
+    let shared_tokens = call
+        .shared_prefix
+        .as_ref()
+        .map_or(0, |prefix| prefix.tokens);
     load::Prompt {
-        tokens: call.prompt_tokens.max(shared),
-        shared,
+        tokens: call.prompt_tokens.max(shared_tokens),
+        shared_tokens,
     }
 }
 
@@ -341,6 +347,6 @@
         return 0.0;
     }
     let tokens = known.backlog.prefill_tokens(now) + f64::from(prefill_tokens);
-    let objective = route.objective.max(MIN_OBJECTIVE);
+    let objective = route.latency_objective.max(MIN_OBJECTIVE);
     load::prefill_time(tokens).div_duration_f64(objective)
 }
--- a/crates/fireflywheel_daemon/src/fleet/node/demand.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/demand.rs
@@ -36,12 +36,12 @@
     /// The demand of this instance and its requests in flight, with the counts since the last call. `era` is
     /// the store's era, as far as it is known.
     #[must_use]
-    pub fn demand(&self, era: Option<Era>) -> demand::Demand {
+    pub fn take_demand(&self, era: Option<Era>) -> demand::Demand {
         let now = self.now();
         let mut state = self.lock();
         let arrived = std::mem::take(&mut state.arrived);
         let finished = std::mem::take(&mut state.finished);
-        let denied = std::mem::take(&mut state.servers_to_check);
+        let servers_to_check = std::mem::take(&mut state.servers_to_check);
         let subscriptions = state
             .pending_subscriptions
             .iter_mut()
@@ -52,10 +52,10 @@
                 model.clone()
             })
             .collect();
-        let (mut limits, mut permits) = (Vec::new(), Vec::new());
+        let (mut limit_notices, mut permit_requests) = (Vec::new(), Vec::new());
         for (id, known) in &mut state.servers {
-            limits.extend(known.limit.take_notice(now, id));
-            permits.extend(known.limit.take_request(now, id));
+            limit_notices.extend(known.limit.take_notice(now, id));
+            permit_requests.extend(known.limit.take_request(now, id));
         }
         let gates = state.quota_gates.iter_mut();
         let usage = gates
@@ -67,16 +67,20 @@
                 .iter()
                 .filter_map(|(key, queue)| queue_demand(now, key, queue))
                 .collect(),
-            running: state.servers.values_mut().flat_map(running).collect(),
+            running: state
+                .servers
+                .values_mut()
+                .flat_map(take_running_report)
+                .collect(),
             arrived: counts(arrived),
             finished: counts(finished),
             stamp_ms: now.0,
             leaving: state.stop_deadline.is_some(),
-            denied: denied.into_iter().collect(),
+            servers_to_check: servers_to_check.into_iter().collect(),
             usage,
             era,
-            limits,
-            permits,
+            limit_notices,
+            permit_requests,
             subscriptions,
             config_version: Some(state.config.as_ref().map_or(0, |config| config.version)),
             needs_config: state.needs_config,
@@ -123,7 +127,7 @@
     })
 }
 
-fn running(known: &mut state::ServerState) -> impl Iterator<Item = demand::Running> {
+fn take_running_report(known: &mut state::ServerState) -> impl Iterator<Item = demand::Running> {
     known.backlog.report_own(known.stats.in_flight);
     let server = &known.server.id;
     let running = known.running.iter();
--- a/crates/fireflywheel_daemon/src/fleet/node/limit.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/limit.rs
@@ -49,7 +49,7 @@
     }
 
     /// Applies the limits of all servers that announce one, as sent by the steward.
-    pub fn learn_limits(&self, notices: &[limit::Notice]) {
+    pub fn update_limits(&self, notices: &[limit::Notice]) {
         let now = self.now();
         let reported: BTreeMap<&SmolStr, f64> = notices
             .iter()
@@ -78,7 +78,7 @@
     }
 
     /// Applies the steward's replies to permit requests.
-    pub fn learn_permits(&self, replies: &[limit::Reply]) {
+    pub fn handle_permit_replies(&self, replies: &[limit::Reply]) {
         if replies.is_empty() {
             return;
         }
--- a/crates/fireflywheel_daemon/src/fleet/node/quota.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/quota.rs
@@ -12,7 +12,7 @@
 
 /// Number of instances assumed to share quotas, at least, until the steward has reported any shares: with too
 /// few, each instance's part would be too large.
-const MIN_ASSUMED_INSTANCES: usize = 300;
+const MIN_INSTANCES_WITHOUT_SHARES: usize = 300;
 
 /// A request that counts against its organisation's quota.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
         let mut state = self.lock();
         let shares_until = state.shares_until.filter(|_| self.settings.quotas.shared);
         let min_instances = if shares_until.is_none() {
-            MIN_ASSUMED_INSTANCES
+            MIN_INSTANCES_WITHOUT_SHARES
         } else {
             1
         };
@@ -78,7 +78,7 @@
     }
 
     /// Applies the share of each organisation's requests to admit, as sent by the steward.
-    pub fn learn_shares(&self, shares: Vec<quota::Share>) {
+    pub fn replace_shares(&self, shares: Vec<quota::Share>) {
         let now = self.now();
         let mut state = self.lock();
         for gate in state.quota_gates.values_mut() {
--- a/crates/fireflywheel_daemon/src/fleet/node/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/state.rs
@@ -241,7 +241,7 @@
     }
 
     /// Stores what an engine holds, as sent by the steward.
-    pub(super) fn store_holding(&mut self, holding: frame::Holding, now: clock::Instant) {
+    pub(super) fn store_holding(&mut self, holding: frame::EngineHoldings, now: clock::Instant) {
         let id = holding.entry.id.clone();
         self.upsert_server(holding.entry.server(now));
         if let Some(known) = self.servers.get_mut(&id) {
@@ -368,8 +368,8 @@
         queue: &'a QueueKey,
     ) -> impl Iterator<Item = &'a ServerState> {
         let in_time = move |known: &&ServerState| {
-            let leaves = known.server.leaves;
-            leaves.is_none_or(|at| now.after(LEAVING_MARGIN) < at)
+            let stops_at = known.server.stops_at;
+            stops_at.is_none_or(|at| now.after(LEAVING_MARGIN) < at)
         };
         self.servers
             .values()
--- a/crates/fireflywheel_daemon/src/fleet/node/store.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/store.rs
@@ -25,7 +25,7 @@
             tokio::pin!(recovered);
             // Enabled before the check, so that a recovery in between is not missed.
             recovered.as_mut().enable();
-            let delay = self.claim_store();
+            let delay = self.reserve_store_call();
             if delay.is_zero() {
                 return;
             }
@@ -49,14 +49,14 @@
 
     /// Whether the last call to the store had no usable answer.
     #[must_use]
-    pub fn store_fails(&self) -> bool {
+    pub fn is_store_failing(&self) -> bool {
         self.lock().store_backoff.is_failing()
     }
 
     /// How long a read may wait at the store for changes, if it usually waits for `usual_wait`.
     #[must_use]
     pub fn store_wait(&self, usual_wait: Duration) -> Duration {
-        self.lock().store_backoff.wait(usual_wait)
+        self.lock().store_backoff.long_poll_wait(usual_wait)
     }
 
     /// Records whether a call to the store had a usable answer.
@@ -83,12 +83,12 @@
         }
     }
 
-    fn claim_store(&self) -> Duration {
+    fn reserve_store_call(&self) -> Duration {
         let now = self.now();
         let max_delay = self.max_retry_delay();
         self.lock()
             .store_backoff
-            .claim(now, max_delay, rand::random())
+            .reserve_call(now, max_delay, rand::random())
     }
 
     fn max_retry_delay(&self) -> Duration {
--- a/crates/fireflywheel_daemon/src/fleet/node/knowledge.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/updates.rs
@@ -61,7 +61,7 @@
     }
 
     /// Applies the changes of the directory that the steward has sent.
-    pub fn learn_entries(&self, changes: frame::Changes) {
+    pub fn apply_directory_changes(&self, changes: frame::Changes) {
         let now = self.now();
         let mut state = self.lock();
         state.steward_entries_received = true;
@@ -72,7 +72,7 @@
         });
         let mut gone: Vec<SmolStr> = unnamed.map(|known| known.server.id.clone()).collect();
         drop(state);
-        gone.extend(changes.gone);
+        gone.extend(changes.removed);
         let servers = changes.entries.into_iter().map(|entry| entry.server(now));
         let changed = servers.map(|server| (server.id.clone(), Some(server)));
         let gone = gone.into_iter().map(|id| (id, None));
@@ -82,12 +82,12 @@
 
     /// Whether the steward has sent entries since the last call: they may be older than this instance's own
     /// reads.
-    pub fn take_entries_told(&self) -> bool {
+    pub fn take_steward_entries_received(&self) -> bool {
         std::mem::take(&mut self.lock().steward_entries_received)
     }
 
     /// Stores what engines hold, as sent by the steward.
-    pub fn learn_holdings(&self, holdings: frame::Holdings) {
+    pub fn update_holdings(&self, holdings: frame::Holdings) {
         let now = self.now();
         let mut state = self.lock();
         let holders: BTreeSet<SmolStr> = holdings
@@ -106,7 +106,7 @@
     }
 
     /// Stores what an engine holds, as learned by this instance as steward.
-    pub fn learn_held(&self, holding: frame::Holding) {
+    pub fn record_own_holding(&self, holding: frame::EngineHoldings) {
         let mut state = self.lock();
         if let Some(known) = state.servers.get_mut(&holding.entry.id)
             && known.server.started_ms == holding.entry.started_ms
@@ -147,7 +147,7 @@
     }
 
     /// Sets whether the steward sends what engines hold.
-    pub fn set_steward_link(&self, linked: bool) {
+    pub fn set_has_steward(&self, linked: bool) {
         let catches_up_at = self.now().after(state::DIRECTORY_CATCH_UP_TIME);
         let mut state = self.lock();
         state.has_steward = linked;
@@ -170,7 +170,7 @@
     }
 
     /// Stores when models become available, as forecast by the steward; replaces its earlier forecasts.
-    pub fn learn_forecasts(&self, forecasts: Vec<frame::Forecast>) {
+    pub fn replace_forecasts(&self, forecasts: Vec<frame::Forecast>) {
         let now = self.now();
         let mut state = self.lock();
         state.forecasts = forecasts
@@ -185,7 +185,7 @@
     }
 
     /// Stores the loads of engines, as sent by the steward in the order of the engines' ids.
-    pub fn learn_load(&self, loads: &[load::Load]) {
+    pub fn replace_loads(&self, loads: &[load::Load]) {
         let now = self.now();
         let mut state = self.lock();
         for known in state.servers.values_mut() {
@@ -198,7 +198,7 @@
     }
 
     /// Stores the number of instances that the steward counts.
-    pub fn learn_instances(&self, instances: usize) {
+    pub fn update_instance_count(&self, instances: usize) {
         let now = self.now();
         self.lock().instances.update(now, instances);
     }
--- a/crates/fireflywheel_daemon/src/fleet/platform.rs
+++ b/crates/fireflywheel_daemon/src/fleet/platform.rs
@@ -32,13 +32,13 @@
     /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// The start of the prompt, which other requests may share.
-    pub shared: Option<Shared>,
+    pub shared_prefix: Option<SharedPrefix>,
     /// The id of the last event that the caller received from an earlier attempt.
     pub last_event: Option<u64>,
     /// The key that the request carries.
     pub identity: Identity,
     /// The length of the prompt plus the maximum length of the answer, in tokens, if the request states them.
-    pub tokens: Option<u32>,
+    pub total_tokens: Option<u32>,
 }
 
 /// How a request identifies its organisation.
@@ -55,7 +55,7 @@
 
 /// The start of a prompt. A server that has all parts of it in its prefix cache need not process them again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shared {
+pub struct SharedPrefix {
     /// The names of the parts, in order.
     pub parts: SmolStr,
     /// The total length of the parts in tokens.
@@ -68,9 +68,9 @@
     /// The id of the server that is to run the request; no other server may run it.
     pub server: &'a str,
     /// The time left until the caller's deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The priority; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// The id of the last event that the caller has, if the attempt resumes a stream.
     pub last_event: Option<u64>,
     /// The organisation that sent the request.
@@ -91,7 +91,7 @@
     /// The load of the server, if the response reports it.
     pub load: Option<routing::Report>,
     /// The server's rate limit in requests per second from all instances together, if it sets one.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// How long the server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
@@ -106,7 +106,7 @@
     /// The fencing number of the lease holder.
     pub fencing: u64,
     /// The number of orders that the engine must have accepted before this one.
-    pub after: u64,
+    pub accepted_orders: u64,
     /// The change that the order makes.
     pub change: Change<'a>,
 }
@@ -142,14 +142,14 @@
 
 /// An error of a call to the platform's store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum StoreError {
     /// There was no answer, or one that can't be parsed. A write may have been done, or may still be done later.
     Lost(SmolStr),
     /// The store refused the call with this HTTP status and did nothing.
     Refused(u16),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Lost(why) => write!(f, "no usable answer: {why}"),
@@ -158,7 +158,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StoreError {}
 
 /// A platform adapter of one instance.
 pub trait Platform: Send + Sync + 'static {
@@ -190,10 +190,10 @@
     fn ready_path(&self) -> &'static str;
 
     /// Builds the request that sends an order to an engine.
-    fn order(&self, order: &Order<'_>) -> Request<Full<Bytes>>;
+    fn build_order(&self, order: &Order<'_>) -> Request<Full<Bytes>>;
 
     /// Builds the request for an engine's report.
-    fn report(&self) -> Request<Full<Bytes>>;
+    fn build_report_request(&self) -> Request<Full<Bytes>>;
 
     /// Parses an engine's report.
     ///
@@ -206,33 +206,33 @@
     fn era(&self) -> Option<Era>;
 
     /// Records an era of the store that another instance knows of. Answers from earlier eras are no longer valid.
-    fn learn_era(&self, era: Era);
+    fn observe_era(&self, era: Era);
 
     /// Waits up to `wait` for a configuration newer than the cursor.
-    fn configuration(
+    fn poll_config(
         &self,
         cursor: &mut Self::ConfigCursor,
         wait: Duration,
-    ) -> impl Future<Output = Result<Option<config::Config>, Fault>> + Send;
+    ) -> impl Future<Output = Result<Option<config::Config>, StoreError>> + Send;
 
     /// Reads what has changed in the directory since the cursor. When the whole directory is read in pages, there is a
     /// delay of `pause` between them.
-    fn directory<F>(
+    fn read_directory<F>(
         &self,
         cursor: &mut Self::DirectoryCursor,
         now: clock::Instant,
         pause: F,
-    ) -> impl Future<Output = Result<DirectoryUpdate, Fault>> + Send
+    ) -> impl Future<Output = Result<DirectoryUpdate, StoreError>> + Send
     where
         F: Fn() -> Duration + Send + Sync;
 
     /// Reads the newest record of the steward's lease.
-    fn read_lease(&self) -> impl Future<Output = Result<lease::Reading, Fault>> + Send;
+    fn read_lease(&self) -> impl Future<Output = Result<lease::Reading, StoreError>> + Send;
 
     /// Writes a record of the steward's lease if nothing has been written since `end`.
     fn write_lease(
         &self,
         end: Position,
         record: &lease::Record,
-    ) -> impl Future<Output = Result<WriteOutcome, Fault>> + Send;
+    ) -> impl Future<Output = Result<WriteOutcome, StoreError>> + Send;
 }
--- a/crates/fireflywheel_daemon/src/fleet/pool.rs
+++ b/crates/fireflywheel_daemon/src/fleet/pool.rs
@@ -26,7 +26,7 @@
 /// of a lost packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long an idle connection is kept if its server doesn't state a keep-alive timeout.
-const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(1500);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(1500);
 /// An idle connection is closed this long before its server would close it, so that no request is sent while the
 /// server closes the connection.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
@@ -92,24 +92,24 @@
 
 /// Why a request received no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum Error {
     /// No connection could be opened.
     Unreachable,
     /// This instance's share of the server's connections is in use.
-    Full,
+    NoConnectionFree,
     /// The connection ended before any byte of the request was written.
     Unsent,
     /// The connection ended later: the request may have arrived.
     Lost,
 }
 
-impl Fault {
+impl Error {
     /// Returns the name of the fault in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
-            Self::Full => "no connection free",
+            Self::NoConnectionFree => "no connection free",
             Self::Unsent => "connection ended unused",
             Self::Lost => "connection ended",
         }
@@ -122,14 +122,14 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if there is no response.
+    /// Returns a [`Error`] if there is no response.
     pub async fn send(
         &self,
         now: clock::Instant,
         address: SocketAddr,
         limit: usize,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, Connection), Fault> {
+    ) -> Result<(Response<Incoming>, Connection), Error> {
         let host = HeaderValue::from_str(&address.to_string()).ok();
         if let (false, Some(host)) = (request.headers().contains_key(HOST), host) {
             request.headers_mut().insert(HOST, host);
@@ -145,15 +145,20 @@
 
     /// Returns a connection to the pool after its response was read to the end. `keep_alive` is how long the server
     /// keeps it open while idle.
-    pub fn keep(&self, now: clock::Instant, connection: Connection, keep_alive: Option<Duration>) {
-        let kept_for = keep_alive.map_or(DEFAULT_KEEP_ALIVE, |stated| {
+    pub fn release(
+        &self,
+        now: clock::Instant,
+        connection: Connection,
+        keep_alive: Option<Duration>,
+    ) {
+        let kept_for = keep_alive.map_or(DEFAULT_IDLE_TIME, |stated| {
             stated.saturating_sub(KEEP_ALIVE_MARGIN)
         });
         if kept_for.is_zero() || connection.sender.is_closed() {
             return;
         }
         let expires = now.after(kept_for);
-        let mut servers = self.servers.lock().expect("no panic while it was held");
+        let mut servers = self.servers.lock().expect("the lock is not poisoned");
         let server = servers.entry(connection.address).or_default();
         server.idle.push(Idle {
             connection,
@@ -163,7 +168,7 @@
 
     /// Closes expired idle connections.
     pub fn sweep(&self, now: clock::Instant) {
-        let mut servers = self.servers.lock().expect("no panic while it was held");
+        let mut servers = self.servers.lock().expect("the lock is not poisoned");
         servers.retain(|_, server| {
             server
                 .idle
@@ -174,7 +179,7 @@
 
     /// Takes an idle connection that is ready for a request.
     fn take_idle(&self, now: clock::Instant, address: SocketAddr) -> Option<Connection> {
-        let mut servers = self.servers.lock().expect("no panic while it was held");
+        let mut servers = self.servers.lock().expect("the lock is not poisoned");
         let server = servers.get_mut(&address)?;
         server
             .idle
@@ -187,20 +192,20 @@
         Some(server.idle.remove(ready).connection)
     }
 
-    async fn open(&self, address: SocketAddr, limit: usize) -> Result<Connection, Fault> {
+    async fn open(&self, address: SocketAddr, limit: usize) -> Result<Connection, Error> {
         let open_count = self.open_count(address);
         if open_count.load(Ordering::Relaxed) >= limit {
-            return Err(Fault::Full);
+            return Err(Error::NoConnectionFree);
         }
         let guard = OpenGuard::new(open_count);
         let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else {
-            return Err(Fault::Unreachable);
+            return Err(Error::Unreachable);
         };
         // Without this, the last bytes of a request may wait for an acknowledgement (Nagle's algorithm).
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = handshake.map_err(|_| Fault::Unreachable)?;
+        let (sender, connection) = handshake.map_err(|_| Error::Unreachable)?;
         let task = tokio::spawn(async move {
             // The sender of the request receives the connection's error.
             let _ = connection.await;
@@ -214,16 +219,16 @@
     }
 
     fn open_count(&self, address: SocketAddr) -> Arc<AtomicUsize> {
-        let mut servers = self.servers.lock().expect("no panic while it was held");
+        let mut servers = self.servers.lock().expect("the lock is not poisoned");
         Arc::clone(&servers.entry(address).or_default().open_count)
     }
 }
 
-fn classify_error(error: &hyper::Error) -> Fault {
+fn classify_error(error: &hyper::Error) -> Error {
     // hyper reports a request as canceled if the connection ended before the request was written.
     if error.is_canceled() {
-        Fault::Unsent
+        Error::Unsent
     } else {
-        Fault::Lost
+        Error::Lost
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/relay.rs
+++ b/crates/fireflywheel_daemon/src/fleet/relay.rs
@@ -137,9 +137,9 @@
             route: route.clone(),
             queue,
             organisation: organisation.map(|organisation| organisation.name.clone()),
-            rank: organisation
-                .and_then(|organisation| organisation.rank)
-                .unwrap_or(route.rank),
+            priority: organisation
+                .and_then(|organisation| organisation.priority)
+                .unwrap_or(route.priority),
             arrived,
             deadline: arrived.after(limit.saturating_sub(ANSWER_MARGIN)),
         };
@@ -222,7 +222,7 @@
     ) -> Result<Response<door::Body>, attempt::Outcome<P>> {
         log::info!(
             request = job.call.id.as_str(), server = chosen.server.as_str(), sending = send_index as u64,
-            organisation = job.organisation.as_deref().unwrap_or_default(), tokens = job.call.tokens.unwrap_or_default(),
+            organisation = job.organisation.as_deref().unwrap_or_default(), tokens = job.call.total_tokens.unwrap_or_default(),
             waited_ms = clock::millis(self.node.now().since(job.arrived));
             "request sent"
         );
@@ -356,7 +356,7 @@
             queue: &job.queue,
             call: &job.call,
             tried,
-            left: give_up_at.since(now),
+            remaining: give_up_at.since(now),
         };
         let check_after = match node.choose(query) {
             node::Choice::Server(chosen) => return Ok(chosen),
@@ -476,7 +476,7 @@
 fn body_limits(limits: &config::Limits) -> settings::Limits {
     settings::Limits {
         body_bytes: limits.body_bytes,
-        idle: limits.idle,
+        idle: limits.idle_timeout,
         ..settings::Limits::default()
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/steward.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward.rs
@@ -67,7 +67,7 @@
     /// The instance.
     pub node: Arc<node::Node<P>>,
     /// Notified when there may be something to plan.
-    pub wake: Notify,
+    pub plan_wake: Notify,
     /// Notified when the lease should be checked.
     pub lease_wake: Notify,
     state: Mutex<State>,
@@ -112,7 +112,7 @@
             last_heartbeat: None,
             sent_config_version: 0,
             config: None,
-            config_bytes: settings.config_bytes,
+            config_broadcast_limit: settings.config_broadcast_limit,
             entries: BTreeMap::new(),
             loads_sent: (clock::Instant::default(), false),
             forecasts_sent_at: clock::Instant::default(),
@@ -128,7 +128,7 @@
         };
         Self {
             node,
-            wake: Notify::new(),
+            plan_wake: Notify::new(),
             lease_wake: Notify::new(),
             state: Mutex::new(state),
         }
@@ -170,7 +170,7 @@
     /// This instance's demand, and what it knows of the store.
     #[must_use]
     pub fn own_demand(&self) -> demand::Demand {
-        self.node.demand(self.node.platform.era())
+        self.node.take_demand(self.node.platform.era())
     }
 
     /// Records where the lease's record ends, as reported by the steward.
@@ -183,14 +183,14 @@
     pub fn update_demand(&self, instance: &SmolStr, demand: demand::Demand) {
         let now = self.node.now();
         let mut state = self.lock();
-        for server in &demand.denied {
+        for server in &demand.servers_to_check {
             if let Some(tracker) = state.trackers.get_mut(server) {
-                tracker.denied(now);
+                tracker.request_report(now);
             }
         }
         state.demands.update(now, instance.clone(), demand);
         drop(state);
-        self.wake.notify_one();
+        self.plan_wake.notify_one();
     }
 
     /// Registers the link of an instance and queues the frames with everything it has to know.
@@ -240,11 +240,12 @@
         let instance = &self.node.settings.instance;
         let mut state = self.lock();
         state.meter.record_usage(now, instance, &demand.usage);
-        state.record_limits(now, &demand.limits);
-        let replies = state.answer_permit_requests(now, pacer::Requester::Own, &demand.permits);
+        state.record_limits(now, &demand.limit_notices);
+        let replies =
+            state.answer_permit_requests(now, pacer::Requester::Own, &demand.permit_requests);
         drop(state);
         self.count_permits(&replies);
-        self.node.learn_permits(&replies);
+        self.node.handle_permit_replies(&replies);
     }
 
     /// Handles a demand that was received over a link.
@@ -286,9 +287,12 @@
             link.has_waiting = !demand.queues.is_empty();
         }
         if heartbeat.active {
-            state.record_limits(now, &demand.limits);
-            let replies =
-                state.answer_permit_requests(now, pacer::Requester::Link(number), &demand.permits);
+            state.record_limits(now, &demand.limit_notices);
+            let replies = state.answer_permit_requests(
+                now,
+                pacer::Requester::Link(number),
+                &demand.permit_requests,
+            );
             self.count_permits(&replies);
             state.send_permits(number, replies);
         }
@@ -303,12 +307,12 @@
     pub fn accept_hand_over(&self, hand_over: HandOver) {
         let now = self.node.now();
         let mut state = self.lock();
-        state.lease.receive(now, hand_over);
+        state.lease.accept_hand_over(now, hand_over);
         state.lease_known = true;
         drop(state);
         log::info!(fencing = hand_over.fencing; "lease received");
         self.lease_wake.notify_one();
-        self.wake.notify_one();
+        self.plan_wake.notify_one();
     }
 
     /// Records that another process answers at the address of the one that held the lease.
@@ -352,22 +356,25 @@
     #[must_use]
     pub fn instance_to_query(&self) -> Option<Record> {
         let mut state = self.lock();
-        if !state.links.is_empty() || !self.node.store_fails() {
+        if !state.links.is_empty() || !self.node.is_store_failing() {
             return None;
         }
         let rival = state.rival.take();
         drop(state);
-        rival.or_else(|| self.standby())
+        rival.or_else(|| self.random_standby())
     }
 
     /// Whether another active instance, whose lease record ends at `end`, has taken the lease from this one.
     #[must_use]
-    pub fn is_overtaken(&self, holder: &Record, end: Position) -> bool {
+    pub fn check_overtaken(&self, holder: &Record, end: Position) -> bool {
         let now = self.node.now();
-        let overtaken = self.lock().lease.overtaken(now, end, holder.clone());
+        let overtaken = self
+            .lock()
+            .lease
+            .observe_overtaking(now, end, holder.clone());
         if overtaken {
             log::info!(steward = holder.instance.as_str(); "another instance has taken the lease");
-            self.wake.notify_one();
+            self.plan_wake.notify_one();
         }
         overtaken
     }
@@ -379,7 +386,7 @@
 
     /// A random one of the standbys that were named last, other than this instance.
     #[must_use]
-    pub fn standby(&self) -> Option<Record> {
+    pub fn random_standby(&self) -> Option<Record> {
         let own_name = &self.node.settings.instance;
         let state = self.lock();
         let others = state.standbys.iter();
@@ -395,7 +402,7 @@
         state.remove_link(now, number, instance);
         state.demands.remove(process);
         drop(state);
-        self.wake.notify_one();
+        self.plan_wake.notify_one();
     }
 
     /// Plans and sends orders while this instance holds the lease. Never returns.
@@ -407,7 +414,7 @@
                 IDLE_PLAN_INTERVAL
             };
             tokio::select! {
-                () = self.wake.notified() => time::sleep(PLAN_DELAY).await,
+                () = self.plan_wake.notified() => time::sleep(PLAN_DELAY).await,
                 () = time::sleep(interval) => {}
             }
             let started_at = self.node.now();
@@ -429,7 +436,7 @@
             state.change_role(now, active_fencing);
             self.node.metrics.set_steward(active_fencing.is_some());
             self.node.set_acting_steward(active_fencing.is_some());
-            self.node.set_steward_link(active_fencing.is_some());
+            self.node.set_has_steward(active_fencing.is_some());
             self.node
                 .steward_reads
                 .send_replace(node::StewardReads::default());
@@ -442,7 +449,7 @@
         };
         if self.hand_over_if_needed(now, &mut state) {
             drop(state);
-            self.wake.notify_one();
+            self.plan_wake.notify_one();
             return;
         }
         let mut orders = Vec::new();
@@ -461,7 +468,7 @@
         let shares = state.send_shares(
             now,
             &config,
-            self.node.instances(),
+            self.node.instance_count(),
             self.node.settings.quotas.window,
         );
         if version != tracked_versions {
@@ -477,18 +484,18 @@
         let local = state.forecasts.clone();
         let reports = state.reports_due(now);
         drop(state);
-        self.node.learn_instances(instances);
-        self.node.learn_forecasts(local);
+        self.node.update_instance_count(instances);
+        self.node.replace_forecasts(local);
         if let Some(shares) = shares {
-            self.node.learn_shares(shares);
+            self.node.replace_shares(shares);
         }
         if let Some(loads) = loads {
-            self.node.learn_load(&loads);
+            self.node.replace_loads(&loads);
         }
         if let Some(notices) = notices {
-            self.node.learn_limits(&notices);
+            self.node.update_limits(&notices);
         }
-        self.node.learn_permits(&permits);
+        self.node.handle_permit_replies(&permits);
         for order in orders {
             self.spawn_order(order);
         }
@@ -507,7 +514,7 @@
             era: self.node.platform.era(),
             config_version: version,
             read_age: self.node.read_age(),
-            standbys_read: successor::standbys_read(
+            standbys_must_read: successor::needs_standby_reads(
                 self.own_candidate(),
                 &lease::successor_candidates(state).1,
             ),
@@ -528,7 +535,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic while it was held")
+        self.state.lock().expect("the lock is not poisoned")
     }
 }
 
--- a/crates/fireflywheel_daemon/src/fleet/steward/broadcast.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/broadcast.rs
@@ -100,7 +100,7 @@
             return;
         }
         let bytes = frame::Frame::Configuration(Arc::clone(config)).encode();
-        let all = self.links.len() * bytes.len() <= self.config_bytes;
+        let all = self.links.len() * bytes.len() <= self.config_broadcast_limit;
         self.config = Some((config.version, bytes));
         let config = self.config.as_ref();
         self.links
@@ -141,7 +141,7 @@
                     .filter(|entry| receives(&entry.group))
                     .cloned()
                     .collect(),
-                gone: Vec::new(),
+                removed: Vec::new(),
             }));
         }
         if all_engines {
@@ -157,7 +157,7 @@
 
     /// All engines, in frames of a size that a slow link can take between two heartbeats.
     fn engine_frames(&self, now: clock::Instant) -> Vec<frame::Frame> {
-        let engines: Vec<frame::Holding> = self
+        let engines: Vec<frame::EngineHoldings> = self
             .trackers
             .values()
             .map(|tracker| tracker.holding(now))
@@ -278,13 +278,13 @@
         };
         let mut subscribers: BTreeMap<SmolStr, BTreeSet<u64>> = BTreeMap::new();
         let changed = changes.entries.iter().map(|entry| &entry.id);
-        for id in changed.chain(&changes.gone) {
+        for id in changed.chain(&changes.removed) {
             let entry = self.entries.get(id).or_else(|| before.get(id));
             if entry.is_some_and(|entry| self.engine_groups.contains(&entry.group)) {
                 subscribers.insert(id.clone(), self.subscriptions.subscribers(id));
             }
         }
-        for id in &changes.gone {
+        for id in &changes.removed {
             self.subscriptions.update_engine(id, []);
         }
         let all = frame::Frame::Directory(changes.clone()).encode();
--- a/crates/fireflywheel_daemon/src/fleet/steward/lease.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/lease.rs
@@ -113,8 +113,8 @@
         let Some((end, record)) = record else {
             return;
         };
-        self.lock().lease.lost();
-        self.wake.notify_one();
+        self.lock().lease.mark_lost();
+        self.plan_wake.notify_one();
         let result = self.node.platform.write_lease(end, &record).await;
         log::info!(end = end.offset, given_up = matches!(result, Ok(platform::WriteOutcome::Stored(_))); "lease released");
     }
@@ -125,10 +125,10 @@
         let now = self.node.now();
         let mut state = self.lock();
         let (numbers, peers) = successor_candidates(&state);
-        let successor = successor::of_stopping(&peers).map(|index| numbers[index]);
+        let successor = successor::for_stopping(&peers).map(|index| numbers[index]);
         let handed_over = successor.is_some_and(|number| hand_over_to(now, &mut state, number));
         drop(state);
-        self.wake.notify_one();
+        self.plan_wake.notify_one();
         handed_over
     }
 
@@ -143,15 +143,15 @@
         let settings = &self.node.settings;
         let deadline = settings.leaving_deadline.min(settings.config_deadline);
         let (numbers, peers) = successor_candidates(state);
-        let successor = successor::of_staying(own, &peers, deadline).map(|index| numbers[index]);
+        let successor = successor::for_running(own, &peers, deadline).map(|index| numbers[index]);
         successor.is_some_and(|number| hand_over_to(now, state, number))
     }
 
     /// What the choice of a successor needs to know of this instance.
-    pub(super) fn own_candidate(&self) -> successor::Own {
-        successor::Own {
+    pub(super) fn own_candidate(&self) -> successor::Steward {
+        successor::Steward {
             cpu_share: self.node.settings.cpu_share,
-            store_fails: self.node.store_fails(),
+            store_fails: self.node.is_store_failing(),
             read_age: self.node.read_age(),
         }
     }
@@ -189,7 +189,10 @@
     fn lease_check_delay(&self) -> Duration {
         let now = self.node.now();
         let state = self.lock();
-        let due = state.lease.due(now).unwrap_or(IDLE_CHECK_INTERVAL);
+        let due = state
+            .lease
+            .next_action_in(now)
+            .unwrap_or(IDLE_CHECK_INTERVAL);
         let max_delay = if state.linked {
             IDLE_CHECK_INTERVAL
         } else {
@@ -221,12 +224,12 @@
             Ok(reading) => {
                 let mut state = self.lock();
                 self.update_era(self.node.now(), &mut state);
-                state.lease.observe(requested_at, reading);
+                state.lease.record_reading(requested_at, reading);
                 state.lease_known = true;
             }
             Err(error) => {
                 log::debug!(why = error.to_string().as_str(); "could not read lease");
-                self.lock().lease.unanswered(requested_at);
+                self.lock().lease.record_unanswered(requested_at);
             }
         }
     }
@@ -240,23 +243,23 @@
             Ok(platform::WriteOutcome::Stored(position)) => {
                 let mut state = self.lock();
                 self.update_era(self.node.now(), &mut state);
-                state.lease.accepted(sent_at, position, record);
+                state.lease.record_accepted(sent_at, position, record);
                 drop(state);
                 if is_takeover {
                     log::info!(offset = position.offset, era = position.era.0; "lease taken");
                 }
-                self.wake.notify_one();
+                self.plan_wake.notify_one();
             }
             Ok(platform::WriteOutcome::Conflict) => {
                 log::info!(end = end.offset, taken = is_takeover; "lease write rejected: another instance has written the lease");
                 let mut state = self.lock();
                 self.update_era(self.node.now(), &mut state);
-                state.lease.refused(end);
+                state.lease.record_conflict(end);
                 state.lease_known = false;
             }
             Err(error) => {
                 let mut state = self.lock();
-                state.lease.unanswered(sent_at);
+                state.lease.record_unanswered(sent_at);
                 state.lease_known = false;
                 drop(state);
                 log::info!(end = end.offset, why = error.to_string().as_str(); "lease write had no usable answer");
--- a/crates/fireflywheel_daemon/src/fleet/steward/link.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/link.rs
@@ -48,7 +48,7 @@
     pub(super) era: Option<Era>,
     pub(super) config_version: u64,
     pub(super) read_age: Duration,
-    pub(super) standbys_read: bool,
+    pub(super) standbys_must_read: bool,
 }
 
 impl Link {
@@ -108,7 +108,7 @@
             config_version: self.config_version,
             read_age_ms: frame::millis(self.read_age),
             stamp_ms,
-            standbys_read: self.standbys_read,
+            standbys_must_read: self.standbys_must_read,
         }
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/steward/orders.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/orders.rs
@@ -27,7 +27,7 @@
 /// Why an order or a report request has no answer.
 #[derive(Clone, Copy, Debug)]
 enum ExchangeError {
-    Fault(pool::Fault),
+    Pool(pool::Error),
     IncompleteBody,
     /// Either the engine or this instance itself may be slow.
     TimedOut,
@@ -36,7 +36,7 @@
 impl ExchangeError {
     fn as_str(self) -> &'static str {
         match self {
-            Self::Fault(fault) => fault.as_str(),
+            Self::Pool(error) => error.as_str(),
             Self::IncompleteBody => "response body is incomplete or too large",
             Self::TimedOut => "timed out waiting for the answer",
         }
@@ -80,7 +80,7 @@
             ..
         } => "load from disk",
         plan::Step::Load {
-            tier: plan::Tier::Store,
+            tier: plan::Tier::WeightStore,
             ..
         } => "load from the store",
         plan::Step::Unload { .. } => "unload",
@@ -106,7 +106,7 @@
     }
 
     async fn send_order(&self, order: state::Order) {
-        let Some((server, after)) = self.find_target(&order.server) else {
+        let Some((server, accepted_orders)) = self.find_target(&order.server) else {
             return;
         };
         // The process may have been suspended since the plan was made, so the lease is checked last.
@@ -114,11 +114,11 @@
         if fencing != Some(order.fencing) {
             return;
         }
-        let request = self.node.platform.order(&platform::Order {
+        let request = self.node.platform.build_order(&platform::Order {
             server: &order.server,
             holder: &self.node.settings.instance,
             fencing: order.fencing,
-            after,
+            accepted_orders,
             change: change(&order.step),
         });
         let answer = self.send_request(&server, request).await;
@@ -141,7 +141,7 @@
         let mut state = self.lock();
         if status == Some(StatusCode::PRECONDITION_FAILED) {
             // A later holder has sent orders to this engine. This fencing number is never used again.
-            state.lease.lost();
+            state.lease.mark_lost();
             drop(state);
             self.lease_wake.notify_one();
             return;
@@ -172,9 +172,9 @@
         };
         let requested_at = self.node.now();
         let answer = self
-            .send_request(&server, self.node.platform.report())
+            .send_request(&server, self.node.platform.build_report_request())
             .await;
-        let reached = !matches!(answer, Err(ExchangeError::Fault(pool::Fault::Unreachable)));
+        let reached = !matches!(answer, Err(ExchangeError::Pool(pool::Error::Unreachable)));
         let report = match answer {
             Ok((StatusCode::OK, body)) => self
                 .node
@@ -201,7 +201,7 @@
             }
         };
         let changed = tracker.report_received(requested_at, now, report);
-        if let Some(fetched) = tracker.take_fetched() {
+        if let Some(fetched) = tracker.take_finished_fetch() {
             let unshared_time = self.unshared_load_time(&server.group, &fetched.model);
             state.record_fetch(&fetched, unshared_time);
         }
@@ -218,9 +218,9 @@
     }
 
     /// Publishes a change in what an engine holds, first to this instance itself.
-    fn publish_holding(&self, holding: frame::Holding) {
-        self.node.learn_held(holding);
-        self.wake.notify_one();
+    fn publish_holding(&self, holding: frame::EngineHoldings) {
+        self.node.record_own_holding(holding);
+        self.plan_wake.notify_one();
     }
 
     fn find_target(&self, id: &str) -> Option<(server::Server, u64)> {
@@ -266,12 +266,14 @@
                 self.node
                     .pool
                     .send(self.node.now(), server.address, MAX_CONNECTIONS, request);
-            let (response, connection) = sending.await.map_err(ExchangeError::Fault)?;
+            let (response, connection) = sending.await.map_err(ExchangeError::Pool)?;
             let (head, body) = response.into_parts();
             let keep_alive = self.node.platform.read_reply(&head).keep_alive;
             let body = Limited::new(body, MAX_REPORT_BYTES).collect().await;
             let body = body.map_err(|_| ExchangeError::IncompleteBody)?.to_bytes();
-            self.node.pool.keep(self.node.now(), connection, keep_alive);
+            self.node
+                .pool
+                .release(self.node.now(), connection, keep_alive);
             Ok((head.status, body))
         };
         time::timeout(ANSWER_TIMEOUT, exchange)
--- a/crates/fireflywheel_daemon/src/fleet/steward/shares.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/shares.rs
@@ -59,7 +59,7 @@
             self.shares_logged_at.insert(name.clone(), now);
             log::info!(
                 organisation = name.as_str(), admit = f64::from(share.admit), offered = usage.offered,
-                used = usage.used, left = usage.level, reserved = usage.reserved;
+                used = usage.used, left = usage.burst_left, reserved = usage.reserved;
                 "organisation is over its quota"
             );
         }
--- a/crates/fireflywheel_daemon/src/fleet/steward/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/state.rs
@@ -74,7 +74,7 @@
     pub(super) config: Option<(u64, Bytes)>,
     /// Maximum total size in bytes at which a new configuration is sent to all instances: more would delay
     /// heartbeats until links are taken for dead.
-    pub(super) config_bytes: usize,
+    pub(super) config_broadcast_limit: usize,
     /// The directory as it was last sent.
     pub(super) entries: BTreeMap<SmolStr, frame::Entry>,
     /// When the loads of engines were last sent, and whether there were any.
@@ -268,14 +268,23 @@
 
     /// Records that a load from the weight store has ended, which takes `unshared_time` when no other load
     /// runs.
-    pub(super) fn record_fetch(&mut self, fetched: &tracker::Fetched, unshared_time: Duration) {
+    pub(super) fn record_fetch(
+        &mut self,
+        fetched: &tracker::FinishedFetch,
+        unshared_time: Duration,
+    ) {
         // The load is assumed to have shared the store with the mean of the numbers of loads at its start and
         // at its end, as loads start and end while it runs.
-        let concurrent_loads = (fetched.first + self.loading_from_store() + 1).div_ceil(2);
-        self.concurrency
-            .observe(fetched.first, concurrent_loads, unshared_time, fetched.took);
+        let concurrent_loads =
+            (fetched.concurrent_at_start + self.loading_from_store() + 1).div_ceil(2);
+        self.concurrency.observe(
+            fetched.concurrent_at_start,
+            concurrent_loads,
+            unshared_time,
+            fetched.load_time,
+        );
         log::info!(
-            model = fetched.model.as_str(), took_ms = clock::millis(fetched.took), at_once = concurrent_loads as u64,
+            model = fetched.model.as_str(), took_ms = clock::millis(fetched.load_time), at_once = concurrent_loads as u64,
             now_at_once = self.concurrency.limit() as u64;
             "load from the weight store ended"
         );
--- a/crates/fireflywheel_daemon/src/fleet/stream.rs
+++ b/crates/fireflywheel_daemon/src/fleet/stream.rs
@@ -134,12 +134,12 @@
                 self.log_complete();
                 self.node
                     .pool
-                    .keep(now, self.source.connection, self.source.keep_alive);
+                    .release(now, self.source.connection, self.source.keep_alive);
                 return;
             }
             let source = if end == End::Idle {
                 // Without another server, the run is kept: ending it would lose a stream that may still continue.
-                let Some(chosen) = self.find_alternative() else {
+                let Some(chosen) = self.reserve_alternative() else {
                     continue;
                 };
                 self.end_run();
@@ -248,7 +248,7 @@
     }
 
     /// Returns another server that can resume the stream immediately.
-    fn find_alternative(&self) -> Option<node::Chosen> {
+    fn reserve_alternative(&self) -> Option<node::Chosen> {
         if self.splitter.is_none() || self.runs >= self.job.route.attempts {
             return None;
         }
@@ -260,7 +260,7 @@
             queue: &job.queue,
             call: &job.call,
             tried: &tried,
-            left: Duration::ZERO,
+            remaining: Duration::ZERO,
         };
         match self.node.choose(query) {
             node::Choice::Server(chosen) if !tried.contains(&chosen.server) => {
--- a/crates/fireflywheel_daemon/src/fleet/watch.rs
+++ b/crates/fireflywheel_daemon/src/fleet/watch.rs
@@ -102,7 +102,7 @@
         node.wait_for_store().await;
         let wait = node.store_wait(wait);
         let read_started = node.now();
-        let result = node.platform.configuration(&mut cursor, wait).await;
+        let result = node.platform.poll_config(&mut cursor, wait).await;
         node.record_store_call("configuration", result.is_ok());
         match result {
             Ok(config) => {
@@ -140,7 +140,7 @@
         // the entries, and a read that was cancelled has returned only a part. A link may have sent entries older
         // than those read here: an incremental read would never report again that such a server is gone, and
         // callers of its models would be sent there for good.
-        if node.take_entries_told() || had_steward_reads {
+        if node.take_steward_entries_received() || had_steward_reads {
             cursor = P::DirectoryCursor::default();
         }
         node.wait_for_store().await;
@@ -151,7 +151,7 @@
         // A whole directory of thousands of entries occupies a slow network connection for seconds and delays the
         // steward's frames, so the read is cancelled once the steward's reads are valid.
         let result = tokio::select! {
-            result = node.platform.directory(&mut cursor, read_started, || page_delay(&node, first)) => result,
+            result = node.platform.read_directory(&mut cursor, read_started, || page_delay(&node, first)) => result,
             () = wait_for_steward_reads(&node) => continue,
         };
         node.record_store_call("directory", result.is_ok());
@@ -218,7 +218,7 @@
         let steward_reads = *changes.borrow_and_update();
         let now = node.now();
         let left = steward_reads
-            .until
+            .valid_until
             .map_or(Duration::ZERO, |until| until.since(now));
         if left.is_zero() {
             let polls = if node.is_acting_steward() {
