--- a/crates/fireflywheel/src/fleet/backoff.rs
+++ b/crates/fireflywheel/src/fleet/backoff.rs
@@ -27,9 +27,9 @@
 }
 
 impl Backoff {
-    /// Returns how long a caller has to wait, or zero if it may call now. While the store fails, one caller
-    /// at a time may call: the next may after another delay, or as soon as that call has succeeded.
-    /// `max_delay` is the longest delay.
+    /// Returns how long a caller has to wait. Zero reserves the call, and the caller must make it now. While
+    /// the store fails, one caller at a time may call: the next may after another delay, or as soon as that
+    /// call has succeeded. `max_delay` is the longest delay.
     pub fn reserve_call(
         &mut self,
         now: clock::Instant,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether the last call had no usable answer.
+    /// Whether a call has failed since the last recorded success.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         self.failures > 0
--- a/crates/fireflywheel/src/fleet/demand.rs
+++ b/crates/fireflywheel/src/fleet/demand.rs
@@ -35,7 +35,8 @@
     pub stamp_ms: u64,
     /// Whether the instance is stopping and can't become steward.
     pub leaving: bool,
-    /// The engines that didn't hold what the steward had reported of them.
+    /// The servers that were unreachable, or that lacked a model which they were thought to hold. The steward
+    /// requests a report from each of them.
     #[serde(rename = "denied")]
     pub servers_to_check: Vec<SmolStr>,
     /// The models whose engines the instance wants updates for.
--- a/crates/fireflywheel/src/fleet/lease.rs
+++ b/crates/fireflywheel/src/fleet/lease.rs
@@ -137,19 +137,25 @@
     store_restored: bool,
 }
 
+/// What an instance without the lease knows of it.
 #[derive(Clone, Debug)]
 struct Observation {
     /// The end of the record's log; `None` until it was read in the current era.
     end: Option<Position>,
+    /// The time from which the term of the holder counts on this instance's clock.
     since: clock::Instant,
+    /// The last known holder; `None` if none is known.
     holder: Option<Record>,
     /// The holder was reported by another instance and is not the one in the record.
     is_reported: bool,
 }
 
+/// The lease while this instance holds it.
 #[derive(Clone, Copy, Debug)]
 struct Tenure {
+    /// The fencing number for orders.
     fencing: u64,
+    /// The end of the record's log, at which the next renewal is written.
     end: Position,
     /// The era in which the lease was written or handed over; it is not valid in any other.
     era: Era,
@@ -517,8 +523,8 @@
         });
     }
 
-    /// Processes a proposal that was refused because another record was written at its end. If that may be
-    /// a late renewal by the predecessor that handed the lease over, only a reading of the record can show it,
+    /// Processes a proposal that was refused because another record was written at its end. If that may be a
+    /// late renewal by the predecessor that handed the lease over, only a reading of the record can show it,
     /// so the lease is kept. In another era the end says nothing.
     pub fn record_conflict(&mut self, end: Position) {
         if self.era != Some(end.era) {
--- a/crates/fireflywheel/src/fleet/limit/gate.rs
+++ b/crates/fireflywheel/src/fleet/limit/gate.rs
@@ -187,13 +187,13 @@
         }
     }
 
-    /// Requests a permit for a request that can wait for `left`. Returns whether the steward is to be
+    /// Requests a permit for a request that can wait for `remaining`. Returns whether the steward is to be
     /// asked; it is not if a request is already pending.
-    pub fn request_permit(&mut self, view: View<'_>, left: Duration) -> bool {
+    pub fn request_permit(&mut self, view: View<'_>, remaining: Duration) -> bool {
         self.drop_expired(view.now);
         let is_due = view.has_steward && self.is_limited() && !self.is_waiting(view.now);
         if is_due {
-            self.pending_request = Some(Pending::Unsent(left));
+            self.pending_request = Some(Pending::Unsent(remaining));
         }
         is_due
     }
@@ -237,13 +237,13 @@
 
     /// Takes the permit request that is to be sent to the steward.
     pub fn take_request(&mut self, now: clock::Instant, server: &SmolStr) -> Option<Request> {
-        let Some(Pending::Unsent(left)) = self.pending_request else {
+        let Some(Pending::Unsent(remaining)) = self.pending_request else {
             return None;
         };
         self.pending_request = Some(Pending::Sent(now));
         Some(Request {
             server: server.clone(),
-            max_wait_ms: frame::millis(left),
+            max_wait_ms: frame::millis(remaining),
         })
     }
 
--- a/crates/fireflywheel/src/fleet/limit/pacer.rs
+++ b/crates/fireflywheel/src/fleet/limit/pacer.rs
@@ -123,11 +123,11 @@
             return Outcome::Granted;
         }
         let wait = account.wait(account.queue.len());
-        let left = Duration::from_millis(request.max_wait_ms.into());
-        if wait > left {
+        let max_wait = Duration::from_millis(request.max_wait_ms.into());
+        if wait > max_wait {
             return Outcome::Refused(frame::millis(wait));
         }
-        let deadline = now.after(left);
+        let deadline = now.after(max_wait);
         account.queue.push_back(Waiter {
             requester,
             deadline,
--- a/crates/fireflywheel/src/fleet/load.rs
+++ b/crates/fireflywheel/src/fleet/load.rs
@@ -41,7 +41,7 @@
 pub struct Prompt {
     /// The number of all its tokens.
     pub tokens: u32,
-    /// The number of tokens at its start that other requests share.
+    /// The number of tokens at its start that other requests may share.
     pub shared_tokens: u32,
 }
 
--- a/crates/fireflywheel/src/fleet/mod.rs
+++ b/crates/fireflywheel/src/fleet/mod.rs
@@ -8,27 +8,27 @@
 //! | module | contents |
 //! |---|---|
 //! | [`config`] | the operator's configuration: routes, groups, models |
-//! | [`server`] | what is known of a backend server |
+//! | [`server`] | a backend server: its directory entry and what it holds |
 //! | [`era`] | detection of a store that was restored from an older copy |
 //! | [`lease`] | which instance is steward, and for how long it may act |
-//! | [`successor`] | the instance to which a steward hands over the lease |
+//! | [`successor`] | the choice of the instance to which a steward hands over the lease |
 //! | [`demand`] | the demand that instances report to the steward, and the rates estimated from it |
 //! | [`plan`] | which orders to send next |
-//! | [`tracker`] | the steward's view of one engine: its report, and orders that the report doesn't show yet |
+//! | [`tracker`] | the steward's view of one engine |
 //! | [`routing`] | the backend server that a request is sent to |
 //! | [`timeout`] | how long a request is kept, and when a refused caller should retry |
 //! | [`backoff`] | delays between calls to the platform's store after failed calls |
-//! | [`organisation`] | the organisations that are served, and the keys that identify them |
+//! | [`organisation`] | the organisations and the keys that identify them |
 //! | [`quota`] | limits of the requests of an organisation, over all instances |
 //! | [`limit`] | limits of the requests to an overloaded server, over all instances |
 //! | [`adaptive_timeout`] | the time after which a missing response of a server counts as lost |
-//! | [`retry_budget`] | the limit of retries, over all instances |
-//! | [`size`] | the number of instances that share such a limit |
+//! | [`retry_budget`] | the budget of retries that all instances share |
+//! | [`size`] | the number of instances that share a limit |
 //! | [`events`] | splitting of a stream into whole events |
 //! | [`rate`] | rate limits and measured rates |
 //! | [`settings`] | the settings of one process |
 //! | [`subscription`] | which instances receive updates of which engines |
-//! | [`link`] | timing of the link to the steward, and how long the steward's reads of the store stay valid |
+//! | [`link`] | timing of the link to the steward and of the steward's reads of the store |
 //! | [`load`] | the prompt tokens that engines have yet to prefill |
 //! | [`frame`] | the messages between instances and the steward |
 
--- a/crates/fireflywheel/src/fleet/plan.rs
+++ b/crates/fireflywheel/src/fleet/plan.rs
@@ -2,8 +2,9 @@
 //!
 //! Three facts shape the plan. A server executes one order at a time, and a load from the weight store blocks
 //! any other order for seconds. The weight store is slow and shared by all servers. A copy on a server's own
-//! disk loads in under a second. The store is therefore used for models without a copy on any server, a few
-//! loads at a time, and a model that was fetched once is swapped in from the servers that already store it.
+//! disk loads in under a second. The weight store is therefore used for models without a copy on any server,
+//! a few loads at a time, and a model that was fetched once is swapped in from the servers that already store
+//! it.
 
 pub mod concurrency;
 mod planner;
--- a/crates/fireflywheel/src/fleet/plan/planner.rs
+++ b/crates/fireflywheel/src/fleet/plan/planner.rs
@@ -14,21 +14,23 @@
 /// The prefill wait at each replica of a model above which another replica is loaded: half of the shortest
 /// objective for the first event.
 const HOT_PREFILL_WAIT: Duration = Duration::from_millis(400);
-/// The prefill wait above which another replica is fetched from the weight store even before models that no
-/// request waits for.
+/// The prefill wait above which another replica is loaded before all other models, and fetched from the
+/// weight store if necessary, even while models that no request waits for have no copy on any server.
 const SATURATED_PREFILL_WAIT: Duration = Duration::from_millis(1200);
 /// The time that a model stays in memory after its load, so that the requests that waited for it reach it
 /// before it can be evicted.
 const MIN_MODEL_RESIDENCE: Duration = Duration::from_millis(600);
 /// The time that an adapter stays in memory after its load, for the same reason as [`MIN_MODEL_RESIDENCE`].
 const MIN_ADAPTER_RESIDENCE: Duration = Duration::from_millis(300);
-/// The cost, in seconds, added for an engine that reports a limit: it is overloaded, so a model goes there
-/// only if every other placement takes this much longer.
+/// The cost, in seconds, added for an engine that reports a request limit, whether or not the demand reaches
+/// it. A model goes there only if every other placement takes this much longer.
 const LIMITED_ENGINE_PENALTY_S: f64 = 3.0;
 /// The arrival rate, in requests per second, assumed for models that are never requested, so that larger
 /// models are evicted before smaller ones.
 const MIN_ARRIVAL_RATE: f64 = 0.001;
-/// The weight of one second of waiting against one request per second that loses its replica.
+/// The weight, in the cost of a placement, of one second that requests have waited for the model. It lowers
+/// the costs of all placements of a model alike, and only placements of one model are compared, so it doesn't
+/// change which of them is chosen.
 const WAIT_WEIGHT: f64 = 1.0;
 
 /// A possible placement of a model on one engine.
@@ -38,6 +40,8 @@
     tier: Tier,
     /// The model to evict first; `None` if the model can be loaded at once.
     victim: Option<SmolStr>,
+    /// The sum of times in seconds and of the requests for other models that the placement delays or leaves
+    /// without a replica; one such request counts as one second.
     cost: f64,
 }
 
@@ -85,7 +89,8 @@
         }
     }
 
-    /// Loads models that requests wait for and that are in no engine's memory.
+    /// Loads models that requests wait for and that have no replica on a usable engine within its request
+    /// limit.
     pub(super) fn load_pending(&mut self) {
         let view = self.view;
         let mut seen = BTreeSet::new();
@@ -199,9 +204,10 @@
             .and_then(|(_, (model, adapter))| Some((model, adapter?)))
     }
 
-    /// Adds replicas of models that have more requests than all their engines run at once, before anything
-    /// else: if these loads queued at the weight store behind models that only an occasional caller requests,
-    /// most callers would be refused meanwhile.
+    /// Adds replicas of models whose engines are all full and have more requests than they run at once, or
+    /// whose prefill wait exceeds [`SATURATED_PREFILL_WAIT`]. This comes before loads for waiting requests:
+    /// if these loads queued at the weight store behind models that only an occasional caller requests, most
+    /// callers would be refused meanwhile.
     pub(super) fn replicate_saturated(&mut self) {
         for model in self.hot_models() {
             if self.is_saturated(model)
@@ -228,8 +234,8 @@
     fn hot_models(&self) -> Vec<&'a SmolStr> {
         let models = self.view.config.models.keys();
         let mut hot: Vec<(u32, &SmolStr)> = models
-            // Only a load from a disk or host memory counts: a copy from the store is ten seconds away, which
-            // is no reason to leave copies on other disks unused.
+            // Only a load from a disk or host memory counts: a copy from the weight store is ten seconds
+            // away, which is no reason to leave copies on other disks unused.
             .filter(|model| !self.survey.is_loading_locally(model))
             .filter_map(|model| {
                 let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
@@ -250,7 +256,8 @@
         many_requests || self.survey.prefill_wait(model) > SATURATED_PREFILL_WAIT
     }
 
-    /// Fetches models that no server stores, while the weight store is otherwise idle.
+    /// Fetches models of which no usable engine has a copy, the most requested first, as far as `max_fetches`
+    /// allows more fetches.
     pub(super) fn prefetch(&mut self) {
         let view = self.view;
         let mut unstored_models: Vec<SmolStr> = self.unstored_models().cloned().collect();
@@ -401,8 +408,8 @@
             && (is_redundant || self.survey.requests(model) == 0)
     }
 
-    /// Returns the cost of evicting this replica: the request rate that it serves, weighted by the time to
-    /// reload it.
+    /// Returns the cost of evicting this replica: the number of requests that it would receive in its reload
+    /// time and one second more.
     fn eviction_cost(&self, index: usize, model: &SmolStr) -> f64 {
         let engine = &self.view.engines[index];
         let replicas = self.survey.replicas(model).max(1) as f64;
@@ -413,7 +420,8 @@
         self.arrival_rate(model) / replicas * (1.0 + reload_time.as_secs_f64())
     }
 
-    /// Returns the arrival rate of models that this engine stores and that are in no engine's memory.
+    /// Returns the arrival rate of models that this engine stores and that have no replica on a usable engine
+    /// within its request limit.
     fn swap_rate(&self, index: usize) -> f64 {
         let held = &self.view.engines[index].held;
         held.on_disk
--- a/crates/fireflywheel/src/fleet/plan/survey.rs
+++ b/crates/fireflywheel/src/fleet/plan/survey.rs
@@ -12,15 +12,17 @@
 /// The totals of one view, by model.
 #[derive(Clone, Debug)]
 pub(super) struct Survey<'a> {
+    /// The usable engines that hold a model, without those whose request limit the demand exceeds.
     replicas: BTreeMap<&'a SmolStr, usize>,
     requests: BTreeMap<&'a SmolStr, u32>,
     waiting: BTreeMap<&'a SmolStr, u32>,
     /// The requests at engines that hold a model, beyond those that the engines run at once.
     excess: BTreeMap<&'a SmolStr, u32>,
-    /// The lowest prefill_wait among the engines that hold a model.
+    /// The shortest prefill wait among the engines that hold a model.
     prefill_wait: BTreeMap<&'a SmolStr, Duration>,
-    /// The models held by an engine that has a free slot.
+    /// The models that have a replica with a free slot.
     with_free_slot: BTreeSet<&'a SmolStr>,
+    /// The models that some engine stores on disk or in host memory.
     stored: BTreeSet<&'a SmolStr>,
     /// The models that some engine stores on disk or in host memory without holding them in memory.
     stored_unloaded: BTreeSet<&'a SmolStr>,
@@ -97,7 +99,7 @@
         survey
     }
 
-    /// Whether all usable engines that hold the model run as many requests as they can.
+    /// Whether the model has replicas and none of them has a free slot.
     pub(super) fn is_full(&self, model: &SmolStr) -> bool {
         self.replicas(model) > 0 && !self.with_free_slot.contains(model)
     }
@@ -107,7 +109,8 @@
         self.loading_locally.contains(model)
     }
 
-    /// Returns the number of usable engines that hold the model in memory.
+    /// Returns the number of usable engines that hold the model in memory, without those whose request limit
+    /// the demand exceeds.
     pub(super) fn replicas(&self, model: &SmolStr) -> usize {
         self.replicas.get(model).copied().unwrap_or_default()
     }
--- a/crates/fireflywheel/src/fleet/quota.rs
+++ b/crates/fireflywheel/src/fleet/quota.rs
@@ -79,7 +79,8 @@
         Ok((per_second > 0.0).then_some(quota))
     }
 
-    /// The cost of a request with this number of tokens, if it states them.
+    /// The cost of a request, as the quota counts it. `tokens` is `None` if the request does not state a
+    /// number of tokens.
     #[must_use]
     pub fn cost(&self, tokens: Option<u32>) -> f64 {
         match self.unit {
--- a/crates/fireflywheel/src/fleet/quota/meter.rs
+++ b/crates/fireflywheel/src/fleet/quota/meter.rs
@@ -20,8 +20,9 @@
 /// seconds of its rate if it has a smaller burst. A larger debt would exclude the organisation for long for
 /// an excess that no instance could know of.
 const MAX_DEBT_RATIO: f64 = 4.0;
-/// How long after its start a steward takes over the use before a link. A link that is opened later was
-/// connected to this steward before, so the steward has counted what was reported over it.
+/// How long after its start a steward charges for what an instance admitted before it opened its link. An
+/// instance that opens a link later had one to this steward before, so the steward has already counted what
+/// the instance reported.
 const INHERITANCE_PERIOD: Duration = Duration::from_secs(4);
 /// The part of the burst with which a new steward begins, because it does not know what was admitted
 /// before.
@@ -60,7 +61,9 @@
 /// One organisation's use of its quota.
 #[derive(Clone, Debug)]
 struct Account {
-    level: f64,
+    /// The remaining burst; negative if more was admitted than the quota allows.
+    burst_left: f64,
+    /// When `burst_left` was last increased by the quota's rate.
     filled_at: clock::Instant,
     /// When this steward began to count.
     started_at: clock::Instant,
@@ -100,7 +103,7 @@
         Some(Figures {
             offered: account.offered.per_second(now, OFFER_HALF_LIFE),
             used: account.admitted.per_second(now, USE_HALF_LIFE),
-            burst_left: account.level,
+            burst_left: account.burst_left,
             reserved: account.reserved_rate,
         })
     }
@@ -188,7 +191,7 @@
         let mut admitted = rate::Rate::default();
         admitted.add_rate(now, USE_HALF_LIFE, quota.per_second);
         Self {
-            level: quota.burst * INITIAL_BURST_RATIO,
+            burst_left: quota.burst * INITIAL_BURST_RATIO,
             filled_at: now,
             started_at: now,
             limit: Limit {
@@ -206,10 +209,11 @@
     }
 
     /// Charges a new steward's account for what was admitted beyond the quota before its links were opened.
-    fn inherit(&mut self, quota: &Quota, window: Duration, before: &[u32]) {
-        let spans = self.inherited.len().max(before.len());
+    /// `inherited` is what one instance admitted.
+    fn inherit(&mut self, quota: &Quota, window: Duration, inherited: &[u32]) {
+        let spans = self.inherited.len().max(inherited.len());
         self.inherited.resize(spans, 0.0);
-        for (sum, admitted) in self.inherited.iter_mut().zip(before) {
+        for (sum, admitted) in self.inherited.iter_mut().zip(inherited) {
             *sum += f64::from(*admitted);
         }
         let span = window.as_secs_f64() / f64::from(SPAN_COUNT);
@@ -219,7 +223,7 @@
             allowed += quota.per_second * span;
             debt = debt.max(admitted - allowed);
         }
-        self.level -= debt - self.inherited_debt;
+        self.burst_left -= debt - self.inherited_debt;
         self.inherited_debt = debt;
     }
 
@@ -231,7 +235,7 @@
         let admitted = f64::from(used.admitted);
         self.offered.add(now, OFFER_HALF_LIFE, used.offered.into());
         self.admitted.add(now, USE_HALF_LIFE, admitted);
-        self.level -= admitted;
+        self.burst_left -= admitted;
         let rate = self.by_instance.entry(instance.clone()).or_default();
         rate.add(now, USE_HALF_LIFE, admitted);
     }
@@ -249,7 +253,7 @@
         let per_second = (quota.per_second - reserved).max(0.0);
         self.fill(now, quota, per_second);
         let offered = self.offered.per_second(now, OFFER_HALF_LIFE);
-        let allowed = per_second + self.level / CORRECTION_TIME.as_secs_f64();
+        let allowed = per_second + self.burst_left / CORRECTION_TIME.as_secs_f64();
         if allowed >= offered {
             return 1.0;
         }
@@ -259,9 +263,10 @@
     fn fill(&mut self, now: clock::Instant, quota: &Quota, per_second: f64) {
         let elapsed = now.since(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
-        let min_level = -quota.burst.max(quota.per_second) * MAX_DEBT_RATIO - self.inherited_debt;
-        self.level = (self.level + elapsed * per_second)
+        let min_burst_left =
+            -quota.burst.max(quota.per_second) * MAX_DEBT_RATIO - self.inherited_debt;
+        self.burst_left = (self.burst_left + elapsed * per_second)
             .min(quota.burst)
-            .max(min_level);
+            .max(min_burst_left);
     }
 }
--- a/crates/fireflywheel/src/fleet/routing.rs
+++ b/crates/fireflywheel/src/fleet/routing.rs
@@ -4,15 +4,16 @@
 
 use crate::clock;
 
-/// The time for which a load report counts in full. Servers send one with each response.
+/// The age from which a server's load report is ignored. Servers send one with each response.
 const SERVER_REPORT_TTL: Duration = Duration::from_millis(1500);
 /// The half-life of the failure rate, which gives a failed server another chance a few seconds later.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
 /// The weight of one further failure or success in the failure rate.
 const FAILURE_SMOOTHING: f64 = 0.3;
-/// The cost of a failure rate of 1, in multiples of the server's slots in use.
+/// The cost of a failure rate of 1. A cost of 1 corresponds to as many requests as the server has slots.
 const FAILURE_WEIGHT: f64 = 3.0;
-/// The cost of sending a request to another failure domain: traffic between domains is charged for.
+/// The cost, in the same unit, of sending a request to another failure domain: traffic between domains is
+/// charged for.
 const CROSS_DOMAIN_COST: f64 = 0.02;
 /// The time for which an unreachable server isn't chosen while another candidate is reachable.
 const UNREACHABLE_HOLD_OFF: Duration = Duration::from_millis(1000);
@@ -20,8 +21,8 @@
 /// waiting requests tried it, they would use up their attempts and the retry budget within milliseconds and
 /// be refused before another replica is loaded.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// The time for which a server isn't chosen after another server has answered at its address. The directory
-/// entry disappears within seconds.
+/// The time for which a server counts as unreachable after another server has answered at its address: it is
+/// chosen only if no other candidate is reachable. The directory entry disappears within seconds.
 const REPLACED_HOLD_OFF: Duration = Duration::from_secs(10);
 /// The share of an engine's slots up to which it gets requests beyond those that it runs at once. More
 /// requests would only wait there, late and bound to that engine, while another replica of their model is
@@ -112,7 +113,7 @@
         self.unreachable_until = now.after(REPLACED_HOLD_OFF);
     }
 
-    /// Records that the server had no room for a request.
+    /// Records that the server had no room for a request, or that this instance had no free connection to it.
     pub fn record_full(&mut self, now: clock::Instant) {
         self.full_until = now.after(FULL_HOLD_OFF);
     }
@@ -142,8 +143,8 @@
 }
 
 impl Candidate<'_> {
-    /// Whether the server can run one more request within a short wait. Only the requests of other instances
-    /// tell, so a server without such a report has room until it refuses a request.
+    /// Whether the server can run one more request within a short wait, as far as is known. A server at which
+    /// the steward reports no requests of other instances counts as having room until it refuses a request.
     fn has_room(&self, now: clock::Instant) -> bool {
         let max_requests = f64::from(self.slots) * (1.0 + MAX_QUEUE_RATIO);
         let known_requests = f64::from(self.stats.in_flight + self.other_requests);
@@ -151,7 +152,8 @@
         now >= self.stats.full_until && !is_full
     }
 
-    /// Returns the cost of sending one more request to the server.
+    /// Returns the cost of sending one more request to the server. A cost of 1 corresponds to as many
+    /// requests as the server has slots.
     fn cost(&self, now: clock::Instant) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let mut cost = self.stats.load(now) / slots;
@@ -165,7 +167,7 @@
     }
 }
 
-/// Returns the index of the best candidate, or `None` if no candidate is known to have room. `draw` breaks
+/// Returns the index of the best candidate, or `None` if every candidate is known to be full. `draw` breaks
 /// ties, so that instances don't all choose the same server.
 #[must_use]
 pub fn pick(now: clock::Instant, candidates: &[Candidate<'_>], draw: u64) -> Option<usize> {
--- a/crates/fireflywheel/src/fleet/successor.rs
+++ b/crates/fireflywheel/src/fleet/successor.rs
@@ -35,7 +35,7 @@
 pub struct Steward {
     /// The steward's share of a processor.
     pub cpu_share: f64,
-    /// The steward's last call to the store had no usable answer.
+    /// The steward's calls to the store fail.
     pub store_fails: bool,
     /// The age of the steward's reads of the store.
     pub read_age: Duration,
--- a/crates/fireflywheel/src/fleet/tracker.rs
+++ b/crates/fireflywheel/src/fleet/tracker.rs
@@ -68,6 +68,7 @@
 #[derive(Clone, Debug)]
 struct Loading {
     model: SmolStr,
+    /// Whether the model is loaded from the weight store.
     fetch: bool,
     since: clock::Instant,
     /// The number of loads from the weight store when this one began, itself included.
@@ -265,7 +266,8 @@
         self.next_report_at = Some(now.after(REPORT_LAG));
     }
 
-    /// Records that the engine didn't hold a model that it was believed to hold.
+    /// Schedules a report now unless one is scheduled already: an instance could not reach the engine, or
+    /// found that it lacks a model which it was thought to hold.
     pub fn request_report(&mut self, now: clock::Instant) {
         self.next_report_at.get_or_insert(now);
     }
--- a/crates/fireflywheel_daemon/src/fleet/daemon.rs
+++ b/crates/fireflywheel_daemon/src/fleet/daemon.rs
@@ -17,7 +17,7 @@
 use super::platform;
 use super::relay;
 use super::steward;
-use super::{links, watch as store_watch};
+use super::{links, store_watch};
 use crate::door;
 use fireflywheel::fleet::settings;
 
--- a/crates/fireflywheel_daemon/src/fleet/links.rs
+++ b/crates/fireflywheel_daemon/src/fleet/links.rs
@@ -82,7 +82,7 @@
     let mut retry = link::Retry::default();
     loop {
         if steward.is_active() {
-            let demand = steward.own_demand();
+            let demand = steward.take_own_demand();
             steward.handle_own_demand(&demand);
             steward.update_demand(&steward.node.settings.instance, demand);
             let mut timer = link::Timer::new(steward.node.now(), steward::HEARTBEAT_INTERVAL);
@@ -259,7 +259,11 @@
     };
     send(&mut socket, &hello).await?;
     steward.node.link_opened();
-    send(&mut socket, &frame::Frame::Demand(steward.own_demand())).await?;
+    send(
+        &mut socket,
+        &frame::Frame::Demand(steward.take_own_demand()),
+    )
+    .await?;
     let mut last_received = steward.node.now();
     let mut timer = link::Timer::new(last_received, steward::HEARTBEAT_INTERVAL);
     let mut sent_version = 0;
@@ -268,7 +272,7 @@
         tokio::select! {
             biased;
             () = wait_for_demand(&mut timer, steward) => {
-                send(&mut socket, &frame::Frame::Demand(steward.own_demand())).await?;
+                send(&mut socket, &frame::Frame::Demand(steward.take_own_demand())).await?;
             }
             frame = receive(&mut socket) => {
                 let frame = frame?;
--- a/crates/fireflywheel_daemon/src/fleet/log_output.rs
+++ b/crates/fireflywheel_daemon/src/fleet/log_output.rs
@@ -2,9 +2,9 @@
 //!
 //! If the reader of standard output stopped reading, a direct write would block the process at its next line.
 //! Therefore lines go through a bounded queue to a separate thread. Lines that find the queue full are dropped and
-//! counted, and the count is written once there is room. When many requests fail, each of them writes several lines.
-//! Therefore lines below the warning level are rate limited: lines beyond the limit are dropped and counted before
-//! they are formatted.
+//! counted, and the count is written with a later line, at most once a second. When many requests fail, each of them
+//! writes several lines. Therefore lines below the warning level are rate limited: lines beyond the limit are dropped
+//! and counted before they are formatted.
 
 use std::io::{self, Write as _};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/fireflywheel_daemon/src/fleet/mod.rs
+++ b/crates/fireflywheel_daemon/src/fleet/mod.rs
@@ -6,18 +6,18 @@
 //! | module | purpose |
 //! |---|---|
 //! | [`daemon`] | starts and stops one instance |
-//! | [`platform`] | the interface that a platform adapter implements |
-//! | [`node`] | the state of the instance, behind one lock |
-//! | [`relay`] | handles callers' requests from arrival to the one final response |
-//! | `access` | authentication of callers and quotas of their organisations |
+//! | [`platform`] | defines the interface that a platform adapter implements |
+//! | [`node`] | holds the state of the instance |
+//! | [`relay`] | handles callers' requests from arrival to response |
+//! | `access` | authenticates callers and enforces the quotas of their organisations |
 //! | [`attempt`] | sends a request to one backend server and classifies the outcome |
-//! | [`stream`] | forwards streamed responses, and resumes them on another server after a failure |
-//! | [`pool`] | connection pool for backend servers |
-//! | [`watch`] | keeps the configuration and the directory up to date |
+//! | [`stream`] | forwards streamed responses and resumes them after a failure |
+//! | [`pool`] | keeps connections to backend servers |
+//! | [`store_watch`] | keeps the configuration and the directory up to date |
 //! | [`steward`] | holds the lease, plans and sends orders |
-//! | [`links`] | links between instances and the steward |
-//! | [`health`] | the endpoint for readiness probes and metrics |
-//! | [`metrics`] | Prometheus metrics |
+//! | [`links`] | opens and serves links between instances and the steward |
+//! | [`health`] | serves readiness probes and metrics |
+//! | [`metrics`] | records Prometheus metrics |
 //! | [`log_output`] | writes log lines to standard output without blocking requests |
 
 mod access;
@@ -32,5 +32,5 @@
 pub mod pool;
 pub mod relay;
 pub mod steward;
+pub mod store_watch;
 pub mod stream;
-pub mod watch;
--- a/crates/fireflywheel_daemon/src/fleet/node/choice.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/choice.rs
@@ -85,7 +85,7 @@
     Failed,
     /// The server could not be reached.
     Unreachable,
-    /// The server had no room.
+    /// The server had no room, or this instance had no free connection to it.
     Full,
     /// Another server listens on its address.
     Replaced,
--- a/crates/fireflywheel_daemon/src/fleet/node/demand.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/demand.rs
@@ -33,7 +33,8 @@
         self.lock().directory_version
     }
 
-    /// The demand of this instance and its requests in flight, with the counts since the last call. `era` is
+    /// Takes what is to be reported to the steward: the demand of this instance and its requests in flight.
+    /// Counts, notices and permit requests are returned once, and new subscriptions count as sent. `era` is
     /// the store's era, as far as it is known.
     #[must_use]
     pub fn take_demand(&self, era: Option<Era>) -> demand::Demand {
@@ -127,6 +128,7 @@
     })
 }
 
+/// Returns the requests in flight at a server, and records that they are reported.
 fn take_running_report(known: &mut state::ServerState) -> impl Iterator<Item = demand::Running> {
     known.backlog.report_own(known.stats.in_flight);
     let server = &known.server.id;
--- a/crates/fireflywheel_daemon/src/fleet/node/quota.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/quota.rs
@@ -10,14 +10,15 @@
 
 use super::Node;
 
-/// Number of instances assumed to share quotas, at least, until the steward has reported any shares: with too
-/// few, each instance's part would be too large.
+/// Minimum number of instances assumed to share quotas while shares are disabled or the steward has not sent
+/// any: with too few, each instance's part would be too large.
 const MIN_INSTANCES_WITHOUT_SHARES: usize = 300;
 
 /// A request that counts against its organisation's quota.
 #[derive(Clone, Debug)]
 pub struct Charge {
     organisation: SmolStr,
+    /// The cost as the quota counts it, in requests or tokens.
     cost: f64,
 }
 
@@ -26,6 +27,7 @@
     P: Send + Sync,
 {
     /// Charges a request to its organisation's quota; `None` if the organisation has no quota.
+    /// `tokens` is `None` if the request does not state a number of tokens.
     ///
     /// # Errors
     ///
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Extends the validity of the steward's shares. The steward has received what this instance sent at
-    /// `sent_at`; its shares are valid until it should have received the next report.
+    /// Extends the validity of the steward's shares. The steward has received the report that this instance
+    /// sent at `sent_at`, and shares are valid for [`gate::SHARES_TTL`] from then.
     pub fn extend_shares(&self, sent_at: clock::Instant) {
         self.lock().shares_until = Some(sent_at.after(gate::SHARES_TTL));
     }
--- a/crates/fireflywheel_daemon/src/fleet/node/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/state.rs
@@ -49,9 +49,12 @@
     /// Servers whose entries are gone: an older copy of the directory may list them again.
     pub(super) gone_servers: BTreeMap<SmolStr, GoneServer>,
     pub(super) queues: BTreeMap<QueueKey, BTreeMap<u64, Waiting>>,
+    /// Requests that arrived since the last demand, by group and model.
     pub(super) arrived: BTreeMap<(SmolStr, SmolStr), u32>,
     /// Requests that an engine has run and that ended since the last demand, by group and model.
     pub(super) finished: BTreeMap<(SmolStr, SmolStr), u32>,
+    /// Servers that were unreachable or lacked a model which they were thought to hold, since the last
+    /// demand.
     pub(super) servers_to_check: BTreeSet<SmolStr>,
     pub(super) forecasts: BTreeMap<(SmolStr, SmolStr), clock::Instant>,
     pub(super) retry_budgets: BTreeMap<SmolStr, retry_budget::Budget>,
--- a/crates/fireflywheel_daemon/src/fleet/node/store.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/store.rs
@@ -47,7 +47,8 @@
         self.lock().is_standby
     }
 
-    /// Whether the last call to the store had no usable answer.
+    /// Whether a call to the store has failed, and neither a later call nor the steward has shown since that
+    /// the store has recovered.
     #[must_use]
     pub fn is_store_failing(&self) -> bool {
         self.lock().store_backoff.is_failing()
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Returns how long to wait before a call to the store. Zero reserves the call.
     fn reserve_store_call(&self) -> Duration {
         let now = self.now();
         let max_delay = self.max_retry_delay();
--- a/crates/fireflywheel_daemon/src/fleet/node/updates.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/updates.rs
@@ -80,8 +80,8 @@
         self.update_directory(update, Duration::ZERO);
     }
 
-    /// Whether the steward has sent entries since the last call: they may be older than this instance's own
-    /// reads.
+    /// Whether the steward has sent entries of the directory since the last call: they may be older than this
+    /// instance's own reads.
     pub fn take_steward_entries_received(&self) -> bool {
         std::mem::take(&mut self.lock().steward_entries_received)
     }
@@ -105,7 +105,7 @@
         self.wake();
     }
 
-    /// Stores what an engine holds, as learned by this instance as steward.
+    /// Stores what an engine holds, as this instance knows it as steward.
     pub fn record_own_holding(&self, holding: frame::EngineHoldings) {
         let mut state = self.lock();
         if let Some(known) = state.servers.get_mut(&holding.entry.id)
@@ -146,17 +146,17 @@
         self.wake();
     }
 
-    /// Sets whether the steward sends what engines hold.
-    pub fn set_has_steward(&self, linked: bool) {
+    /// Sets whether there is a link to a steward, or this instance is the steward.
+    pub fn set_has_steward(&self, has_steward: bool) {
         let catches_up_at = self.now().after(state::DIRECTORY_CATCH_UP_TIME);
         let mut state = self.lock();
-        state.has_steward = linked;
-        if !linked {
+        state.has_steward = has_steward;
+        if !has_steward {
             state.subscriptions = None;
             state.all_engines = false;
             state.pending_subscriptions.clear();
         }
-        match (linked, state.directory_catches_up_at) {
+        match (has_steward, state.directory_catches_up_at) {
             (true, _) => {
                 if !state.all_engines && !state.is_acting_steward && state.subscriptions.is_none() {
                     state.subscriptions = Some(BTreeMap::new());
@@ -184,7 +184,8 @@
         self.wake();
     }
 
-    /// Stores the loads of engines, as sent by the steward in the order of the engines' ids.
+    /// Replaces the loads of engines by those that the steward has sent, in the order of the engines' ids. An
+    /// engine that is not listed has no load of other instances.
     pub fn replace_loads(&self, loads: &[load::Load]) {
         let now = self.now();
         let mut state = self.lock();
@@ -255,8 +256,8 @@
     }
 
     /// Records that a server does not hold a model which it was thought to hold. The steward is informed:
-    /// somebody else may have sent orders to the server, and all instances would go on sending it requests
-    /// that it refuses.
+    /// another sender, such as an earlier steward, may have sent orders to the server, and all instances
+    /// would go on sending it requests that it refuses.
     pub fn report_missing_model(&self, id: &str, queue: &QueueKey) {
         let Some(model) = &queue.model else {
             return;
--- a/crates/fireflywheel_daemon/src/fleet/pool.rs
+++ b/crates/fireflywheel_daemon/src/fleet/pool.rs
@@ -2,7 +2,7 @@
 //!
 //! A server accepts a limited number of connections from all instances together, and each new one costs it time.
 //! Therefore idle connections are kept, and closed before the server would close them. A connection that received
-//! anything unexpected is never reused: the bytes may belong to another request.
+//! anything unexpected is closed (by hyper) and never reused: the bytes may belong to another request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,7 +25,8 @@
 /// How long a connection may take to open. Servers answer within a round trip; the rest allows for the retransmission
 /// of a lost packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection is kept if its server doesn't state a keep-alive timeout.
+/// How long an idle connection is kept if its server doesn't state a keep-alive timeout. [`KEEP_ALIVE_MARGIN`] is not
+/// subtracted from it.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(1500);
 /// An idle connection is closed this long before its server would close it, so that no request is sent while the
 /// server closes the connection.
@@ -68,7 +69,7 @@
     expires: clock::Instant,
 }
 
-/// A connection that carries at most one request. Dropping it closes it immediately, which ends the request.
+/// A connection that carries one request at a time. Dropping it closes it immediately, which ends the request.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -93,18 +94,18 @@
 /// Why a request received no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// No connection could be opened.
+    /// No connection could be opened: it was refused, timed out, or failed otherwise.
     Unreachable,
     /// This instance's share of the server's connections is in use.
     NoConnectionFree,
     /// The connection ended before any byte of the request was written.
     Unsent,
-    /// The connection ended later: the request may have arrived.
+    /// The connection ended later, or the response was invalid: the request may have arrived.
     Lost,
 }
 
 impl Error {
-    /// Returns the name of the fault in logs and metrics.
+    /// Returns the name of the error in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -117,12 +118,13 @@
 }
 
 impl Pool {
-    /// Sends a request on an idle connection or a new one, with at most `limit` connections to that server. Dropping
-    /// the future closes the connection.
+    /// Sends a request on an idle connection or a new one, with about `limit` connections to that server at most.
+    /// Concurrent calls may exceed the limit, as each checks the count before it adds its connection. Dropping the
+    /// future closes the connection.
     ///
     /// # Errors
     ///
-    /// Returns a [`Error`] if there is no response.
+    /// Returns an [`Error`] if there is no response.
     pub async fn send(
         &self,
         now: clock::Instant,
--- a/crates/fireflywheel_daemon/src/fleet/steward.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward.rs
@@ -167,9 +167,9 @@
         self.lock().linked
     }
 
-    /// This instance's demand, and what it knows of the store.
+    /// Takes this instance's demand, with what it knows of the store.
     #[must_use]
-    pub fn own_demand(&self) -> demand::Demand {
+    pub fn take_own_demand(&self) -> demand::Demand {
         self.node.take_demand(self.node.platform.era())
     }
 
--- a/crates/fireflywheel_daemon/src/fleet/watch.rs
+++ b/crates/fireflywheel_daemon/src/fleet/store_watch.rs
@@ -136,9 +136,9 @@
         if had_steward_reads {
             wait_until_read_needed(&node, false).await;
         }
-        // The whole directory is read again in these cases. After a time of steward reads, the missed changes outnumber
-        // the entries, and a read that was cancelled has returned only a part. A link may have sent entries older
-        // than those read here: an incremental read would never report again that such a server is gone, and
+        // The whole directory is read again in these cases. After a time of steward reads, the missed changes
+        // outnumber the entries, and a read that was cancelled has returned only a part. A link may have sent entries
+        // older than those read here: an incremental read would never report again that such a server is gone, and
         // callers of its models would be sent there for good.
         if node.take_steward_entries_received() || had_steward_reads {
             cursor = P::DirectoryCursor::default();
--- a/crates/fireflywheel_daemon/src/fleet/stream.rs
+++ b/crates/fireflywheel_daemon/src/fleet/stream.rs
@@ -26,7 +26,7 @@
 /// Maximum size of an event in bytes. Larger data is not a valid event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 /// Idle timeout of a resumable stream as a multiple of its route's longest gap between events. A stream that sends
-/// nothing for this long is resumed on another server.
+/// nothing for this long is resumed on another server if one can take it at once, and kept otherwise.
 const IDLE_TIMEOUT_GAPS: u32 = 4;
 /// Maximum number of sends for one resumption, counting servers that refuse the request without running it.
 const MAX_RESUME_SENDS: usize = 3;
@@ -164,7 +164,8 @@
         );
     }
 
-    /// Cuts the caller's stream off, and logs and counts the reason.
+    /// Cuts the caller's stream off, and logs and counts how the last run ended, also if the stream was cut off
+    /// because it could not be resumed. `events` is the id of the last event that was forwarded, 0 if there was none.
     fn abort(self, end: End) {
         let why = match end {
             End::Complete => "complete",
@@ -247,7 +248,7 @@
             .is_none_or(events::Splitter::is_at_boundary)
     }
 
-    /// Returns another server that can resume the stream immediately.
+    /// Chooses another server that can resume the stream immediately, and takes a retry from the group's budget.
     fn reserve_alternative(&self) -> Option<node::Chosen> {
         if self.splitter.is_none() || self.runs >= self.job.route.attempts {
             return None;
@@ -290,7 +291,7 @@
         self.send(chosen).await
     }
 
-    /// Waits for a server that can resume the stream.
+    /// Waits for a server that can resume the stream, and takes a retry from the group's budget.
     async fn wait_for_server(&self) -> Option<node::Chosen> {
         let chosen = tokio::select! {
             found = relay::wait_for_server(&self.node, &self.job, &self.tried) => found.ok()?,
