--- a/crates/fireflywheel/src/fleet/load.rs
+++ b/crates/fireflywheel/src/fleet/load.rs
@@ -28,9 +28,9 @@
 /// have received the report.
 const MIN_REPORTED_TOKENS: u32 = 1000;
 
-/// The time for which requests reported by the steward count. It reports several times a second, so a steward
-/// that is silent for longer has failed or is cut off, and engines would otherwise look full forever to the
-/// instances that heard from it last.
+/// The time for which the numbers of requests that the steward reports are valid. It reports several times a
+/// second, so a steward that is silent for longer has failed or is cut off, and engines would otherwise look
+/// full forever to the instances that heard from it last.
 const STEWARD_TOTALS_TTL: Duration = Duration::from_millis(1000);
 
 /// The half-life of [`PrefillWait`], about as long as a swap takes.
--- a/crates/fireflywheel/src/fleet/plan.rs
+++ b/crates/fireflywheel/src/fleet/plan.rs
@@ -21,11 +21,12 @@
 /// The state of one engine, as the steward sees it.
 #[derive(Clone, Debug, Default)]
 pub struct EngineState {
-    /// What the engine holds according to its latest report.
+    /// What the engine holds according to its latest report and the orders that it accepted since.
     pub held: server::Held,
-    /// Whether the engine accepts requests and is not about to leave.
+    /// Whether the engine accepts requests, is reachable and is not about to stop.
     pub usable: bool,
-    /// Whether an order to the engine is in flight, or its outcome is not yet known.
+    /// Whether an order to the engine is in flight, its outcome is not yet known, or the next one is not due
+    /// yet.
     pub order_pending: bool,
     /// The model that the engine is loading.
     pub loading: Option<SmolStr>,
@@ -194,8 +195,9 @@
     planner.steps
 }
 
-/// Estimates the wait for each pending model that has to come from the weight store or whose engines are all
-/// full. A model with a copy on a server is left out, since it is available within a second or two.
+/// Estimates the wait for pending models that have to come from the weight store, and for models whose
+/// engines are all full. A model that a server can load from its own disk or host memory is left out, since
+/// it is available within a second or two.
 #[must_use]
 pub fn forecast(view: &View<'_>) -> Vec<(SmolStr, Duration)> {
     let survey = survey::Survey::new(view);
--- a/crates/fireflywheel/src/fleet/routing.rs
+++ b/crates/fireflywheel/src/fleet/routing.rs
@@ -130,6 +130,8 @@
         self.failure_rate * 0.5_f64.powf(half_lives)
     }
 
+    /// Returns the number of this instance's requests at the server, or of all requests that the server has
+    /// reported, whichever is larger.
     fn load(&self, now: clock::Instant) -> f64 {
         let own = f64::from(self.in_flight);
         let reported = self
--- a/crates/fireflywheel/src/fleet/size.rs
+++ b/crates/fireflywheel/src/fleet/size.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The largest count reported in the last window.
+    /// The largest count reported within the window that ends with the latest report.
     #[must_use]
     pub fn count(&self) -> usize {
         self.counts.front().map_or(1, |(_, count)| *count)
--- a/crates/fireflywheel/src/fleet/successor.rs
+++ b/crates/fireflywheel/src/fleet/successor.rs
@@ -9,8 +9,8 @@
 
 /// The ratio of processor shares from which on another instance is much stronger than the steward.
 const MUCH_STRONGER_RATIO: f64 = 2.0;
-/// The age from which on a steward's reads are old, as a share of the deadline for obeying changes. Other
-/// instances may rely on them for somewhat longer, which leaves a successor time to be heard.
+/// The age from which on a steward's reads are old, as a share of the deadline for applying changes. Other
+/// instances may rely on them for somewhat longer, which leaves a successor time to send them its own.
 const OLD_READS_RATIO: f64 = 0.5;
 /// The age of the steward's reads, as a share of that deadline, from which on any instance with fresh reads
 /// is accepted as successor: the steward's reads are then no longer valid for others.
@@ -48,7 +48,7 @@
     strongest(peers, |_| true)
 }
 
-/// The successor of a steward that stays, if it should hand the lease over. Changes must be obeyed within
+/// The successor of a steward that stays, if it should hand the lease over. Changes must be applied within
 /// `deadline`. Returns an index in `peers`.
 #[must_use]
 pub fn for_running(own: Steward, peers: &[Peer], deadline: Duration) -> Option<usize> {
--- a/crates/fireflywheel_daemon/src/fleet/node/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/node/state.rs
@@ -48,6 +48,7 @@
     pub(super) servers: BTreeMap<SmolStr, ServerState>,
     /// Servers whose entries are gone: an older copy of the directory may list them again.
     pub(super) gone_servers: BTreeMap<SmolStr, GoneServer>,
+    /// Requests that wait for a server, by number in each queue.
     pub(super) queues: BTreeMap<QueueKey, BTreeMap<u64, Waiting>>,
     /// Requests that arrived since the last demand, by group and model.
     pub(super) arrived: BTreeMap<(SmolStr, SmolStr), u32>,
@@ -56,8 +57,10 @@
     /// Servers that were unreachable or lacked a model which they were thought to hold, since the last
     /// demand.
     pub(super) servers_to_check: BTreeSet<SmolStr>,
+    /// When models become available, by group and model, as forecast by the steward.
     pub(super) forecasts: BTreeMap<(SmolStr, SmolStr), clock::Instant>,
     pub(super) retry_budgets: BTreeMap<SmolStr, retry_budget::Budget>,
+    /// Number of instances that share limits.
     pub(super) instances: size::Size,
     /// Gates of quotas, by organisation.
     pub(super) quota_gates: BTreeMap<SmolStr, gate::Gate>,
@@ -106,6 +109,7 @@
     pub(super) backlog: load::Backlog,
     /// Gate for the limit on requests per second that the server accepts from all instances together.
     pub(super) limit: limit::Gate,
+    /// This instance's own requests in flight, by model and adapter.
     pub(super) running: BTreeMap<(SmolStr, Option<SmolStr>), Running>,
     /// Since when the server's entry is gone; it may only have expired while the store was unreachable.
     pub(super) missing_since: Option<clock::Instant>,
@@ -139,7 +143,9 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
+    /// When the request began to wait.
     pub(super) since: clock::Instant,
+    /// When the request gives up waiting.
     pub(super) until: clock::Instant,
 }
 
--- a/crates/fireflywheel_daemon/src/fleet/steward/link.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/link.rs
@@ -16,9 +16,13 @@
 /// A link to another instance.
 #[derive(Debug)]
 pub(super) struct Link {
+    /// The queue of encoded frames.
     pub(super) sender: mpsc::Sender<Bytes>,
+    /// The instance, as a lease record names it.
     pub(super) peer: lease::Record,
+    /// The instance's share of a processor.
     pub(super) cpu_share: f64,
+    /// Whether the instance is stopping.
     pub(super) leaving: bool,
     /// Time stamp of its last demand in milliseconds, by its own clock; 0 before the first one.
     pub(super) stamp_ms: u64,
--- a/crates/fireflywheel_daemon/src/fleet/steward/state.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/state.rs
@@ -42,8 +42,11 @@
     pub(super) linked: bool,
     /// Whether the lease was read since it was last written, and since the last link ended.
     pub(super) lease_known: bool,
+    /// The demand of all instances.
     pub(super) demands: demand::Aggregator,
+    /// What is known of each engine, by its id.
     pub(super) trackers: BTreeMap<SmolStr, tracker::Tracker>,
+    /// The links of other instances, by number.
     pub(super) links: BTreeMap<u64, link::Link>,
     /// Which links receive which engines.
     pub(super) subscriptions: subscription::Registry,
@@ -59,6 +62,7 @@
     pub(super) all_engines_limit: usize,
     /// When loads from the weight store were ordered within the last window.
     pub(super) recent_fetches: VecDeque<clock::Instant>,
+    /// How many loads the weight store runs concurrently at full speed.
     pub(super) concurrency: plan::concurrency::Estimate,
     /// Standbys as they were last announced, by this instance or by the steward.
     pub(super) standbys: Vec<lease::Record>,
@@ -69,6 +73,7 @@
     /// When this instance last became active or inactive as steward.
     pub(super) role_changed_at: clock::Instant,
     pub(super) last_heartbeat: Option<clock::Instant>,
+    /// The configuration version that the last heartbeat announced.
     pub(super) sent_config_version: u64,
     /// The newest configuration as an encoded frame, with its version.
     pub(super) config: Option<(u64, Bytes)>,
@@ -79,7 +84,9 @@
     pub(super) entries: BTreeMap<SmolStr, frame::Entry>,
     /// When the loads of engines were last sent, and whether there were any.
     pub(super) loads_sent: (clock::Instant, bool),
+    /// When forecasts were last sent.
     pub(super) forecasts_sent_at: clock::Instant,
+    /// Forecasts as they were last sent.
     pub(super) forecasts: Vec<frame::Forecast>,
     /// When a long wait for each model was last logged.
     pub(super) delays_logged_at: BTreeMap<SmolStr, clock::Instant>,
--- a/crates/fireflywheel_daemon/src/fleet/store_watch.rs
+++ b/crates/fireflywheel_daemon/src/fleet/store_watch.rs
@@ -113,8 +113,8 @@
                     node.apply_config(Arc::new(config), node::ConfigSource::Own);
                 }
             }
-            Err(fault) => {
-                reachability.record_failure(node.now(), &fault.to_string());
+            Err(error) => {
+                reachability.record_failure(node.now(), &error.to_string());
                 node.config_read_failed();
             }
         }
@@ -172,8 +172,8 @@
                 node.update_directory(update, missing_grace);
                 time::sleep(interval.saturating_sub(now.since(read_started))).await;
             }
-            Err(fault) => {
-                reachability.record_failure(now, &fault.to_string());
+            Err(error) => {
+                reachability.record_failure(now, &error.to_string());
             }
         }
     }
