--- a/crates/fireflywheel/tests/fleet/limit.rs
+++ b/crates/fireflywheel/tests/fleet/limit.rs
@@ -25,7 +25,7 @@
 /// which on it counts.
 const WINDOW_MS: u64 = 4000;
 const SETTLE_MS: u64 = 3000;
-/// The time after its first answer with a limit from which on an instance must obey the limit.
+/// The time after its first answer with a limit from which on an instance must keep to the limit.
 const OBEY_MS: u64 = 500;
 /// The tolerated excess in a window: as a factor of the limit, and as a number of requests.
 const EXCESS_RATIO: f64 = 1.5;
--- a/crates/fireflywheel_daemon/src/fleet/metrics.rs
+++ b/crates/fireflywheel_daemon/src/fleet/metrics.rs
@@ -126,8 +126,8 @@
             .inc();
     }
 
-    /// Counts an attempt at a buffered request without a complete response, or a stream that was cut off for whatever
-    /// reason. A run of a stream that another run resumes is not counted.
+    /// Counts an attempt without a usable response, or a stream that was cut off for whatever reason. A run of a stream
+    /// that another run resumes is not counted.
     pub fn count_failed_attempt(&self, route: &str, why: &str) {
         self.failed_attempts.with_label_values(&[route, why]).inc();
     }
--- a/crates/fireflywheel_daemon/src/fleet/relay.rs
+++ b/crates/fireflywheel_daemon/src/fleet/relay.rs
@@ -427,7 +427,8 @@
     job.queue.model.is_some() && now.since(job.arrived) < LOAD_ELSEWHERE_TIMEOUT
 }
 
-/// Returns the randomised delay after which a caller with `left` until its deadline should retry.
+/// Returns the randomised delay after which a caller that has `left` until its deadline should retry, to find what will
+/// be ready after `wait`.
 pub(super) fn retry_after(wait: Duration, left: Duration) -> Duration {
     timeout::retry_after(wait, left, rand::random())
 }
