--- a/crates/fireflywheel/src/fleet/quota.rs
+++ b/crates/fireflywheel/src/fleet/quota.rs
@@ -99,7 +99,7 @@
     pub offered: u32,
     /// The cost of its admitted requests, less that of admitted requests that did not run after all.
     pub admitted: i32,
-    /// The cost admitted in the window before the link to the steward was opened, in [`SPAN_COUNT`] equal
+    /// The cost admitted in the window before the link to the steward was opened, in `SPAN_COUNT` equal
     /// spans, the newest first; only in the first usage on a link.
     #[serde(default, rename = "before")]
     pub inherited: Vec<u32>,
