--- a/crates/fireflywheel/src/fleet/plan.rs
+++ b/crates/fireflywheel/src/fleet/plan.rs
@@ -2,8 +2,9 @@
 //!
 //! Three facts shape the plan. A server executes one order at a time, and a load from the weight store blocks
 //! any other order for seconds. The weight store is slow and shared by all servers. A copy on a server's own
-//! disk loads in under a second. The store is therefore used for models without a copy on any server, a few
-//! loads at a time, and a model that was fetched once is swapped in from the servers that already store it.
+//! disk loads in under a second. The weight store is therefore used for models without a copy on any server,
+//! a few loads at a time, and a model that was fetched once is swapped in from the servers that already store
+//! it.
 
 pub mod concurrency;
 mod planner;
@@ -20,11 +21,12 @@
 /// The state of one engine, as the steward sees it.
 #[derive(Clone, Debug, Default)]
 pub struct EngineState {
-    /// What the engine holds according to its latest report.
+    /// What the engine holds according to its latest report and the orders that it accepted since.
     pub held: server::Held,
-    /// Whether the engine accepts requests and is not about to leave.
+    /// Whether the engine accepts requests, is reachable and is not about to stop.
     pub usable: bool,
-    /// Whether an order to the engine is in flight, or its outcome is not yet known.
+    /// Whether an order to the engine is in flight, its outcome is not yet known, or the next one is not due
+    /// yet.
     pub order_pending: bool,
     /// The model that the engine is loading.
     pub loading: Option<SmolStr>,
@@ -37,7 +39,7 @@
     /// The number of requests in progress, by model and adapter.
     pub running: BTreeMap<(SmolStr, Option<SmolStr>), u32>,
     /// How long the prompts waiting at the engine take to prefill, averaged over the last moments.
-    pub pressure: Duration,
+    pub prefill_wait: Duration,
     /// The requests per second that the engine accepts, if it reports a limit.
     pub limit: Option<f64>,
     /// The times from which the engine has held each model and adapter.
@@ -53,9 +55,9 @@
     }
 
     /// Whether the engine loads from the weight store, or makes room for such a load.
-    fn occupies_store(&self) -> bool {
+    fn occupies_weight_store(&self) -> bool {
         let next = self.making_room_for.as_ref();
-        self.fetching || next.is_some_and(|model| nearest_tier(self, model) == Tier::Store)
+        self.fetching || next.is_some_and(|model| nearest_tier(self, model) == Tier::WeightStore)
     }
 }
 
@@ -118,7 +120,7 @@
         matches!(
             self,
             Self::Load {
-                tier: Tier::Store,
+                tier: Tier::WeightStore,
                 ..
             }
         )
@@ -133,7 +135,7 @@
     /// The server's disk.
     Disk,
     /// The shared weight store.
-    Store,
+    WeightStore,
 }
 
 impl Tier {
@@ -143,7 +145,7 @@
         match self {
             Self::Host => model.host_load_time,
             Self::Disk => model.disk_load_time,
-            Self::Store => model.store_load_time,
+            Self::WeightStore => model.store_load_time,
         }
     }
 }
@@ -175,7 +177,7 @@
     let active_fetches = view
         .engines
         .iter()
-        .filter(|engine| engine.occupies_store())
+        .filter(|engine| engine.occupies_weight_store())
         .count();
     let mut planner = planner::Planner {
         view,
@@ -193,8 +195,9 @@
     planner.steps
 }
 
-/// Estimates the wait for each pending model that has to come from the weight store or whose engines are all
-/// full. A model with a copy on a server is left out, since it is available within a second or two.
+/// Estimates the wait for pending models that have to come from the weight store, and for models whose
+/// engines are all full. A model that a server can load from its own disk or host memory is left out, since
+/// it is available within a second or two.
 #[must_use]
 pub fn forecast(view: &View<'_>) -> Vec<(SmolStr, Duration)> {
     let survey = survey::Survey::new(view);
@@ -259,7 +262,7 @@
         return "no engine stores the model, and the weight store is in use";
     }
     let usable = view.engines.iter().filter(|engine| engine.usable);
-    let mut copies = usable.filter(|engine| nearest_tier(engine, model) != Tier::Store);
+    let mut copies = usable.filter(|engine| nearest_tier(engine, model) != Tier::WeightStore);
     if copies.clone().all(|engine| engine.fetching) {
         return "the engines that store the model are loading from the weight store";
     }
@@ -275,6 +278,6 @@
     } else if engine.held.on_disk.contains(model) {
         Tier::Disk
     } else {
-        Tier::Store
+        Tier::WeightStore
     }
 }
--- a/crates/fireflywheel/src/fleet/plan/planner.rs
+++ b/crates/fireflywheel/src/fleet/plan/planner.rs
@@ -10,25 +10,27 @@
 
 /// The number of requests in progress on one replica above which another replica is loaded: beyond it, each
 /// further request slows down all others of its batch.
-const MAX_REQUESTS_PER_REPLICA: u32 = 8;
+const HOT_REQUESTS_PER_REPLICA: u32 = 8;
 /// The prefill wait at each replica of a model above which another replica is loaded: half of the shortest
 /// objective for the first event.
 const HOT_PREFILL_WAIT: Duration = Duration::from_millis(400);
-/// The prefill wait above which another replica is fetched from the weight store even before models that no
-/// request waits for.
+/// The prefill wait above which another replica is loaded before all other models, and fetched from the
+/// weight store if necessary, even while models that no request waits for have no copy on any server.
 const SATURATED_PREFILL_WAIT: Duration = Duration::from_millis(1200);
 /// The time that a model stays in memory after its load, so that the requests that waited for it reach it
 /// before it can be evicted.
 const MIN_MODEL_RESIDENCE: Duration = Duration::from_millis(600);
 /// The time that an adapter stays in memory after its load, for the same reason as [`MIN_MODEL_RESIDENCE`].
 const MIN_ADAPTER_RESIDENCE: Duration = Duration::from_millis(300);
-/// The cost, in seconds, added for an engine that reports a limit: it is overloaded, so a model goes there
-/// only if every other placement takes this much longer.
-const OVERLOAD_PENALTY_S: f64 = 3.0;
+/// The cost, in seconds, added for an engine that reports a request limit, whether or not the demand reaches
+/// it. A model goes there only if every other placement takes this much longer.
+const LIMITED_ENGINE_PENALTY_S: f64 = 3.0;
 /// The arrival rate, in requests per second, assumed for models that are never requested, so that larger
 /// models are evicted before smaller ones.
 const MIN_ARRIVAL_RATE: f64 = 0.001;
-/// The weight of one second of waiting against one request per second that loses its replica.
+/// The weight, in the cost of a placement, of one second that requests have waited for the model. It lowers
+/// the costs of all placements of a model alike, and only placements of one model are compared, so it doesn't
+/// change which of them is chosen.
 const WAIT_WEIGHT: f64 = 1.0;
 
 /// A possible placement of a model on one engine.
@@ -38,6 +40,8 @@
     tier: Tier,
     /// The model to evict first; `None` if the model can be loaded at once.
     victim: Option<SmolStr>,
+    /// The sum of times in seconds and of the requests for other models that the placement delays or leaves
+    /// without a replica; one such request counts as one second.
     cost: f64,
 }
 
@@ -85,7 +89,8 @@
         }
     }
 
-    /// Loads models that requests wait for and that are in no engine's memory.
+    /// Loads models that requests wait for and that have no replica on a usable engine within its request
+    /// limit.
     pub(super) fn load_pending(&mut self) {
         let view = self.view;
         let mut seen = BTreeSet::new();
@@ -199,9 +204,10 @@
             .and_then(|(_, (model, adapter))| Some((model, adapter?)))
     }
 
-    /// Adds replicas of models that have more requests than all their engines run at once, before anything
-    /// else: if these loads queued at the weight store behind models that only an occasional caller requests,
-    /// most callers would be refused meanwhile.
+    /// Adds replicas of models whose engines are all full and have more requests than they run at once, or
+    /// whose prefill wait exceeds [`SATURATED_PREFILL_WAIT`]. This comes before loads for waiting requests:
+    /// if these loads queued at the weight store behind models that only an occasional caller requests, most
+    /// callers would be refused meanwhile.
     pub(super) fn replicate_saturated(&mut self) {
         for model in self.hot_models() {
             if self.is_saturated(model)
@@ -214,10 +220,10 @@
 
     /// Adds replicas of other hot models.
     pub(super) fn replicate_hot(&mut self) {
-        let spare = self.unstored_models().next().is_none();
+        let may_fetch = self.unstored_models().next().is_none();
         for model in self.hot_models() {
             if !self.is_saturated(model)
-                && let Some(placement) = self.best_placement(model, 0.0, spare)
+                && let Some(placement) = self.best_placement(model, 0.0, may_fetch)
             {
                 self.add_placement(model, placement);
             }
@@ -228,14 +234,14 @@
     fn hot_models(&self) -> Vec<&'a SmolStr> {
         let models = self.view.config.models.keys();
         let mut hot: Vec<(u32, &SmolStr)> = models
-            // Only a load from a disk or host memory counts: a copy from the store is ten seconds away, which
-            // is no reason to leave copies on other disks unused.
+            // Only a load from a disk or host memory counts: a copy from the weight store is ten seconds
+            // away, which is no reason to leave copies on other disks unused.
             .filter(|model| !self.survey.is_loading_locally(model))
             .filter_map(|model| {
                 let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
                 let requests = self.survey.requests(model);
-                let many_requests = requests > replicas * MAX_REQUESTS_PER_REPLICA;
-                let long_wait = requests > 0 && self.survey.pressure(model) > HOT_PREFILL_WAIT;
+                let many_requests = requests > replicas * HOT_REQUESTS_PER_REPLICA;
+                let long_wait = requests > 0 && self.survey.prefill_wait(model) > HOT_PREFILL_WAIT;
                 (replicas > 0 && (many_requests || long_wait)).then(|| (requests / replicas, model))
             })
             .collect();
@@ -247,10 +253,11 @@
         let replicas = u32::try_from(self.survey.replicas(model)).unwrap_or(u32::MAX);
         let slots = replicas.saturating_mul(self.view.config.slots);
         let many_requests = self.survey.is_full(model) && self.survey.requests(model) > slots;
-        many_requests || self.survey.pressure(model) > SATURATED_PREFILL_WAIT
+        many_requests || self.survey.prefill_wait(model) > SATURATED_PREFILL_WAIT
     }
 
-    /// Fetches models that no server stores, while the weight store is otherwise idle.
+    /// Fetches models of which no usable engine has a copy, the most requested first, as far as `max_fetches`
+    /// allows more fetches.
     pub(super) fn prefetch(&mut self) {
         let view = self.view;
         let mut unstored_models: Vec<SmolStr> = self.unstored_models().cloned().collect();
@@ -272,7 +279,7 @@
     }
 
     fn add_placement(&mut self, model: &SmolStr, placement: Placement) {
-        if placement.tier == Tier::Store {
+        if placement.tier == Tier::WeightStore {
             self.active_fetches += 1;
         }
         self.push_step(placement.step(model));
@@ -284,8 +291,8 @@
     }
 
     /// Returns the cheapest placement of a model among the engines that can take an order now.
-    fn best_placement(&self, model: &SmolStr, waited: f64, fetch: bool) -> Option<Placement> {
-        let fetch = fetch
+    fn best_placement(&self, model: &SmolStr, waited: f64, may_fetch: bool) -> Option<Placement> {
+        let may_fetch = may_fetch
             && self.active_fetches < self.view.max_fetches
             && !self.survey.has_unloaded_copy(model)
             && !self.survey.is_loading(model);
@@ -294,7 +301,7 @@
             .filter_map(|index| self.placement(index, model))
             // A model that another engine stores is loaded there, even if that engine is busy and has to be
             // waited for.
-            .filter(|placement| placement.tier != Tier::Store || fetch)
+            .filter(|placement| placement.tier != Tier::WeightStore || may_fetch)
             .map(|placement| Placement {
                 cost: placement.cost - waited * WAIT_WEIGHT,
                 ..placement
@@ -321,7 +328,7 @@
             .sum();
         // A load at this engine delays the swaps of all models stored there.
         let swap_delay_cost = self.swap_rate(index) * time.as_secs_f64();
-        let overload_penalty = engine.limit.map_or(0.0, |_| OVERLOAD_PENALTY_S);
+        let limit_penalty = engine.limit.map_or(0.0, |_| LIMITED_ENGINE_PENALTY_S);
         Some(Placement {
             engine: index,
             tier,
@@ -329,8 +336,8 @@
             cost: time.as_secs_f64()
                 + eviction_cost
                 + swap_delay_cost
-                + overload_penalty
-                + engine.pressure.as_secs_f64(),
+                + limit_penalty
+                + engine.prefill_wait.as_secs_f64(),
         })
     }
 
@@ -390,16 +397,19 @@
             .any(|pending| pending.model == *model);
         let needed = replicas <= 1 && is_pending;
         let many_requests =
-            self.survey.requests(model) > replicas.saturating_sub(1) * MAX_REQUESTS_PER_REPLICA;
+            self.survey.requests(model) > replicas.saturating_sub(1) * HOT_REQUESTS_PER_REPLICA;
         let is_hot =
-            replicas > 0 && (many_requests || self.survey.pressure(model) > HOT_PREFILL_WAIT);
-        let spare = replicas > 1 && !is_hot;
+            replicas > 0 && (many_requests || self.survey.prefill_wait(model) > HOT_PREFILL_WAIT);
+        let is_redundant = replicas > 1 && !is_hot;
         let stayed_long_enough = self.view.now.since(since) >= MIN_MODEL_RESIDENCE;
-        running == 0 && stayed_long_enough && !needed && (spare || self.survey.requests(model) == 0)
+        running == 0
+            && stayed_long_enough
+            && !needed
+            && (is_redundant || self.survey.requests(model) == 0)
     }
 
-    /// Returns the cost of evicting this replica: the request rate that it serves, weighted by the time to
-    /// reload it.
+    /// Returns the cost of evicting this replica: the number of requests that it would receive in its reload
+    /// time and one second more.
     fn eviction_cost(&self, index: usize, model: &SmolStr) -> f64 {
         let engine = &self.view.engines[index];
         let replicas = self.survey.replicas(model).max(1) as f64;
@@ -410,7 +420,8 @@
         self.arrival_rate(model) / replicas * (1.0 + reload_time.as_secs_f64())
     }
 
-    /// Returns the arrival rate of models that this engine stores and that are in no engine's memory.
+    /// Returns the arrival rate of models that this engine stores and that have no replica on a usable engine
+    /// within its request limit.
     fn swap_rate(&self, index: usize) -> f64 {
         let held = &self.view.engines[index].held;
         held.on_disk
--- a/crates/fireflywheel/src/fleet/plan/survey.rs
+++ b/crates/fireflywheel/src/fleet/plan/survey.rs
@@ -12,15 +12,17 @@
 /// The totals of one view, by model.
 #[derive(Clone, Debug)]
 pub(super) struct Survey<'a> {
+    /// The usable engines that hold a model, without those whose request limit the demand exceeds.
     replicas: BTreeMap<&'a SmolStr, usize>,
     requests: BTreeMap<&'a SmolStr, u32>,
     waiting: BTreeMap<&'a SmolStr, u32>,
     /// The requests at engines that hold a model, beyond those that the engines run at once.
     excess: BTreeMap<&'a SmolStr, u32>,
-    /// The lowest pressure among the engines that hold a model.
-    pressure: BTreeMap<&'a SmolStr, Duration>,
-    /// The models held by an engine that has a free slot.
+    /// The shortest prefill wait among the engines that hold a model.
+    prefill_wait: BTreeMap<&'a SmolStr, Duration>,
+    /// The models that have a replica with a free slot.
     with_free_slot: BTreeSet<&'a SmolStr>,
+    /// The models that some engine stores on disk or in host memory.
     stored: BTreeSet<&'a SmolStr>,
     /// The models that some engine stores on disk or in host memory without holding them in memory.
     stored_unloaded: BTreeSet<&'a SmolStr>,
@@ -37,7 +39,7 @@
             requests: BTreeMap::new(),
             waiting: BTreeMap::new(),
             excess: BTreeMap::new(),
-            pressure: BTreeMap::new(),
+            prefill_wait: BTreeMap::new(),
             with_free_slot: BTreeSet::new(),
             stored: BTreeSet::new(),
             stored_unloaded: BTreeSet::new(),
@@ -50,8 +52,11 @@
             let replica_count = usize::from(!engine.is_overloaded(view.arrival_rates));
             for model in engine.held.models.keys() {
                 *survey.replicas.entry(model).or_default() += replica_count;
-                let min_pressure = survey.pressure.entry(model).or_insert(engine.pressure);
-                *min_pressure = engine.pressure.min(*min_pressure);
+                let min_prefill_wait = survey
+                    .prefill_wait
+                    .entry(model)
+                    .or_insert(engine.prefill_wait);
+                *min_prefill_wait = engine.prefill_wait.min(*min_prefill_wait);
             }
             let requests: u32 = engine.running.values().sum();
             if requests < view.config.slots && replica_count > 0 {
@@ -61,7 +66,7 @@
                 let excess = survey.excess.entry(model).or_default();
                 *excess += requests.saturating_sub(view.config.slots);
             }
-            if !engine.occupies_store() {
+            if !engine.occupies_weight_store() {
                 survey.loading_locally.extend(&engine.loading);
                 survey.loading_locally.extend(&engine.making_room_for);
             }
@@ -94,7 +99,7 @@
         survey
     }
 
-    /// Whether all usable engines that hold the model run as many requests as they can.
+    /// Whether the model has replicas and none of them has a free slot.
     pub(super) fn is_full(&self, model: &SmolStr) -> bool {
         self.replicas(model) > 0 && !self.with_free_slot.contains(model)
     }
@@ -104,7 +109,8 @@
         self.loading_locally.contains(model)
     }
 
-    /// Returns the number of usable engines that hold the model in memory.
+    /// Returns the number of usable engines that hold the model in memory, without those whose request limit
+    /// the demand exceeds.
     pub(super) fn replicas(&self, model: &SmolStr) -> usize {
         self.replicas.get(model).copied().unwrap_or_default()
     }
@@ -125,8 +131,8 @@
     }
 
     /// Returns how long a request waits before its prompt is prefilled, at the engine with the shortest wait.
-    pub(super) fn pressure(&self, model: &SmolStr) -> Duration {
-        self.pressure.get(model).copied().unwrap_or_default()
+    pub(super) fn prefill_wait(&self, model: &SmolStr) -> Duration {
+        self.prefill_wait.get(model).copied().unwrap_or_default()
     }
 
     /// Whether a usable engine has the model in memory, in host memory or on disk.
--- a/crates/fireflywheel/src/fleet/quota.rs
+++ b/crates/fireflywheel/src/fleet/quota.rs
@@ -79,7 +79,8 @@
         Ok((per_second > 0.0).then_some(quota))
     }
 
-    /// The cost of a request with this number of tokens, if it states them.
+    /// The cost of a request, as the quota counts it. `tokens` is `None` if the request does not state a
+    /// number of tokens.
     #[must_use]
     pub fn cost(&self, tokens: Option<u32>) -> f64 {
         match self.unit {
@@ -98,10 +99,10 @@
     pub offered: u32,
     /// The cost of its admitted requests, less that of admitted requests that did not run after all.
     pub admitted: i32,
-    /// The cost admitted in the window before the link to the steward was opened, in [`SPAN_COUNT`] equal
+    /// The cost admitted in the window before the link to the steward was opened, in `SPAN_COUNT` equal
     /// spans, the newest first; only in the first usage on a link.
-    #[serde(default)]
-    pub before: Vec<u32>,
+    #[serde(default, rename = "before")]
+    pub inherited: Vec<u32>,
 }
 
 /// The steward's decision on one organisation.
--- a/crates/fireflywheel_daemon/src/fleet/metrics.rs
+++ b/crates/fireflywheel_daemon/src/fleet/metrics.rs
@@ -126,7 +126,8 @@
             .inc();
     }
 
-    /// Counts an attempt without a complete response.
+    /// Counts an attempt without a usable response, or a stream that was cut off for whatever reason. A run of a stream
+    /// that another run resumes is not counted.
     pub fn count_failed_attempt(&self, route: &str, why: &str) {
         self.failed_attempts.with_label_values(&[route, why]).inc();
     }
@@ -147,7 +148,7 @@
         let mut labelled = self
             .labelled_organisations
             .lock()
-            .expect("no panic while it was held");
+            .expect("the lock is not poisoned");
         let known = labelled.contains(organisation);
         if !known && labelled.len() < MAX_ORGANISATION_LABELS {
             labelled.insert(organisation.into());
@@ -164,7 +165,7 @@
     }
 
     /// Sets the version of the configuration in force.
-    pub fn set_version(&self, version: u64) {
+    pub fn set_config_version(&self, version: u64) {
         self.config_version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
--- a/crates/fireflywheel_daemon/src/fleet/steward/link.rs
+++ b/crates/fireflywheel_daemon/src/fleet/steward/link.rs
@@ -16,9 +16,13 @@
 /// A link to another instance.
 #[derive(Debug)]
 pub(super) struct Link {
+    /// The queue of encoded frames.
     pub(super) sender: mpsc::Sender<Bytes>,
+    /// The instance, as a lease record names it.
     pub(super) peer: lease::Record,
+    /// The instance's share of a processor.
     pub(super) cpu_share: f64,
+    /// Whether the instance is stopping.
     pub(super) leaving: bool,
     /// Time stamp of its last demand in milliseconds, by its own clock; 0 before the first one.
     pub(super) stamp_ms: u64,
@@ -48,7 +52,7 @@
     pub(super) era: Option<Era>,
     pub(super) config_version: u64,
     pub(super) read_age: Duration,
-    pub(super) standbys_read: bool,
+    pub(super) standbys_must_read: bool,
 }
 
 impl Link {
@@ -108,7 +112,7 @@
             config_version: self.config_version,
             read_age_ms: frame::millis(self.read_age),
             stamp_ms,
-            standbys_read: self.standbys_read,
+            standbys_must_read: self.standbys_must_read,
         }
     }
 }
