--- a/crates/fireflywheel_standin/src/client.rs
+++ b/crates/fireflywheel_standin/src/client.rs
@@ -1,5 +1,5 @@
-//! A small HTTP client for tests and the load command, and typed access to the stand-ins' faults
-//! and counts.
+//! An HTTP client for tests and the load command, with typed access to the faults and counts of
+//! stand-ins.
 
 use std::collections;
 
@@ -17,37 +17,39 @@
 
 type Inner = legacy::Client<legacy::connect::HttpConnector, http_body_util::Full<Bytes>>;
 
-/// The text that ends a stream of server-sent events.
+/// The data of the event that marks the end of a stream.
 pub const DONE: &str = "[DONE]";
 
-/// An HTTP client with a pool of connections. It never sends a request twice.
+/// An HTTP client with a connection pool. It never retries a request.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: Inner,
     headers: HeaderMap,
 }
 
-/// A whole answer.
+/// An answer with its whole body.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// Status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// The body, complete.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// An answer whose body is still to be read as server-sent events.
+/// An answer whose body is read as server-sent events.
 #[derive(Debug)]
 pub struct Events {
-    /// The status.
+    /// Status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
     body: body::Incoming,
+    /// Received bytes that do not form a complete line yet.
     buffer: Vec<u8>,
-    lines: collections::VecDeque<String>,
+    /// Data of events that were received but not returned yet.
+    pending: collections::VecDeque<String>,
 }
 
 impl Default for Client {
@@ -57,7 +59,7 @@
 }
 
 impl Client {
-    /// A client that sends no headers of its own.
+    /// Creates a client that adds no headers.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = legacy::connect::HttpConnector::new();
@@ -71,30 +73,30 @@
         }
     }
 
-    /// Adds a header to every request of this client; clones share the connections.
+    /// Adds a header to every request of this client. Clones of a client share its connections.
     ///
     /// # Panics
-    /// When the name or value can't stand in a header.
+    /// If the name or the value is invalid in a header.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
-        let name: header::HeaderName = name.parse().expect("a header name");
-        let value = value.parse().expect("a header value");
+        let name: header::HeaderName = name.parse().expect("valid header name");
+        let value = value.parse().expect("valid header value");
         self.headers.insert(name, value);
         self
     }
 
-    /// Sends a GET.
+    /// Sends a GET request.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// If no complete answer was received.
     pub async fn get(&self, url: &str) -> anyhow::Result<Answer> {
         self.call(Method::GET, url, Bytes::new()).await
     }
 
-    /// Sends a POST.
+    /// Sends a POST request.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// If no complete answer was received.
     pub async fn post<B>(&self, url: &str, body: B) -> anyhow::Result<Answer>
     where
         B: Into<Bytes>,
@@ -102,10 +104,10 @@
         self.call(Method::POST, url, body.into()).await
     }
 
-    /// Sends a POST with a JSON body.
+    /// Sends a POST request with a JSON body.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// If no complete answer was received.
     pub async fn post_json<T>(&self, url: &str, value: &T) -> anyhow::Result<Answer>
     where
         T: Serialize + Sync,
@@ -113,10 +115,10 @@
         self.post(url, serde_json::to_vec(value)?).await
     }
 
-    /// Sends a PUT.
+    /// Sends a PUT request.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// If no complete answer was received.
     pub async fn put<B>(&self, url: &str, body: B) -> anyhow::Result<Answer>
     where
         B: Into<Bytes>,
@@ -124,28 +126,28 @@
         self.call(Method::PUT, url, body.into()).await
     }
 
-    /// Sends a DELETE.
+    /// Sends a DELETE request.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// If no complete answer was received.
     pub async fn delete(&self, url: &str) -> anyhow::Result<Answer> {
         self.call(Method::DELETE, url, Bytes::new()).await
     }
 
-    /// Sends a request and reads its answer whole.
+    /// Sends a request and reads the whole answer.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// If no complete answer was received.
     pub async fn call(&self, method: Method, url: &str, body: Bytes) -> anyhow::Result<Answer> {
         self.open(method, url, body).await?.collect().await
     }
 
-    /// Sends a request and leaves the body of its answer to be read as events.
+    /// Sends a request and returns the answer with its body to be read as events.
     ///
     /// # Errors
-    /// When no answer came.
+    /// If no answer was received.
     pub async fn open(&self, method: Method, url: &str, body: Bytes) -> anyhow::Result<Events> {
-        let uri: Uri = url.parse().context("the address to call")?;
+        let uri: Uri = url.parse().context("invalid request URL")?;
         let mut request = Request::new(http_body_util::Full::new(body));
         *request.method_mut() = method;
         *request.uri_mut() = uri;
@@ -160,14 +162,15 @@
             headers: head.headers,
             body,
             buffer: Vec::new(),
-            lines: collections::VecDeque::new(),
+            pending: collections::VecDeque::new(),
         })
     }
 
-    /// Sends a POST with a JSON body and leaves its answer to be read as events.
+    /// Sends a POST request with a JSON body and returns the answer with its body to be read as
+    /// events.
     ///
     /// # Errors
-    /// When no answer came.
+    /// If no answer was received.
     pub async fn open_json<T>(&self, url: &str, value: &T) -> anyhow::Result<Events>
     where
         T: Serialize + Sync,
@@ -176,20 +179,25 @@
             .await
     }
 
-    /// Changes the switches of the stand-in at `base`, such as `http://127.0.0.1:9001`.
+    /// Changes the fault switches of the stand-in at `base`, such as `http://127.0.0.1:9001`.
     ///
     /// # Errors
-    /// When the stand-in can't be reached or refuses the change.
+    /// If the stand-in cannot be reached or refuses the change.
     pub async fn set_faults(&self, base: &str, change: &fault::Change) -> anyhow::Result<()> {
         let answer = self.post_json(&format!("{base}/v1/faults"), change).await?;
-        anyhow::ensure!(answer.status.is_success(), "faults: {}", answer.text());
+        anyhow::ensure!(
+            answer.status.is_success(),
+            "failed to set faults: {}",
+            answer.text()
+        );
         Ok(())
     }
 
-    /// Reads the switches of the stand-in at `base`; counted ones show what is left of them.
+    /// Reads the fault switches of the stand-in at `base`. Counted switches contain their remaining
+    /// counts.
     ///
     /// # Errors
-    /// When the stand-in can't be reached.
+    /// If the stand-in cannot be reached.
     pub async fn faults(&self, base: &str) -> anyhow::Result<fault::Switches> {
         self.get(&format!("{base}/v1/faults")).await?.json()
     }
@@ -197,7 +205,7 @@
     /// Reads the counts of the stand-in at `base`, such as [`crate::engine::Counts`].
     ///
     /// # Errors
-    /// When the stand-in can't be reached or its counts have another shape.
+    /// If the stand-in cannot be reached or its counts are of another type.
     pub async fn counts<T>(&self, base: &str) -> anyhow::Result<T>
     where
         T: DeserializeOwned,
@@ -206,41 +214,41 @@
     }
 }
 
-fn header_of<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The code of an error in the shape that all doors share.
+/// Returns the code of an error in the format that the daemon and all stand-ins share.
 pub(crate) fn code_of(body: &[u8]) -> Option<SmolStr> {
     #[derive(serde::Deserialize)]
-    struct Envelope {
-        error: Problem,
+    struct ErrorEnvelope {
+        error: ErrorDetails,
     }
     #[derive(serde::Deserialize)]
-    struct Problem {
+    struct ErrorDetails {
         code: SmolStr,
     }
-    let envelope: Envelope = serde_json::from_slice(body).ok()?;
+    let envelope: ErrorEnvelope = serde_json::from_slice(body).ok()?;
     Some(envelope.error.code)
 }
 
 impl Answer {
-    /// A header's value, if it is there and is text.
+    /// Returns the value of a header, or `None` if it is absent or not text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        header_of(&self.headers, name)
+        header_text(&self.headers, name)
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON, whatever the status.
+    /// Parses the body as JSON, regardless of the status.
     ///
     /// # Errors
-    /// When the body has another shape.
+    /// If the body is not JSON of the expected type.
     pub fn json<T>(&self) -> anyhow::Result<T>
     where
         T: DeserializeOwned,
@@ -249,7 +257,7 @@
             .with_context(|| format!("{}: {}", self.status, self.text()))
     }
 
-    /// The error code in the body, if it is an error.
+    /// Returns the error code in the body, or `None` if the body is not an error.
     #[must_use]
     pub fn code(&self) -> Option<SmolStr> {
         code_of(&self.body)
@@ -257,37 +265,38 @@
 }
 
 impl Events {
-    /// A header's value, if it is there and is text.
+    /// Returns the value of a header, or `None` if it is absent or not text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        header_of(&self.headers, name)
+        header_text(&self.headers, name)
     }
 
-    /// The data of the next event, [`DONE`] among them; `None` at the end of the body.
+    /// Returns the data of the next event, or `None` at the end of the body. The end marker
+    /// [`DONE`] is returned like other events.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// If the connection breaks.
     pub async fn next(&mut self) -> anyhow::Result<Option<String>> {
         loop {
-            if let Some(line) = self.lines.pop_front() {
-                return Ok(Some(line));
+            if let Some(data) = self.pending.pop_front() {
+                return Ok(Some(data));
             }
             let Some(frame) = self.body.frame().await else {
                 return Ok(None);
             };
             if let Ok(data) = frame?.into_data() {
                 self.buffer.extend_from_slice(&data);
-                self.cut_lines();
+                self.parse_lines();
             }
         }
     }
 
-    fn cut_lines(&mut self) {
+    fn parse_lines(&mut self) {
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.buffer.drain(..=end).collect();
             let line = String::from_utf8_lossy(&line);
             if let Some(data) = line.trim_end().strip_prefix("data:") {
-                self.lines.push_back(data.trim_start().to_owned());
+                self.pending.push_back(data.trim_start().to_owned());
             }
         }
     }
@@ -295,7 +304,7 @@
     /// Reads the rest of the body.
     ///
     /// # Errors
-    /// When the connection broke before the end.
+    /// If the connection breaks before the end.
     pub async fn collect(self) -> anyhow::Result<Answer> {
         let body = self.body.collect().await?.to_bytes();
         Ok(Answer {
--- a/crates/fireflywheel_standin/src/clock.rs
+++ b/crates/fireflywheel_standin/src/clock.rs
@@ -1,33 +1,35 @@
-//! Unix time, and values that are read with a lag.
+//! Unix time, and values that can be read with a lag.
 
 use std::{collections, time};
 
-/// Most old values kept for lagged reading.
-const MAX_KEPT: usize = 1024;
+/// Maximum number of values that are retained for lagged reads.
+const MAX_VALUES: usize = 1024;
 
-/// Microseconds since the Unix epoch.
+/// Returns the Unix time in microseconds.
 #[must_use]
 pub fn unix_us() -> u64 {
     let since = time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
-        .expect("the clock stands after 1970");
-    u64::try_from(since.as_micros()).expect("fits for half a million years")
+        .expect("system clock is after 1970");
+    u64::try_from(since.as_micros())
+        .expect("microseconds fit into 64 bits for half a million years")
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the Unix time in milliseconds.
 #[must_use]
 pub fn unix_ms() -> u64 {
     unix_us() / 1000
 }
 
-/// The recent values of one thing, to be read as they were some time ago.
+/// The recent history of a value, which can be read as of an earlier time.
 #[derive(Clone, Debug)]
 pub struct Lagged<T> {
+    /// Values with the times from which they are valid, in order of time.
     values: collections::VecDeque<(u64, T)>,
 }
 
 impl<T> Lagged<T> {
-    /// Starts with a value that counts as having always stood.
+    /// Creates a history with a value that is valid from the beginning of time.
     #[must_use]
     pub fn new(value: T) -> Self {
         Self {
@@ -35,18 +37,19 @@
         }
     }
 
-    /// Notes the value that stands from `now` (any unit, the same as in [`Lagged::at`]).
+    /// Records the value that is valid from `now` on. The time may have any unit, as long as it is
+    /// the same as in [`Lagged::at`].
     pub fn record(&mut self, now: u64, value: T) {
-        if self.values.len() == MAX_KEPT {
+        if self.values.len() == MAX_VALUES {
             self.values.pop_front();
         }
         self.values.push_back((now, value));
     }
 
-    /// The value that stood at `then`, or the oldest still kept.
+    /// Returns the value that was valid at `time`, or the oldest retained value.
     #[must_use]
-    pub fn at(&self, then: u64) -> &T {
-        let later = self.values.partition_point(|(from, _)| *from <= then);
-        &self.values[later.saturating_sub(1)].1
+    pub fn at(&self, time: u64) -> &T {
+        let next_index = self.values.partition_point(|(from, _)| *from <= time);
+        &self.values[next_index.saturating_sub(1)].1
     }
 }
--- a/crates/fireflywheel_standin/src/engine/chat.rs
+++ b/crates/fireflywheel_standin/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! Chat requests: their shapes, their acceptance, and the answers to them.
+//! Chat requests: their format, their admission, and their answers.
 
 use std::sync;
 
@@ -11,22 +11,22 @@
 use super::{Engine, Item, stream};
 use crate::http;
 
-/// The header that asks to go on with a stream after its first chunks.
+/// The header that resumes a stream at the given chunk.
 pub(super) const RESUME_FROM: &str = "x-resume-from";
-/// Tokens generated when the request names no number.
+/// Number of generated tokens if the request sets no `max_tokens`.
 const DEFAULT_TOKENS: usize = 16;
-/// Most tokens generated for one request.
+/// Maximum number of generated tokens per request.
 const MAX_TOKENS: usize = 100_000;
-/// How much of the first message names a prefix, in characters.
+/// Number of characters of the first message that identify a prefix.
 const PREFIX_CHARS: usize = 64;
-const STREAMS: &str = "/v1/streams/";
+const STREAMS_PATH: &str = "/v1/streams/";
 
 /// One message of a conversation.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: SmolStr,
-    /// The text.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -35,48 +35,48 @@
 pub struct Prompt {
     /// `MODEL` or `MODEL:ADAPTER`.
     pub model: SmolStr,
-    /// The conversation.
+    /// Messages of the conversation.
     pub messages: Vec<Message>,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the answer is sent as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Tokens to generate after the echo.
+    /// Number of tokens to generate after the echo.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<usize>,
 }
 
-/// A whole answer.
+/// An answer that is not streamed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Completion {
     /// The request id.
     pub id: SmolStr,
     /// Always `chat.completion`.
     pub object: SmolStr,
-    /// The model as requested.
+    /// Model name from the request.
     pub model: SmolStr,
-    /// One choice.
+    /// A single choice.
     pub choices: Vec<Choice>,
-    /// Tokens read and generated.
+    /// Token counts.
     pub usage: Usage,
 }
 
-/// The one choice of a whole answer.
+/// The choice in an answer that is not streamed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Choice {
     /// Always 0.
     pub index: u64,
-    /// The answer.
+    /// Message with the answer.
     pub message: Message,
     /// Always `stop`.
     pub finish_reason: SmolStr,
 }
 
-/// Tokens read and generated.
+/// The token counts of a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// Words in the request.
+    /// Number of words in the request.
     pub prompt_tokens: usize,
-    /// Chunks generated.
+    /// Number of generated chunks.
     pub completion_tokens: usize,
 }
 
@@ -87,46 +87,47 @@
     pub id: SmolStr,
     /// Always `chat.completion.chunk`.
     pub object: SmolStr,
-    /// The model as requested.
+    /// Model name from the request.
     pub model: SmolStr,
-    /// The number of the chunk in its stream, from 0; a repeated one has the same number.
+    /// Index of the chunk in its stream, from 0. A duplicated chunk has the same index.
     pub seq: usize,
-    /// One choice.
-    pub choices: Vec<Delta>,
+    /// A single choice.
+    pub choices: Vec<ChunkChoice>,
 }
 
-/// The one choice of a chunk.
+/// The choice in a chunk.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Delta {
+pub struct ChunkChoice {
     /// Always 0.
     pub index: u64,
-    /// What was added to the content.
-    pub delta: Added,
-    /// `stop` in the last chunk.
+    /// Addition to the content.
+    pub delta: Delta,
+    /// `stop` in the last chunk, otherwise `None`.
     pub finish_reason: Option<SmolStr>,
 }
 
-/// What a chunk adds.
+/// The content that a chunk adds.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Added {
-    /// The text.
+pub struct Delta {
+    /// Added text.
     #[serde(default)]
     pub content: SmolStr,
 }
 
+/// The answer to a cancellation.
 #[derive(Serialize)]
-struct Cancelled {
+struct Cancellation {
     cancelled: bool,
 }
 
-/// The whole content of an answer: the echo and then that many tokens.
+/// Returns the content of a complete answer: the echo, followed by `tokens` generated tokens.
 #[must_use]
 pub fn content(echo: &str, tokens: usize) -> String {
-    pieces(echo, tokens).concat()
+    content_chunks(echo, tokens).concat()
 }
 
-/// The content as it is cut into chunks.
-fn pieces(echo: &str, tokens: usize) -> Vec<SmolStr> {
+/// Returns the content of each chunk.
+fn content_chunks(echo: &str, tokens: usize) -> Vec<SmolStr> {
     let tokens = (1..=tokens).map(|number| smol_str::format_smolstr!(" t{number}"));
     std::iter::once(SmolStr::new(echo)).chain(tokens).collect()
 }
@@ -136,13 +137,13 @@
         self.messages.last().map_or("", |message| &message.content)
     }
 
-    fn prefix(&self) -> SmolStr {
+    fn cache_prefix(&self) -> SmolStr {
         let first = self.messages.first().map_or("", |message| &message.content);
         let start: String = first.chars().take(PREFIX_CHARS).collect();
         smol_str::format_smolstr!("{}|{start}", self.model)
     }
 
-    fn words(&self) -> usize {
+    fn count_words(&self) -> usize {
         self.messages
             .iter()
             .map(|message| message.content.split_whitespace().count())
@@ -151,47 +152,47 @@
 }
 
 impl Engine {
-    pub(super) async fn chat(
+    pub(super) async fn handle_chat(
         self: sync::Arc<Self>,
         request: &http::Request,
     ) -> Result<http::Answer, http::Lost> {
         let id = request
             .header(http::REQUEST_ID)
-            .map_or_else(super::state::fresh_id, SmolStr::new);
+            .map_or_else(super::state::random_id, SmolStr::new);
         if let Some(from) = request.header(RESUME_FROM) {
-            return Ok(self.resume(&id, from));
+            return Ok(self.resume_stream(&id, from));
         }
         let prompt = match request.json::<Prompt>() {
             Ok(prompt) => prompt,
             Err(answer) => return Ok(answer),
         };
-        let stream = match self.start(&id, &prompt) {
+        let stream = match self.start_stream(&id, &prompt) {
             Ok(stream) => stream,
             Err(answer) => return Ok(*answer),
         };
         if prompt.stream {
             return Ok(self.attach(&stream, 0));
         }
-        self.whole(&stream, &prompt).await
+        self.full_answer(&stream, &prompt).await
     }
 
-    fn start(
+    fn start_stream(
         self: &sync::Arc<Self>,
         id: &SmolStr,
         prompt: &Prompt,
     ) -> Result<sync::Arc<stream::Stream>, Box<http::Answer>> {
-        let (item, boot) = self.accept(prompt)?;
+        let (item, boot) = self.accept_request(prompt)?;
         let stream = sync::Arc::new(stream::Stream::new(id, &prompt.model));
         self.lock_streams()
             .insert(id.clone(), sync::Arc::clone(&stream));
         let tokens = prompt.max_tokens.unwrap_or(DEFAULT_TOKENS).min(MAX_TOKENS);
-        let pieces = pieces(prompt.echo(), tokens);
-        let task = sync::Arc::clone(self).generate(sync::Arc::clone(&stream), item, boot, pieces);
+        let chunks = content_chunks(prompt.echo(), tokens);
+        let task = sync::Arc::clone(self).generate(sync::Arc::clone(&stream), item, boot, chunks);
         tokio::spawn(task);
         Ok(stream)
     }
 
-    fn accept(&self, prompt: &Prompt) -> Result<(Item, SmolStr), Box<http::Answer>> {
+    fn accept_request(&self, prompt: &Prompt) -> Result<(Item, SmolStr), Box<http::Answer>> {
         if self.injector.switches().leaving {
             return Err(Box::new(draining()));
         }
@@ -203,17 +204,17 @@
             let Some(item) = state.accept(&prompt.model) else {
                 return Err(Box::new(not_loaded()));
             };
-            state.cache.touch(prompt.prefix());
+            state.cache.touch(prompt.cache_prefix());
             Ok((item, state.boot.clone()))
         })
     }
 
-    async fn whole(
+    async fn full_answer(
         &self,
         stream: &sync::Arc<stream::Stream>,
         prompt: &Prompt,
     ) -> Result<http::Answer, http::Lost> {
-        let phase = stream.ended().await;
+        let phase = stream.wait_until_ended().await;
         let mut streams = self.lock_streams();
         if streams
             .get(&stream.id)
@@ -223,22 +224,22 @@
         }
         drop(streams);
         match phase {
-            stream::Phase::Done => Ok(self.completion(stream, prompt)),
+            stream::Phase::Done => Ok(self.build_completion(stream, prompt)),
             stream::Phase::Cancelled => Ok(http::failure(
                 StatusCode::CONFLICT,
                 "cancelled",
                 "the request was cancelled",
             )),
-            stream::Phase::Going | stream::Phase::Gone => Err(http::Lost),
+            stream::Phase::Generating | stream::Phase::EngineRestarted => Err(http::Lost),
         }
     }
 
-    fn completion(&self, stream: &stream::Stream, prompt: &Prompt) -> http::Answer {
-        let crossed = self
+    fn build_completion(&self, stream: &stream::Stream, prompt: &Prompt) -> http::Answer {
+        let wrong_id = self
             .injector
             .try_consume(|switches| &mut switches.cross_answers);
-        let id = if crossed {
-            crate::service::CROSSED_ID.into()
+        let id = if wrong_id {
+            crate::service::WRONG_REQUEST_ID.into()
         } else {
             stream.id.clone()
         };
@@ -255,7 +256,7 @@
                 finish_reason: "stop".into(),
             }],
             usage: Usage {
-                prompt_tokens: prompt.words(),
+                prompt_tokens: prompt.count_words(),
                 completion_tokens: stream.len(),
             },
         };
@@ -265,12 +266,12 @@
             .injector
             .try_consume(|switches| &mut switches.cut_answers)
         {
-            http::shorten(&mut answer);
+            http::truncate(&mut answer);
         }
         answer
     }
 
-    fn resume(self: &sync::Arc<Self>, id: &str, from: &str) -> http::Answer {
+    fn resume_stream(self: &sync::Arc<Self>, id: &str, from: &str) -> http::Answer {
         let Ok(from) = from.parse() else {
             return http::failure(
                 StatusCode::BAD_REQUEST,
@@ -278,8 +279,8 @@
                 "x-resume-from is a number",
             );
         };
-        let held = self.lock_streams().get(id).cloned();
-        match held {
+        let stream = self.lock_streams().get(id).cloned();
+        match stream {
             Some(stream) => self.attach(&stream, from),
             None => http::failure(
                 StatusCode::NOT_FOUND,
@@ -289,20 +290,20 @@
         }
     }
 
-    pub(super) fn cancel(&self, path: &str) -> http::Answer {
-        let Some(id) = path.strip_prefix(STREAMS) else {
+    pub(super) fn cancel_stream(&self, path: &str) -> http::Answer {
+        let Some(id) = path.strip_prefix(STREAMS_PATH) else {
             return super::not_found();
         };
-        let held = self.lock_streams().get(id).cloned();
-        let cancelled = held.is_some_and(|stream| stream.end(stream::Phase::Cancelled));
+        let stream = self.lock_streams().get(id).cloned();
+        let cancelled = stream.is_some_and(|stream| stream.end(stream::Phase::Cancelled));
         if cancelled {
-            self.with_state(super::state::State::note_cancelled);
+            self.with_state(super::state::State::count_cancelled);
         }
-        http::json(StatusCode::OK, &Cancelled { cancelled })
+        http::json(StatusCode::OK, &Cancellation { cancelled })
     }
 }
 
-// ---- Answers ----
+// ---- Answers and events ----
 
 pub(super) fn not_loaded() -> http::Answer {
     http::failure(
@@ -328,7 +329,7 @@
     )
 }
 
-/// The head of a streamed answer, with its parts to come.
+/// Creates a streamed answer whose body is received from a channel.
 pub(super) fn event_stream(
     parts: mpsc::Receiver<Result<Bytes, http::Lost>>,
     id: &str,
@@ -342,20 +343,20 @@
     answer
 }
 
-/// A chunk with content.
-pub(super) fn chunk_event(id: &str, model: &str, number: usize, token: &SmolStr) -> Bytes {
-    event(id, model, number, token.clone(), None)
+/// Returns the event of a chunk with content.
+pub(super) fn content_event(id: &str, model: &str, index: usize, content: &SmolStr) -> Bytes {
+    chunk_event(id, model, index, content.clone(), None)
 }
 
-/// The chunk that says why the stream ended; it has no content.
-pub(super) fn last_event(id: &str, model: &str, number: usize) -> Bytes {
-    event(id, model, number, SmolStr::default(), Some("stop".into()))
+/// Returns the event of the last chunk, which has a finish reason and no content.
+pub(super) fn last_event(id: &str, model: &str, index: usize) -> Bytes {
+    chunk_event(id, model, index, SmolStr::default(), Some("stop".into()))
 }
 
-fn event(
+fn chunk_event(
     id: &str,
     model: &str,
-    number: usize,
+    index: usize,
     content: SmolStr,
     finish_reason: Option<SmolStr>,
 ) -> Bytes {
@@ -363,10 +364,10 @@
         id: id.into(),
         object: "chat.completion.chunk".into(),
         model: model.into(),
-        seq: number,
-        choices: vec![Delta {
+        seq: index,
+        choices: vec![ChunkChoice {
             index: 0,
-            delta: Added { content },
+            delta: Delta { content },
             finish_reason,
         }],
     };
--- a/crates/fireflywheel_standin/src/engine/counts.rs
+++ b/crates/fireflywheel_standin/src/engine/counts.rs
@@ -1,4 +1,4 @@
-//! What an engine counts, and what tests work out from several engines' counts.
+//! Counts of an engine, and their evaluation over several engines.
 
 use std::collections;
 
@@ -7,52 +7,52 @@
 
 use super::Item;
 
-/// One change of what an engine holds in memory.
+/// One change in the set of items that an engine holds in memory.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// When, Unix time in microseconds.
+    /// Unix time of the change, in microseconds.
     pub us: u64,
-    /// What was loaded or freed.
+    /// The item that was loaded or freed.
     pub item: SmolStr,
-    /// True where the effect of a load began (its memory counts from there), false where the
-    /// memory was freed or the load abandoned.
+    /// True if a load began, which allocates the memory; false if the item was freed or its load
+    /// was abandoned.
     pub loaded: bool,
-    /// All memory held after the change, in megabytes.
+    /// Total memory in use after the change, in megabytes.
     pub memory_mb: u64,
 }
 
-/// What `GET /v1/counts` of an engine answers. A restart in place keeps the counts.
+/// The answer of an engine to `GET /v1/counts`. A restart in place keeps the counts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// The id of this start.
+    /// Id of the current start of the engine.
     pub boot: SmolStr,
-    /// What is loaded now, in order of the names.
+    /// Items that are loaded, sorted by name.
     pub loaded: Vec<SmolStr>,
-    /// Memory held now, in megabytes.
+    /// Memory in use, in megabytes.
     pub memory_mb: u64,
-    /// The most memory ever held, in megabytes.
+    /// Peak of the memory in use, in megabytes.
     pub peak_memory_mb: u64,
-    /// Loads whose effect began, by item.
+    /// Number of loads that began, by item.
     pub loads: collections::BTreeMap<SmolStr, u64>,
-    /// Every change of what is held, in order.
+    /// All changes of the items in memory, in order of time.
     pub history: Vec<Change>,
-    /// Runs that began, by request id.
+    /// Number of runs that began, by request id.
     pub runs: collections::BTreeMap<SmolStr, u64>,
-    /// Requests that run now.
+    /// Number of requests that are running.
     pub running: u64,
-    /// The most requests that ever ran together.
+    /// Peak of the number of running requests.
     pub max_running: u64,
-    /// Streams cancelled by a call.
+    /// Number of streams that a call cancelled.
     pub cancelled: u64,
-    /// Streams ended by a vanished client.
+    /// Number of stream deliveries that ended because the client disconnected.
     pub cut: u64,
 }
 
-/// The greatest number of replicas of one model or adapter, all versions together, that several
-/// engines held at one moment. `item` is a name as in requests: `MODEL` or `MODEL:ADAPTER`.
+/// Returns the peak number of replicas of a model or adapter over several engines. Replicas of all
+/// versions count. `item` is the name that requests use: `MODEL` or `MODEL:ADAPTER`.
 ///
-/// The histories must come from one machine's clock. Of changes in the same microsecond on
-/// different engines, loads count first.
+/// All histories must use the clock of one machine. For changes in the same microsecond on
+/// different engines, loads are counted before frees.
 #[must_use]
 pub fn peak_replicas<'a, H>(histories: H, item: &str) -> usize
 where
@@ -64,15 +64,15 @@
         .filter(|change| requested_as(&change.item).as_deref() == Some(item))
         .collect();
     changes.sort_by_key(|change| (change.us, !change.loaded));
-    let mut held = 0_usize;
+    let mut replicas = 0_usize;
     let mut peak = 0;
     for change in changes {
         if change.loaded {
-            held += 1;
+            replicas += 1;
         } else {
-            held = held.saturating_sub(1);
+            replicas = replicas.saturating_sub(1);
         }
-        peak = peak.max(held);
+        peak = peak.max(replicas);
     }
     peak
 }
--- a/crates/fireflywheel_standin/src/engine/item.rs
+++ b/crates/fireflywheel_standin/src/engine/item.rs
@@ -1,21 +1,22 @@
-//! Names of what an engine loads.
+//! Names of the items that an engine loads.
 
 use std::{fmt, str};
 
 use smol_str::SmolStr;
 
-/// A version of a model, or an adapter of one: `MODEL@VERSION` or `MODEL@VERSION:ADAPTER`.
+/// A version of a model, written `MODEL@VERSION`, or an adapter of that version, written
+/// `MODEL@VERSION:ADAPTER`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Item {
-    /// The model.
+    /// Name of the model.
     pub model: SmolStr,
-    /// Its version.
+    /// Version of the model.
     pub version: SmolStr,
-    /// The adapter, if the item is one.
+    /// Name of the adapter; `None` for a model.
     pub adapter: Option<SmolStr>,
 }
 
-/// A text that isn't `MODEL@VERSION` or `MODEL@VERSION:ADAPTER`.
+/// The text is neither `MODEL@VERSION` nor `MODEL@VERSION:ADAPTER`.
 #[derive(Clone, Copy, Debug)]
 pub struct Malformed;
 
@@ -50,7 +51,7 @@
 }
 
 impl Item {
-    /// The name by which requests ask for it: `MODEL` or `MODEL:ADAPTER`.
+    /// The name that requests use for the item: `MODEL` or `MODEL:ADAPTER`.
     #[must_use]
     pub fn requested_as(&self) -> SmolStr {
         match &self.adapter {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The version of the model that an adapter needs; the item itself if it is a model.
+    /// The model version that an adapter belongs to; for a model, the item itself.
     #[must_use]
     pub fn base(&self) -> Self {
         Self {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether it is `other` or an adapter of it.
+    /// Whether the item is `other` or an adapter of `other`.
     #[must_use]
     pub fn needs(&self, other: &Self) -> bool {
         self == other || self.base() == *other
--- a/crates/fireflywheel_standin/src/engine/mod.rs
+++ b/crates/fireflywheel_standin/src/engine/mod.rs
@@ -1,7 +1,9 @@
-//! Stand-in of a model engine: orders to load and unload, chat requests in a continuous batch,
-//! streams that can be resumed and cancelled, a lagged load report.
+//! Stand-in for a model engine. It loads and unloads models by order, runs chat requests in a
+//! continuous batch, serves streams that can be resumed and cancelled, and publishes a load report
+//! with a configurable lag.
 //!
-//! It doesn't check its memory: it counts, so that a test sees what was overcommitted.
+//! The engine does not enforce a memory limit. It counts the memory in use, so that a test can
+//! detect overcommitment.
 
 mod chat;
 mod counts;
@@ -18,7 +20,7 @@
 use tokio::net;
 use tokio::sync::{Semaphore, watch};
 
-pub use chat::{Added, Choice, Chunk, Completion, Delta, Message, Prompt, Usage, content};
+pub use chat::{Choice, Chunk, ChunkChoice, Completion, Delta, Message, Prompt, Usage, content};
 pub use counts::{Change, Counts, peak_replicas};
 pub use item::Item;
 pub use order::{Kind, Order, Outcome, Source};
@@ -26,41 +28,43 @@
 
 use crate::{client, clock, fault, http};
 
-/// Whether an engine refuses orders with an old fencing number.
+/// How an engine treats orders with an old fencing number.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fencing {
-    /// It refuses them, also after a restart.
+    /// The engine refuses them, also after a restart.
     #[default]
     Checked,
-    /// It refuses them, but a restart loses the number.
+    /// The engine refuses them, but a restart resets the highest number seen.
     Forgets,
-    /// It takes any order.
+    /// The engine accepts every order.
     Ignored,
 }
 
-/// How an engine starts.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Base address of the weight store, `http://IP:PORT`; with none, loads take `load_ms`.
+    /// Base URL of the weight store, `http://IP:PORT`. Without a store, loads take `load_ms`, or
+    /// `adapter_ms` for an adapter.
     pub store: Option<SmolStr>,
-    /// Whether orders with an old fencing number are refused.
+    /// How orders with an old fencing number are treated.
     pub fencing: Fencing,
-    /// The highest fencing number seen before this start.
+    /// The fencing number that counts as the highest one seen at start.
     pub fence_floor: u64,
-    /// Requests that run together; more wait.
+    /// Number of requests that run concurrently; further requests wait.
     pub slots: usize,
-    /// Requests that may wait; more are refused as `overloaded`.
+    /// Number of requests that may wait; further requests are refused as `overloaded`.
     pub queue: usize,
-    /// Time between two tokens of a stream that runs alone, in microseconds.
+    /// Time between two tokens when the batch is otherwise empty, in microseconds.
     pub token_us: u64,
-    /// Time of a load of a model, but for remote ones when there is a store; in milliseconds.
+    /// Load time of a model in milliseconds. Loads from the weight store take the time of the fetch
+    /// instead.
     pub load_ms: u64,
-    /// The same for an adapter.
+    /// Load time of an adapter in milliseconds, with the same exception.
     pub adapter_ms: u64,
-    /// Age of the load report in milliseconds.
+    /// Lag of the load report in milliseconds.
     pub report_lag_ms: u64,
-    /// How long a stream is kept after its connection ended, in milliseconds.
-    pub keep_ms: u64,
+    /// Time for which a stream can be resumed after its connection ended, in milliseconds.
+    pub stream_retention_ms: u64,
 }
 
 impl Default for Options {
@@ -75,7 +79,7 @@
             load_ms: 100,
             adapter_ms: 8,
             report_lag_ms: 0,
-            keep_ms: 3000,
+            stream_retention_ms: 3000,
         }
     }
 }
@@ -87,7 +91,7 @@
     client: client::Client,
     slots: Semaphore,
     state: sync::Mutex<state::State>,
-    /// Raised at each change that an order may wait for.
+    /// Revision number, incremented by each change that an order may wait for.
     changes: watch::Sender<u64>,
     streams: sync::Mutex<collections::BTreeMap<SmolStr, sync::Arc<stream::Stream>>>,
 }
@@ -95,7 +99,7 @@
 /// Serves an engine until the future is dropped.
 ///
 /// # Errors
-/// When the listener fails for good.
+/// If the listener fails.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
     http::serve(listener, Engine::new(options)).await
 }
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Changes the state, then wakes the orders that wait for a change of it.
+    /// Changes the state, then wakes the orders that wait for a change.
     fn with_state<T, F>(&self, change: F) -> T
     where
         F: FnOnce(&mut state::State) -> T,
@@ -125,8 +129,8 @@
         self.with_state_if(|state| (true, change(state)))
     }
 
-    /// As [`Engine::with_state`], but wakes nobody where the closure says that nothing changed:
-    /// orders that wait for each other would otherwise wake each other without end.
+    /// Like [`Engine::with_state`], but wakes waiting orders only if the closure reports a change.
+    /// Otherwise, orders that wait for each other would wake each other in an endless loop.
     fn with_state_if<T, F>(&self, change: F) -> T
     where
         F: FnOnce(&mut state::State) -> (bool, T),
@@ -134,17 +138,16 @@
         let mut state = self.state.lock().expect("no panic under the lock");
         let (changed, value) = change(&mut state);
         if changed {
-            let report = self.report_of(&state);
-            state.record(clock::unix_ms(), report);
+            let report = self.build_report(&state);
+            state.record_report(clock::unix_ms(), report);
         }
         drop(state);
         if changed {
-            self.changes.send_modify(|count| *count += 1);
+            self.changes.send_modify(|revision| *revision += 1);
         }
         value
     }
 
-    /// Reads the state.
     fn read_state<T, F>(&self, read: F) -> T
     where
         F: FnOnce(&state::State) -> T,
@@ -156,7 +159,7 @@
         self.read_state(|state| state.boot.clone())
     }
 
-    fn report_of(&self, state: &state::State) -> Report {
+    fn build_report(&self, state: &state::State) -> Report {
         Report {
             at_ms: 0,
             boot: state.boot.clone(),
@@ -166,28 +169,28 @@
             loaded: state.loaded(),
             memory_mb: state.memory_mb,
             leaving: false,
-            cache: state.cache.published(),
+            cache: state.cache.recent_events(),
         }
     }
 
-    fn load_report(&self) -> http::Answer {
+    fn lagged_report(&self) -> http::Answer {
         let switches = self.injector.switches();
-        let then = clock::unix_ms().saturating_sub(switches.report_lag_ms);
+        let time_ms = clock::unix_ms().saturating_sub(switches.report_lag_ms);
         let mut report = self.read_state(|state| {
-            let lagged = state.report_at(then);
-            lagged.cloned().unwrap_or_else(|| self.report_of(state))
+            let lagged = state.report_at(time_ms);
+            lagged.cloned().unwrap_or_else(|| self.build_report(state))
         });
-        report.at_ms = then;
+        report.at_ms = time_ms;
         report.leaving = switches.leaving;
         http::json(StatusCode::OK, &report)
     }
 
     fn restart(&self) {
-        let forgets = self.options.fencing == Fencing::Forgets;
-        self.with_state(|state| state.restart(forgets));
+        let reset_fencing = self.options.fencing == Fencing::Forgets;
+        self.with_state(|state| state.restart(reset_fencing));
         let streams = std::mem::take(&mut *self.lock_streams());
         for stream in streams.values() {
-            stream.end(stream::Phase::Gone);
+            stream.end(stream::Phase::EngineRestarted);
         }
     }
 
@@ -213,7 +216,7 @@
         request.method != Method::GET
     }
 
-    fn changed(&self, change: &fault::Change) {
+    fn handle_change(&self, change: &fault::Change) {
         if change.restart == Some(true) {
             self.restart();
         }
@@ -224,10 +227,10 @@
         request: http::Request,
     ) -> Result<http::Answer, http::Lost> {
         match (&request.method, request.path.as_str()) {
-            (&Method::POST, "/v1/chat/completions") => self.chat(&request).await,
-            (&Method::POST, "/v1/orders") => self.order(&request).await,
-            (&Method::GET, "/v1/load") => Ok(self.load_report()),
-            (&Method::DELETE, path) => Ok(self.cancel(path)),
+            (&Method::POST, "/v1/chat/completions") => self.handle_chat(&request).await,
+            (&Method::POST, "/v1/orders") => self.handle_order(&request).await,
+            (&Method::GET, "/v1/load") => Ok(self.lagged_report()),
+            (&Method::DELETE, path) => Ok(self.cancel_stream(path)),
             _ => Ok(not_found()),
         }
     }
--- a/crates/fireflywheel_standin/src/engine/order.rs
+++ b/crates/fireflywheel_standin/src/engine/order.rs
@@ -1,4 +1,5 @@
-//! Orders: load, unload, query, role; and the fencing number that each carries.
+//! Orders to load or unload an item, to query the state or to change the role. Each order carries a
+//! fencing number.
 
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -9,29 +10,29 @@
 use super::{Engine, Fencing, Item};
 use crate::{fault, http, store};
 
-/// What an order asks for.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Load the item.
+    /// Loads the item.
     Load,
-    /// Free the item once its requests have ended.
+    /// Frees the item once its requests have ended.
     Unload,
-    /// Answer with the state alone.
+    /// Returns the state without changing it.
     Query,
-    /// Change the role.
+    /// Changes the role.
     Role,
 }
 
-/// Where the bytes of an item lie.
+/// The location from which an item is loaded.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// In the server's memory.
+    /// The server's memory.
     Memory,
-    /// On the server's disk.
+    /// The server's disk.
     Disk,
-    /// In the weight store.
+    /// The weight store.
     #[default]
     Remote,
 }
@@ -39,43 +40,44 @@
 /// The body of `POST /v1/orders`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// The sender's name for the order.
+    /// Id of the order, chosen by the sender.
     #[serde(default)]
     pub order: SmolStr,
-    /// What it asks for.
+    /// Kind of the order.
     pub kind: Kind,
-    /// `MODEL@VERSION` or `MODEL@VERSION:ADAPTER`; empty for a role or a general query.
+    /// `MODEL@VERSION` or `MODEL@VERSION:ADAPTER`; empty for a change of the role and for a query
+    /// about no particular item.
     #[serde(default)]
     pub item: SmolStr,
-    /// Memory that the item takes, in megabytes.
+    /// Memory that the item needs, in megabytes.
     #[serde(default)]
     pub memory_mb: u64,
-    /// Where its bytes lie.
+    /// Location from which the item is loaded.
     #[serde(default)]
     pub source: Source,
-    /// The new role.
+    /// New role, for an order that changes the role.
     #[serde(default)]
     pub role: SmolStr,
-    /// The fencing number.
+    /// Fencing number of the sender.
     #[serde(default)]
     pub fencing: u64,
 }
 
-/// The answer to an order that was carried out.
+/// The answer to an order that succeeded.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Outcome {
     /// Always `done`.
     pub result: SmolStr,
-    /// What is loaded just after the order, draining items among it.
+    /// Items that are loaded just after the order, including draining ones.
     pub loaded: Vec<SmolStr>,
-    /// The id of the engine's start.
+    /// Id of the current start of the engine.
     pub boot: SmolStr,
-    /// The engine's role.
+    /// Role of the engine.
     pub role: SmolStr,
 }
 
 impl Order {
-    /// An order without an item, memory or role.
+    /// Creates an order without an item, memory or role.
     #[must_use]
     pub fn new(kind: Kind, fencing: u64) -> Self {
         Self {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Names the item and its memory in megabytes.
+    /// Sets the item and its memory in megabytes.
     #[must_use]
     pub fn with_item(mut self, item: &str, memory_mb: u64) -> Self {
         self.item = item.into();
@@ -98,47 +100,54 @@
     }
 }
 
-/// Why an order wasn't carried out.
+/// The reason for which an order was not carried out.
 enum Refusal {
-    Stale,
+    StaleFencing,
     StoreFailed,
     NotLoaded,
-    /// The engine restarted meanwhile: there is nobody left to answer.
+    /// The engine restarted in the meantime. The order gets no answer, because the process that
+    /// received it is gone.
     Restarted,
 }
 
-/// What to do next for a load.
-enum Step {
+/// The next step of a load order.
+enum LoadStep {
+    /// The item is loaded already.
     Done,
+    /// Another order for the item is in progress.
     Wait,
-    Begin(u64),
+    /// The load with this id was started.
+    Started(u64),
 }
 
 impl Engine {
-    pub(super) async fn order(&self, request: &http::Request) -> Result<http::Answer, http::Lost> {
+    pub(super) async fn handle_order(
+        &self,
+        request: &http::Request,
+    ) -> Result<http::Answer, http::Lost> {
         let order = match request.json::<Order>() {
             Ok(order) => order,
             Err(answer) => return Ok(answer),
         };
-        self.hold_back().await;
-        match self.carry_out(&order).await {
-            Ok(()) => Ok(http::json(StatusCode::OK, &self.outcome())),
-            Err(refusal) => answer(&refusal),
+        self.delay_arrival().await;
+        match self.execute(&order).await {
+            Ok(()) => Ok(http::json(StatusCode::OK, &self.build_outcome())),
+            Err(refusal) => refusal_answer(&refusal),
         }
     }
 
-    /// Delays the arrival of an order, as a network that held it up.
-    async fn hold_back(&self) {
+    /// Delays an order as a slow network would, if the switch `delay_orders` is set.
+    async fn delay_arrival(&self) {
         if self
             .injector
             .try_consume(|switches| &mut switches.delay_orders)
         {
-            fault::pause(self.injector.switches().delay_orders_ms).await;
+            fault::sleep_ms(self.injector.switches().delay_orders_ms).await;
             self.injector.wait_until_unfrozen().await;
         }
     }
 
-    fn outcome(&self) -> Outcome {
+    fn build_outcome(&self) -> Outcome {
         self.read_state(|state| Outcome {
             result: "done".into(),
             loaded: state.loaded(),
@@ -147,12 +156,12 @@
         })
     }
 
-    async fn carry_out(&self, order: &Order) -> Result<(), Refusal> {
+    async fn execute(&self, order: &Order) -> Result<(), Refusal> {
         let boot = self.boot();
-        let checks = self.options.fencing != Fencing::Ignored;
-        let admitted = self.with_state(|state| state.admit(&order.item, order.fencing));
-        if checks && !admitted {
-            return Err(Refusal::Stale);
+        let checks_fencing = self.options.fencing != Fencing::Ignored;
+        let accepted = self.with_state(|state| state.accept_fencing(&order.item, order.fencing));
+        if checks_fencing && !accepted {
+            return Err(Refusal::StaleFencing);
         }
         if self
             .injector
@@ -161,8 +170,8 @@
             return Err(Refusal::StoreFailed);
         }
         match order.kind {
-            Kind::Load => self.load(order, &item_of(order)?, &boot).await,
-            Kind::Unload => self.unload(order, &item_of(order)?, &boot).await,
+            Kind::Load => self.load(order, &parse_item(order)?, &boot).await,
+            Kind::Unload => self.unload(order, &parse_item(order)?, &boot).await,
             Kind::Query => Ok(()),
             Kind::Role => {
                 self.with_state(|state| state.role = order.role.clone());
@@ -171,25 +180,26 @@
         }
     }
 
-    /// Fails once the order must go no further.
-    fn check(&self, order: &Order, boot: &str) -> Result<(), Refusal> {
-        let checks = self.options.fencing != Fencing::Ignored;
+    /// Fails if the engine has restarted or the order was superseded by one with a higher fencing
+    /// number.
+    fn check_valid(&self, order: &Order, boot: &str) -> Result<(), Refusal> {
+        let checks_fencing = self.options.fencing != Fencing::Ignored;
         self.read_state(|state| {
             if state.boot != boot {
                 Err(Refusal::Restarted)
-            } else if checks && state.overtaken(&order.item, order.fencing) {
-                Err(Refusal::Stale)
+            } else if checks_fencing && state.is_superseded(&order.item, order.fencing) {
+                Err(Refusal::StaleFencing)
             } else {
                 Ok(())
             }
         })
     }
 
-    /// Waits until the order must go no further.
-    async fn stopped(&self, order: &Order, boot: &str) -> Refusal {
+    /// Waits until [`Self::check_valid`] fails for the order.
+    async fn wait_until_invalid(&self, order: &Order, boot: &str) -> Refusal {
         let mut changes = self.changes.subscribe();
         loop {
-            if let Err(refusal) = self.check(order, boot) {
+            if let Err(refusal) = self.check_valid(order, boot) {
                 return refusal;
             }
             if changes.changed().await.is_err() {
@@ -199,36 +209,36 @@
     }
 
     async fn load(&self, order: &Order, item: &Item, boot: &str) -> Result<(), Refusal> {
-        let load = loop {
+        let load_id = loop {
             let mut changes = self.changes.subscribe();
-            self.check(order, boot)?;
-            match self.next_step(order, item)? {
-                Step::Done => return Ok(()),
-                Step::Begin(load) => break load,
-                // Another order for the item is under way; its end is a change.
-                Step::Wait => drop(changes.changed().await),
+            self.check_valid(order, boot)?;
+            match self.start_or_join_load(order, item)? {
+                LoadStep::Done => return Ok(()),
+                LoadStep::Started(load_id) => break load_id,
+                // The end of the other order wakes this one.
+                LoadStep::Wait => drop(changes.changed().await),
             }
         };
         let loaded = tokio::select! {
-            loaded = self.bytes(order, item) => loaded,
-            refusal = self.stopped(order, boot) => Err(refusal),
+            loaded = self.transfer_weights(order, item) => loaded,
+            refusal = self.wait_until_invalid(order, boot) => Err(refusal),
         };
         self.injector.wait_until_unfrozen().await;
-        let loaded = loaded.and_then(|()| self.check(order, boot));
+        let loaded = loaded.and_then(|()| self.check_valid(order, boot));
         self.with_state(|state| match loaded {
-            Ok(()) if state.complete_load(item, load) => Ok(()),
+            Ok(()) if state.complete_load(item, load_id) => Ok(()),
             Ok(()) => Err(Refusal::NotLoaded),
             Err(refusal) => {
-                state.abandon_load(item, load);
+                state.abandon_load(item, load_id);
                 Err(refusal)
             }
         })
     }
 
-    fn next_step(&self, order: &Order, item: &Item) -> Result<Step, Refusal> {
+    fn start_or_join_load(&self, order: &Order, item: &Item) -> Result<LoadStep, Refusal> {
         self.with_state_if(|state| match state.phase(item) {
-            Some(Phase::Loaded) => (false, Ok(Step::Done)),
-            Some(Phase::Loading | Phase::Draining) => (false, Ok(Step::Wait)),
+            Some(Phase::Loaded) => (false, Ok(LoadStep::Done)),
+            Some(Phase::Loading | Phase::Draining) => (false, Ok(LoadStep::Wait)),
             None => {
                 let base = item.base();
                 if base != *item && state.phase(&base) != Some(Phase::Loaded) {
@@ -236,28 +246,35 @@
                 }
                 (
                     true,
-                    Ok(Step::Begin(state.begin_load(item, order.memory_mb))),
+                    Ok(LoadStep::Started(state.start_load(item, order.memory_mb))),
                 )
             }
         })
     }
 
-    /// Returns when the bytes of the item have arrived.
-    async fn bytes(&self, order: &Order, item: &Item) -> Result<(), Refusal> {
+    /// Waits for the time that the transfer of the item's weights takes.
+    async fn transfer_weights(&self, order: &Order, item: &Item) -> Result<(), Refusal> {
         match &self.options.store {
-            Some(base) if order.source == Source::Remote => self.fetch(base, order, item).await,
+            Some(base) if order.source == Source::Remote => {
+                self.fetch_from_store(base, order, item).await
+            }
             _ if item.adapter.is_some() => {
-                fault::pause(self.options.adapter_ms).await;
+                fault::sleep_ms(self.options.adapter_ms).await;
                 Ok(())
             }
             _ => {
-                fault::pause(self.options.load_ms).await;
+                fault::sleep_ms(self.options.load_ms).await;
                 Ok(())
             }
         }
     }
 
-    async fn fetch(&self, base: &str, order: &Order, item: &Item) -> Result<(), Refusal> {
+    async fn fetch_from_store(
+        &self,
+        base: &str,
+        order: &Order,
+        item: &Item,
+    ) -> Result<(), Refusal> {
         let fetch = store::Fetch {
             item: order.item.clone(),
             mb: order.memory_mb,
@@ -276,30 +293,30 @@
     async fn unload(&self, order: &Order, item: &Item, boot: &str) -> Result<(), Refusal> {
         loop {
             let mut changes = self.changes.subscribe();
-            self.check(order, boot)?;
+            self.check_valid(order, boot)?;
             match self.read_state(|state| state.phase(item)) {
                 None => return Ok(()),
                 Some(Phase::Loaded) => break,
                 Some(Phase::Loading | Phase::Draining) => drop(changes.changed().await),
             }
         }
-        self.with_state(|state| state.mark(item, Phase::Draining));
+        self.with_state(|state| state.set_phase(item, Phase::Draining));
         let drained = tokio::select! {
-            () = self.drained(item) => Ok(()),
-            refusal = self.stopped(order, boot) => Err(refusal),
+            () = self.wait_until_idle(item) => Ok(()),
+            refusal = self.wait_until_invalid(order, boot) => Err(refusal),
         };
         self.injector.wait_until_unfrozen().await;
-        let drained = drained.and_then(|()| self.check(order, boot));
+        let drained = drained.and_then(|()| self.check_valid(order, boot));
         self.with_state(|state| match drained {
-            Ok(()) => state.free_all(item),
-            Err(Refusal::Stale) => state.mark(item, Phase::Loaded),
+            Ok(()) => state.free_with_adapters(item),
+            Err(Refusal::StaleFencing) => state.set_phase(item, Phase::Loaded),
             Err(_) => {}
         });
         drained
     }
 
-    /// Returns when no request runs on the item.
-    async fn drained(&self, item: &Item) {
+    /// Waits until the item and its adapters have no requests.
+    async fn wait_until_idle(&self, item: &Item) {
         let mut changes = self.changes.subscribe();
         while self.read_state(|state| state.is_busy(item)) {
             if changes.changed().await.is_err() {
@@ -309,13 +326,13 @@
     }
 }
 
-fn item_of(order: &Order) -> Result<Item, Refusal> {
+fn parse_item(order: &Order) -> Result<Item, Refusal> {
     order.item.parse().map_err(|_| Refusal::NotLoaded)
 }
 
-fn answer(refusal: &Refusal) -> Result<http::Answer, http::Lost> {
+fn refusal_answer(refusal: &Refusal) -> Result<http::Answer, http::Lost> {
     match refusal {
-        Refusal::Stale => Ok(http::failure(
+        Refusal::StaleFencing => Ok(http::failure(
             StatusCode::CONFLICT,
             "stale_fencing",
             "a higher fencing number was seen",
--- a/crates/fireflywheel_standin/src/engine/report.rs
+++ b/crates/fireflywheel_standin/src/engine/report.rs
@@ -1,85 +1,87 @@
-//! The load report, and the events of the prefix cache in it.
+//! The load report, and the prefix cache whose events it contains.
 
 use std::collections;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Prefixes that the cache holds.
+/// Capacity of the prefix cache.
 const MAX_PREFIXES: usize = 64;
-/// Events published at once; older ones are missing, which a reader sees as a gap.
+/// Number of events in a report. Older events are dropped, which a reader detects as a gap in the
+/// sequence numbers.
 const MAX_EVENTS: usize = 32;
 
-/// What `GET /v1/load` answers.
+/// The answer to `GET /v1/load`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Report {
-    /// The moment that the report describes, Unix time in milliseconds.
+    /// Unix time that the report describes, in milliseconds.
     pub at_ms: u64,
-    /// The id of the engine's start.
+    /// Id of the current start of the engine.
     pub boot: SmolStr,
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u64,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: u64,
-    /// Requests that can run together.
+    /// Number of requests that can run concurrently.
     pub slots: usize,
-    /// What is loaded, in order of the names.
+    /// Items that are loaded, sorted by name.
     pub loaded: Vec<SmolStr>,
-    /// Memory held, in megabytes.
+    /// Memory in use, in megabytes.
     pub memory_mb: u64,
-    /// Whether the engine refuses new requests; never lagged.
+    /// Whether the engine refuses new requests; this field has no lag.
     pub leaving: bool,
-    /// The newest events of the prefix cache.
+    /// The most recent events of the prefix cache.
     pub cache: Cache,
 }
 
-/// A run of events of the prefix cache.
+/// Consecutive events of the prefix cache.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Cache {
-    /// The oldest sequence number still published.
+    /// The oldest sequence number in `events`; the next one to be assigned if there are no events.
     pub first: u64,
-    /// The events, in order.
+    /// The events, in order of their sequence numbers.
     pub events: Vec<Event>,
 }
 
-/// A prefix that was stored or evicted.
+/// The storing or eviction of a prefix.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Sequence number, rising by one.
+    /// Sequence number, incremented by one per event.
     pub seq: u64,
-    /// `MODEL|` and the start of the first message's content.
+    /// `MODEL|` followed by the start of the first message's content.
     pub prefix: SmolStr,
-    /// True when stored, false when evicted.
+    /// True if the prefix was stored, false if it was evicted.
     pub stored: bool,
 }
 
-/// The prefix cache itself: the least recently used prefix is evicted first.
+/// An LRU cache of prefixes.
 #[derive(Debug, Default)]
-pub(super) struct Prefixes {
-    held: collections::VecDeque<SmolStr>,
+pub(super) struct PrefixCache {
+    /// Prefixes, least recently used first.
+    entries: collections::VecDeque<SmolStr>,
     events: collections::VecDeque<Event>,
-    next: u64,
+    next_seq: u64,
 }
 
-impl Prefixes {
-    /// Notes the use of a prefix.
+impl PrefixCache {
+    /// Marks a prefix as most recently used, and stores it if it is absent.
     pub(super) fn touch(&mut self, prefix: SmolStr) {
-        if let Some(at) = self.held.iter().position(|held| *held == prefix) {
-            self.held.remove(at);
+        if let Some(index) = self.entries.iter().position(|entry| *entry == prefix) {
+            self.entries.remove(index);
         } else {
-            self.publish(prefix.clone(), true);
+            self.push_event(prefix.clone(), true);
         }
-        self.held.push_back(prefix);
-        if self.held.len() > MAX_PREFIXES
-            && let Some(evicted) = self.held.pop_front()
+        self.entries.push_back(prefix);
+        if self.entries.len() > MAX_PREFIXES
+            && let Some(evicted) = self.entries.pop_front()
         {
-            self.publish(evicted, false);
+            self.push_event(evicted, false);
         }
     }
 
-    fn publish(&mut self, prefix: SmolStr, stored: bool) {
-        let seq = self.next;
-        self.next += 1;
+    fn push_event(&mut self, prefix: SmolStr, stored: bool) {
+        let seq = self.next_seq;
+        self.next_seq += 1;
         self.events.push_back(Event {
             seq,
             prefix,
@@ -90,10 +92,9 @@
         }
     }
 
-    /// The events as the report shows them.
-    pub(super) fn published(&self) -> Cache {
+    pub(super) fn recent_events(&self) -> Cache {
         Cache {
-            first: self.events.front().map_or(self.next, |event| event.seq),
+            first: self.events.front().map_or(self.next_seq, |event| event.seq),
             events: self.events.iter().cloned().collect(),
         }
     }
--- a/crates/fireflywheel_standin/src/fault.rs
+++ b/crates/fireflywheel_standin/src/fault.rs
@@ -1,8 +1,9 @@
-//! The switches for faults that every stand-in has, and the injector where they are set and read.
+//! The fault switches of a stand-in, and the injector that holds them.
 //!
-//! `POST /v1/faults` takes a [`Change`]; only the switches it names change. Counted switches
-//! (`lose_answers` and the like) run down by one each time they take effect; `GET /v1/faults`
-//! answers the present [`Switches`], so that a test can wait until a fault has struck.
+//! `POST /v1/faults` takes a [`Change`], which changes only the switches that it contains. A
+//! counted switch, such as `lose_answers`, is decremented each time it takes effect. `GET
+//! /v1/faults` returns the current [`Switches`], so that a test can wait until a fault has
+//! occurred.
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -10,7 +11,7 @@
 
 macro_rules! switches {
     ($($(#[$doc:meta])* $name:ident / $with:ident: $kind:ty;)*) => {
-        /// The present setting of every switch.
+        /// The current value of every switch.
         #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
         pub struct Switches {
             $($(#[$doc])* pub $name: $kind,)*
@@ -22,7 +23,8 @@
         pub struct Change {
             $($(#[$doc])* #[serde(default, skip_serializing_if = "Option::is_none")]
             pub $name: Option<$kind>,)*
-            /// Engine: restart in place. The boot id changes, nothing is loaded, streams are cut.
+            /// Engine: restarts in place. The boot id changes, all items are unloaded, and streams
+            /// break.
             #[serde(default, skip_serializing_if = "Option::is_none")]
             pub restart: Option<bool>,
         }
@@ -36,7 +38,7 @@
         }
 
         impl Switches {
-            /// Takes over the switches that `change` names.
+            /// Sets the switches that `change` contains.
             pub fn apply(&mut self, change: &Change) {
                 $(if let Some(value) = &change.$name {
                     self.$name = *value;
@@ -47,52 +49,52 @@
 }
 
 switches! {
-    /// Answers 503 to all but faults and counts.
+    /// Answers 503 to all calls except those for faults and counts.
     outage / with_outage: bool;
-    /// Milliseconds of delay before each effect.
+    /// Delay before each effect in milliseconds.
     slow_ms / with_slow_ms: u64;
-    /// Accepts calls and does nothing with them until it is cleared.
+    /// Accepts calls, but processes none until the switch is cleared.
     freeze / with_freeze: bool;
-    /// The next calls that take effect and whose connection then closes without an answer.
+    /// Number of next calls that take effect, but whose connection closes without an answer.
     lose_answers / with_lose_answers: u64;
-    /// The next answers that carry another request id.
+    /// Number of next answers that contain a wrong request id.
     cross_answers / with_cross_answers: u64;
-    /// The next answers that end without their end marker, or with a short body.
+    /// Number of next answers that end without the end marker, or with a truncated body.
     cut_answers / with_cut_answers: u64;
-    /// Milliseconds of delay between an effect and its answer.
+    /// Delay between an effect and its answer in milliseconds.
     late_ms / with_late_ms: u64;
-    /// The next streams that send one chunk twice.
+    /// Number of next streams that send one chunk twice.
     duplicate_answers / with_duplicate_answers: u64;
-    /// Refuses new requests as draining, and says so in the load report.
+    /// Refuses new requests as draining, and reports so in the load report.
     leaving / with_leaving: bool;
-    /// Engine: age of the load report in milliseconds.
+    /// Engine: lag of the load report in milliseconds.
     report_lag_ms / with_report_lag_ms: u64;
-    /// Engine: the next orders that arrive late.
+    /// Engine: number of next orders that are delayed.
     delay_orders / with_delay_orders: u64;
-    /// Engine: by how many milliseconds `delay_orders` delays.
+    /// Engine: delay by `delay_orders` in milliseconds.
     delay_orders_ms / with_delay_orders_ms: u64;
-    /// Engine: the next orders refused with 502 `store_failed`.
+    /// Engine: number of next orders that are refused with 502 `store_failed`.
     refuse_orders / with_refuse_orders: u64;
-    /// Log: how many of the newest records are kept; 0 keeps all.
+    /// Log: number of newest records that are retained; 0 retains all.
     retain / with_retain: u64;
-    /// Log: appends taken in each second; 0 is no limit.
+    /// Log: maximum number of appends per second; 0 for no limit.
     appends_per_second / with_appends_per_second: u64;
-    /// List: age of the list in milliseconds.
+    /// List: lag of the list in milliseconds.
     lag_ms / with_lag_ms: u64;
-    /// Store: loads started in a second; 0 is no limit.
+    /// Store: maximum number of model fetches that start per second; 0 for no limit.
     rate / with_rate: f64;
-    /// Store: loads that run at full speed together.
+    /// Store: number of concurrent model fetches that run at full speed.
     at_once / with_at_once: u64;
 }
 
 impl Change {
-    /// A change that names no switch yet.
+    /// Creates an empty change.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Asks an engine to restart in place.
+    /// Makes an engine restart in place.
     #[must_use]
     pub fn with_restart(mut self) -> Self {
         self.restart = Some(true);
@@ -107,7 +109,7 @@
 }
 
 impl Injector {
-    /// An injector with these first settings.
+    /// Creates an injector with initial values of the switches.
     #[must_use]
     pub fn new(switches: Switches) -> Self {
         Self {
@@ -115,52 +117,52 @@
         }
     }
 
-    /// A copy of the present settings.
+    /// Returns a copy of the current values.
     #[must_use]
     pub fn switches(&self) -> Switches {
         self.switches.borrow().clone()
     }
 
-    /// Applies a change and wakes whoever waits for the end of a freeze.
+    /// Applies a change and wakes the tasks that wait for the end of a freeze.
     pub fn apply(&self, change: &Change) {
         self.switches.send_modify(|switches| switches.apply(change));
     }
 
-    /// Takes one from a counted switch; false when it is used up.
+    /// Decrements a counted switch. Returns false if it is already zero.
     pub fn try_consume<F>(&self, counter: F) -> bool
     where
         F: Fn(&mut Switches) -> &mut u64,
     {
-        let mut taken = false;
+        let mut consumed = false;
         self.switches.send_if_modified(|switches| {
-            let left = counter(switches);
-            taken = *left > 0;
-            *left = left.saturating_sub(1);
+            let remaining = counter(switches);
+            consumed = *remaining > 0;
+            *remaining = remaining.saturating_sub(1);
             false
         });
-        taken
+        consumed
     }
 
-    /// Returns once the stand-in is not frozen.
+    /// Waits until the stand-in is not frozen.
     pub async fn wait_until_unfrozen(&self) {
         let mut changes = self.switches.subscribe();
-        // The sender lives in `self`, so waiting can't fail while `self` is borrowed.
+        // `wait_for` fails only when the sender is dropped, and `self` holds the sender.
         let _ = changes.wait_for(|switches| !switches.freeze).await;
     }
 
-    /// Waits as long as `slow_ms` says.
+    /// Waits for the delay `slow_ms`.
     pub async fn delay_request(&self) {
-        pause(self.switches().slow_ms).await;
+        sleep_ms(self.switches().slow_ms).await;
     }
 
-    /// Waits as long as `late_ms` says.
+    /// Waits for the delay `late_ms`.
     pub async fn delay_answer(&self) {
-        pause(self.switches().late_ms).await;
+        sleep_ms(self.switches().late_ms).await;
     }
 }
 
-/// Sleeps this many milliseconds, not at all for 0.
-pub(crate) async fn pause(ms: u64) {
+/// Sleeps for the given number of milliseconds; returns without yielding for 0.
+pub(crate) async fn sleep_ms(ms: u64) {
     if ms > 0 {
         time::sleep(time::Duration::from_millis(ms)).await;
     }
--- a/crates/fireflywheel_standin/src/http.rs
+++ b/crates/fireflywheel_standin/src/http.rs
@@ -1,5 +1,5 @@
-//! The small hyper server under every stand-in: routing of faults and counts, and the order in
-//! which the general faults apply to a call.
+//! The HTTP server that all stand-ins share. It routes the calls for faults and counts. To every
+//! other call, it applies the faults that all stand-ins have in common, in a fixed order.
 
 use std::{fmt, pin, sync, task};
 
@@ -16,22 +16,22 @@
 
 use crate::fault;
 
-/// Largest request body taken, in bytes.
-const MAX_BODY: usize = 16 << 20;
+/// Maximum size of a request body in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The header that carries the id of a request and of its answer.
+/// The header with the request id, in requests and answers.
 pub const REQUEST_ID: &str = "x-request-id";
 
 /// The answer to a call.
 pub type Answer = Response<Body>;
 
-/// A call whose connection is closed without an answer.
+/// The call gets no answer, and its connection closes.
 #[derive(Clone, Copy, Debug)]
 pub struct Lost;
 
 impl fmt::Display for Lost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the connection closes without an answer")
+        f.write_str("connection closed without an answer")
     }
 }
 
@@ -42,20 +42,20 @@
 pub enum Body {
     /// The whole body.
     Full(Bytes),
-    /// Fewer bytes than the announced length, then the connection closes.
-    Short {
-        /// The bytes that are sent.
+    /// Fewer bytes than the announced content length, after which the connection closes.
+    Truncated {
+        /// Bytes that are sent.
         part: Bytes,
-        /// The length announced.
-        announced: u64,
+        /// Announced content length in bytes.
+        announced_bytes: u64,
     },
-    /// Closes the connection at the poll after the next.
-    Breaking,
+    /// Closes the connection at the second poll, after hyper has flushed.
+    CloseAfterFlush,
     /// Closes the connection at the next poll.
-    Broken,
-    /// Parts as they come; an error closes the connection.
+    Close,
+    /// Parts that are received from a channel; an error closes the connection.
     Parts(mpsc::Receiver<Result<Bytes, Lost>>),
-    /// Nothing more to send.
+    /// The end of the body.
     Empty,
 }
 
@@ -74,18 +74,18 @@
         }
         let next = match std::mem::replace(&mut *self, Self::Empty) {
             Self::Full(bytes) => Some(Ok(body::Frame::data(bytes))),
-            Self::Short { part, .. } => {
-                *self = Self::Breaking;
+            Self::Truncated { part, .. } => {
+                *self = Self::CloseAfterFlush;
                 Some(Ok(body::Frame::data(part)))
             }
-            Self::Breaking => {
-                // hyper flushes what it has when a body isn't ready; an error at once would
-                // take the head of the answer with it.
-                *self = Self::Broken;
+            Self::CloseAfterFlush => {
+                // hyper flushes its buffer when a body is pending. An immediate error would discard
+                // the head of the answer.
+                *self = Self::Close;
                 context.waker().wake_by_ref();
                 return task::Poll::Pending;
             }
-            Self::Broken => Some(Err(Lost)),
+            Self::Close => Some(Err(Lost)),
             Self::Parts(_) | Self::Empty => None,
         };
         task::Poll::Ready(next)
@@ -98,36 +98,38 @@
     fn size_hint(&self) -> body::SizeHint {
         match self {
             Self::Full(bytes) => body::SizeHint::with_exact(bytes.len() as u64),
-            Self::Short { announced, .. } => body::SizeHint::with_exact(*announced),
-            Self::Parts(_) | Self::Breaking | Self::Broken => body::SizeHint::default(),
+            Self::Truncated {
+                announced_bytes, ..
+            } => body::SizeHint::with_exact(*announced_bytes),
+            Self::Parts(_) | Self::CloseAfterFlush | Self::Close => body::SizeHint::default(),
             Self::Empty => body::SizeHint::with_exact(0),
         }
     }
 }
 
-/// A request, read whole.
+/// A request with its whole body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The method.
+    /// Method.
     pub method: Method,
-    /// The path, without the query.
+    /// Path without the query.
     pub path: SmolStr,
-    /// The query, without the question mark; may be empty.
+    /// Query without the question mark; may be empty.
     pub query: SmolStr,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A header's value, if it is there and is text.
+    /// Returns the value of a header, or `None` if it is absent or not text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// A number in the query.
+    /// Returns a number from the query, or `None` if it is absent or not a number.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.query
@@ -137,10 +139,11 @@
             .and_then(|(_, value)| value.parse().ok())
     }
 
-    /// The body as JSON; the error is the answer to give, a 400.
+    /// Parses the body as JSON.
     ///
     /// # Errors
-    /// When the body isn't JSON of this shape.
+    /// If the body is not JSON of the expected type. The error is the answer to send, with status
+    /// 400.
     #[expect(clippy::result_large_err, reason = "the error is the answer to send")]
     pub fn json<T>(&self) -> Result<T, Answer>
     where
@@ -151,27 +154,27 @@
     }
 }
 
-/// What a stand-in does behind the shared server.
+/// The behaviour of a stand-in behind the shared server.
 pub trait Handler: Send + Sync + 'static {
-    /// What `GET /v1/counts` answers.
+    /// The type of the answer to `GET /v1/counts`.
     type Counts: Serialize;
 
-    /// The injector with this stand-in's switches.
+    /// The injector with the stand-in's fault switches.
     fn injector(&self) -> &fault::Injector;
 
-    /// The counts at this moment.
+    /// The current counts.
     fn counts(&self) -> Self::Counts;
 
-    /// Whether the call counts for `lose_answers` and `late_ms`. Polls don't: they would use up
-    /// the losses that a test means for a call with an effect.
+    /// Whether `lose_answers` and `late_ms` apply to a request. They do not apply to polls, which
+    /// would otherwise consume the lost answers that a test intends for calls with an effect.
     fn has_effect(&self, _request: &Request) -> bool {
         true
     }
 
-    /// Told of each change of the switches, after it was applied.
-    fn changed(&self, _change: &fault::Change) {}
+    /// Handles a change of the switches after it was applied.
+    fn handle_change(&self, _change: &fault::Change) {}
 
-    /// Carries out a call. It goes on when the caller's connection ends meanwhile.
+    /// Handles a call. The call continues if the caller's connection ends in the meantime.
     fn call(
         self: sync::Arc<Self>,
         request: Request,
@@ -179,18 +182,18 @@
 }
 
 #[derive(Serialize)]
-struct Envelope<'a> {
-    error: Problem<'a>,
+struct ErrorEnvelope<'a> {
+    error: ErrorDetails<'a>,
 }
 
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ErrorDetails<'a> {
     r#type: &'a str,
     code: &'a str,
     message: &'a str,
 }
 
-/// An answer with a JSON body.
+/// Creates an answer with a JSON body.
 #[must_use]
 pub fn json<T>(status: StatusCode, value: &T) -> Answer
 where
@@ -206,7 +209,7 @@
     answer
 }
 
-/// An error answer in the shape that all doors share.
+/// Creates an error answer in the format that the daemon and all stand-ins share.
 #[must_use]
 pub fn failure(status: StatusCode, code: &str, message: &str) -> Answer {
     let kind = if status.is_server_error() {
@@ -216,8 +219,8 @@
     };
     json(
         status,
-        &Envelope {
-            error: Problem {
+        &ErrorEnvelope {
+            error: ErrorDetails {
                 r#type: kind,
                 code,
                 message,
@@ -226,28 +229,28 @@
     )
 }
 
-/// Sets the request id of an answer; an id that can't stand in a header is left out.
+/// Sets the request id of an answer. An id that is invalid in a header is ignored.
 pub fn set_request_id(answer: &mut Answer, id: &str) {
     if let Ok(value) = header::HeaderValue::from_str(id) {
         answer.headers_mut().insert(REQUEST_ID, value);
     }
 }
 
-/// Shortens a whole body to its first half while the full length stays announced.
-pub fn shorten(answer: &mut Answer) {
+/// Truncates a full body to its first half. The announced content length stays unchanged.
+pub fn truncate(answer: &mut Answer) {
     if let Body::Full(bytes) = answer.body() {
-        let short = Body::Short {
+        let truncated = Body::Truncated {
             part: bytes.slice(..bytes.len() / 2),
-            announced: bytes.len() as u64,
+            announced_bytes: bytes.len() as u64,
         };
-        *answer.body_mut() = short;
+        *answer.body_mut() = truncated;
     }
 }
 
-/// Serves `handler` until the future is dropped; its connections end with it.
+/// Serves `handler` until the future is dropped, which also closes its connections.
 ///
 /// # Errors
-/// When the listener fails for good.
+/// If the listener fails.
 pub async fn serve<H>(listener: net::TcpListener, handler: H) -> anyhow::Result<()>
 where
     H: Handler,
@@ -257,12 +260,12 @@
     loop {
         let (socket, _) = listener.accept().await?;
         socket.set_nodelay(true)?;
-        connections.spawn(connection(socket, sync::Arc::clone(&handler)));
+        connections.spawn(serve_connection(socket, sync::Arc::clone(&handler)));
         while connections.try_join_next().is_some() {}
     }
 }
 
-async fn connection<H>(socket: net::TcpStream, handler: sync::Arc<H>)
+async fn serve_connection<H>(socket: net::TcpStream, handler: sync::Arc<H>)
 where
     H: Handler,
 {
@@ -270,7 +273,7 @@
         let handler = sync::Arc::clone(&handler);
         respond(handler, request)
     });
-    // An error here is a client that went away, or an answer lost on purpose.
+    // Errors are expected here: a client disconnected, or an injected fault broke the connection.
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(rt::TokioTimer::new())
         .serve_connection(rt::TokioIo::new(socket), service)
@@ -284,7 +287,7 @@
 where
     H: Handler,
 {
-    let request = match read(request).await {
+    let request = match read_request(request).await {
         Ok(request) => request,
         Err(answer) => return Ok(*answer),
     };
@@ -292,17 +295,17 @@
         (&Method::POST, "/v1/faults") => Ok(set_faults(&*handler, &request)),
         (&Method::GET, "/v1/faults") => Ok(json(StatusCode::OK, &handler.injector().switches())),
         (&Method::GET, "/v1/counts") => Ok(json(StatusCode::OK, &handler.counts())),
-        // A task of its own: a caller that gives up doesn't undo what it has sent, so the call
-        // must go on when hyper drops the connection.
-        _ => tasks::spawn(carry_out(handler, request))
+        // hyper drops this future when the caller disconnects. A caller that gives up does not undo
+        // its request, so the call continues in its own task.
+        _ => tasks::spawn(call_with_faults(handler, request))
             .await
             .unwrap_or(Err(Lost)),
     }
 }
 
-async fn read(request: hyper::Request<body::Incoming>) -> Result<Request, Box<Answer>> {
+async fn read_request(request: hyper::Request<body::Incoming>) -> Result<Request, Box<Answer>> {
     let (head, body) = request.into_parts();
-    let body = http_body_util::Limited::new(body, MAX_BODY)
+    let body = http_body_util::Limited::new(body, MAX_BODY_BYTES)
         .collect()
         .await
         .map_err(|err| {
@@ -332,11 +335,12 @@
         Err(answer) => return answer,
     };
     handler.injector().apply(&change);
-    handler.changed(&change);
+    handler.handle_change(&change);
     json(StatusCode::OK, &change)
 }
 
-async fn carry_out<H>(handler: sync::Arc<H>, request: Request) -> Result<Answer, Lost>
+/// Calls the handler and applies the faults that all stand-ins have.
+async fn call_with_faults<H>(handler: sync::Arc<H>, request: Request) -> Result<Answer, Lost>
 where
     H: Handler,
 {
@@ -362,7 +366,7 @@
     Ok(answer)
 }
 
-/// The answer of every stand-in in an outage.
+/// Creates the answer of a stand-in in an outage.
 #[must_use]
 pub fn outage() -> Answer {
     failure(
--- a/crates/fireflywheel_standin/src/lib.rs
+++ b/crates/fireflywheel_standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins of what fireflywheel meets at its doors, for tests and the demo.
+//! Stand-ins for the services that fireflywheel depends on, for tests and the demo.
 //!
-//! The platform's [`log`], its [`list`] of instances and its weight [`store`], the model
-//! [`engine`] and the plain [`service`] are small HTTP servers, each with switches for [`fault`]s
-//! and with counts to check afterwards. They speak the protocols of `docs/PROTOCOLS.md`. Any
-//! number of them can run in one process:
+//! The platform's [`log`], its [`list`] of instances, its weight [`store`], the model [`engine`]
+//! and the plain [`service`] are small HTTP servers. Each has [`fault`] switches, and counts that a
+//! test can check afterwards. They implement the protocols of `docs/PROTOCOLS.md`. Any number of
+//! them can run in one process:
 //!
 //! ```no_run
 //! use fireflywheel_standin::{client, engine, fault};
@@ -27,10 +27,10 @@
 //! # }
 //! ```
 //!
-//! The binary of this crate serves each of them as a process. [`load`] sends a bounded load to
-//! daemons and judges the answers; [`process`] starts and stops processes from tests.
+//! The binary of this crate runs each of them as a process. [`load`] sends a bounded load to
+//! daemons and checks the answers, and [`process`] starts and stops processes for tests.
 
-/// Makes a test of each name and the check behind it.
+/// Defines a test for each pair of a name and a check.
 #[macro_export]
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $check:expr;)+) => {
--- a/crates/fireflywheel_standin/src/list.rs
+++ b/crates/fireflywheel_standin/src/list.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's lagging list of instances.
+//! Stand-in for the platform's list of instances, which is read with a lag.
 
 use std::{collections, sync};
 
@@ -9,71 +9,71 @@
 
 use crate::{clock, fault, http};
 
-const INSTANCES: &str = "/v1/instances";
+const INSTANCES_PATH: &str = "/v1/instances";
 
-/// How a list starts.
+/// Settings of a list.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Age of the list in milliseconds.
+    /// Lag of the list in milliseconds.
     pub lag_ms: u64,
-    /// The entries at the start, which show at once.
+    /// Initial entries, which are visible without a lag.
     pub instances: Vec<Instance>,
 }
 
-/// What an instance is.
+/// The kind of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// An instance of the system.
+    /// An instance of fireflywheel.
     Router,
     /// A model engine or a plain service.
     Backend,
 }
 
-/// Whether an instance is going to end.
+/// Whether an instance is about to shut down.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It stays.
+    /// The instance keeps running.
     Live,
-    /// It is about to end.
+    /// The instance is about to shut down.
     Leaving,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instance {
     /// Unique name.
     pub name: SmolStr,
-    /// IP number and port.
+    /// IP address and port.
     pub address: SmolStr,
-    /// What it is.
+    /// Kind of the instance.
     pub kind: Kind,
-    /// The group it belongs to.
+    /// Group of the instance.
     pub group: SmolStr,
-    /// Where it runs.
+    /// Failure domain in which the instance runs.
     pub failure_domain: SmolStr,
-    /// Whether it is going to end.
+    /// Whether the instance is about to shut down.
     pub state: State,
 }
 
 /// The answer to `GET /v1/instances`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// The entries in order of their names.
+    /// The entries, sorted by name.
     pub instances: Vec<Instance>,
 }
 
-/// What `GET /v1/counts` answers.
+/// The answer to `GET /v1/counts`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// How often the list was read.
+    /// Number of reads of the list.
     pub reads: u64,
 }
 
 #[derive(Debug)]
 struct Entries {
-    present: collections::BTreeMap<SmolStr, Instance>,
+    current: collections::BTreeMap<SmolStr, Instance>,
     lagged: clock::Lagged<Page>,
     counts: Counts,
 }
@@ -87,7 +87,7 @@
 /// Serves a list until the future is dropped.
 ///
 /// # Errors
-/// When the listener fails for good.
+/// If the listener fails.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
     let injector = fault::Injector::new(fault::Switches {
         lag_ms: options.lag_ms,
@@ -102,26 +102,27 @@
 
 impl Entries {
     fn new(instances: Vec<Instance>) -> Self {
-        let present: collections::BTreeMap<_, _> = instances
+        let current: collections::BTreeMap<_, _> = instances
             .into_iter()
             .map(|instance| (instance.name.clone(), instance))
             .collect();
-        let lagged = clock::Lagged::new(page(&present));
+        let lagged = clock::Lagged::new(build_page(&current));
         Self {
-            present,
+            current,
             lagged,
             counts: Counts::default(),
         }
     }
 
     fn record(&mut self) {
-        self.lagged.record(clock::unix_ms(), page(&self.present));
+        self.lagged
+            .record(clock::unix_ms(), build_page(&self.current));
     }
 }
 
-fn page(present: &collections::BTreeMap<SmolStr, Instance>) -> Page {
+fn build_page(current: &collections::BTreeMap<SmolStr, Instance>) -> Page {
     Page {
-        instances: present.values().cloned().collect(),
+        instances: current.values().cloned().collect(),
     }
 }
 
@@ -131,10 +132,10 @@
     }
 
     fn get(&self) -> http::Answer {
-        let then = clock::unix_ms().saturating_sub(self.injector.switches().lag_ms);
+        let time_ms = clock::unix_ms().saturating_sub(self.injector.switches().lag_ms);
         let mut entries = self.lock();
         entries.counts.reads += 1;
-        http::json(StatusCode::OK, entries.lagged.at(then))
+        http::json(StatusCode::OK, entries.lagged.at(time_ms))
     }
 
     fn put(&self, name: &str, request: &http::Request) -> http::Answer {
@@ -143,14 +144,14 @@
             Err(answer) => return answer,
         };
         let mut entries = self.lock();
-        entries.present.insert(name.into(), instance.clone());
+        entries.current.insert(name.into(), instance.clone());
         entries.record();
         http::json(StatusCode::OK, &instance)
     }
 
     fn delete(&self, name: &str) -> http::Answer {
         let mut entries = self.lock();
-        let Some(instance) = entries.present.remove(name) else {
+        let Some(instance) = entries.current.remove(name) else {
             return not_found();
         };
         entries.record();
@@ -177,7 +178,7 @@
         self: sync::Arc<Self>,
         request: http::Request,
     ) -> Result<http::Answer, http::Lost> {
-        let Some(rest) = request.path.strip_prefix(INSTANCES) else {
+        let Some(rest) = request.path.strip_prefix(INSTANCES_PATH) else {
             return Ok(not_found());
         };
         let answer = match (&request.method, rest.strip_prefix('/')) {
--- a/crates/fireflywheel_standin/src/log.rs
+++ b/crates/fireflywheel_standin/src/log.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's append-only log service.
+//! Stand-in for the platform's append-only log service.
 
 use std::{collections, str, sync};
 
@@ -11,57 +11,57 @@
 
 use crate::{clock, fault, http};
 
-/// Largest body of one append, in bytes.
+/// Maximum size of an appended record in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Most records in one answer when the caller names no number.
-const DEFAULT_MAX: u64 = 1000;
+/// Maximum number of records in an answer if the request sets no `max`.
+const DEFAULT_MAX_RECORDS: u64 = 1000;
 
-/// How a log starts.
+/// Settings of a log.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// How many of the newest records are kept; 0 keeps all.
+    /// Number of newest records that are retained; 0 retains all.
     pub retain: u64,
-    /// Appends taken in each second; 0 is no limit.
+    /// Maximum number of appends per second; 0 for no limit.
     pub appends_per_second: u64,
 }
 
 /// The answer to an append.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Appended {
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: u64,
 }
 
-/// One record as it is read.
+/// A record in the answer to a read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: u64,
-    /// When it was appended, Unix time in milliseconds.
+    /// Unix time of the append, in milliseconds.
     pub time_ms: u64,
-    /// The text that was appended.
+    /// Appended text.
     pub body: String,
 }
 
 /// The answer to a read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// The oldest offset retained.
+    /// Offset of the oldest retained record.
     pub first: u64,
-    /// The offset that the next append gets.
+    /// Offset of the next append.
     pub next: u64,
     /// The records, in order of their offsets.
     pub records: Vec<Record>,
 }
 
-/// What `GET /v1/counts` answers.
+/// The answer to `GET /v1/counts`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub appends: u64,
-    /// Their bytes.
+    /// Total size of these appends in bytes.
     pub bytes: u64,
-    /// The offset that the next append gets.
+    /// Offset of the next append.
     pub next: u64,
 }
 
@@ -69,8 +69,10 @@
 struct State {
     records: collections::VecDeque<Record>,
     counts: Counts,
+    /// Unix time in seconds for which appends are counted.
     second: u64,
-    in_second: u64,
+    /// Number of appends accepted in `second`.
+    appends_in_second: u64,
 }
 
 #[derive(Debug)]
@@ -83,7 +85,7 @@
 /// Serves a log until the future is dropped.
 ///
 /// # Errors
-/// When the listener fails for good.
+/// If the listener fails.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
     let injector = fault::Injector::new(fault::Switches {
         retain: options.retain,
@@ -99,15 +101,17 @@
 }
 
 impl State {
-    fn take_turn(&mut self, limit: u64) -> bool {
+    /// Counts an append against the rate limit. Returns false if the limit for this second is
+    /// reached.
+    fn try_count_append(&mut self, limit: u64) -> bool {
         let second = clock::unix_ms() / 1000;
         if self.second != second {
             self.second = second;
-            self.in_second = 0;
+            self.appends_in_second = 0;
         }
-        let free = limit == 0 || self.in_second < limit;
-        self.in_second += u64::from(free);
-        free
+        let allowed = limit == 0 || self.appends_in_second < limit;
+        self.appends_in_second += u64::from(allowed);
+        allowed
     }
 
     fn append(&mut self, body: &str) -> u64 {
@@ -166,7 +170,7 @@
         };
         let switches = self.injector.switches();
         let mut state = self.lock();
-        if !state.take_turn(switches.appends_per_second) {
+        if !state.try_count_append(switches.appends_per_second) {
             return http::failure(
                 StatusCode::TOO_MANY_REQUESTS,
                 "rate_limited",
@@ -181,10 +185,10 @@
 
     async fn read(&self, request: &http::Request) -> http::Answer {
         let from = request.number("from").unwrap_or(0);
-        let max = request.number("max").unwrap_or(DEFAULT_MAX);
+        let max = request.number("max").unwrap_or(DEFAULT_MAX_RECORDS);
         let wait = time::Duration::from_millis(request.number("wait_ms").unwrap_or(0));
         let mut next = self.next.subscribe();
-        // Running out of the wait is a usual end: the page is then empty.
+        // A time-out is not an error: the page is then empty.
         let _ = time::timeout(wait, next.wait_for(|next| *next > from)).await;
         self.injector.wait_until_unfrozen().await;
         let switches = self.injector.switches();
@@ -225,7 +229,7 @@
     }
 }
 
-/// The path of a read that waits at most `wait_ms` for a record.
+/// Returns the path of a read that waits at most `wait_ms` for a record.
 #[must_use]
 pub fn read_path(from: u64, max: u64, wait_ms: u64) -> SmolStr {
     smol_str::format_smolstr!("/v1/read?from={from}&max={max}&wait_ms={wait_ms}")
--- a/crates/fireflywheel_standin/src/main.rs
+++ b/crates/fireflywheel_standin/src/main.rs
@@ -1,4 +1,5 @@
-//! `fireflywheel_standin`: the stand-ins as processes, and the load command.
+//! `fireflywheel_standin` runs the stand-ins as processes, sends load to daemons, and runs soak and
+//! replay trials.
 
 use std::{net, path, process};
 
@@ -8,7 +9,8 @@
 use smol_str::SmolStr;
 use tokio::{task, time};
 
-const NOT_CLEAN: u8 = 1;
+/// Exit code if a check failed.
+const CHECK_FAILED: u8 = 1;
 const LOG_LEVELS: [&str; 4] = ["error", "warn", "info", "debug"];
 
 #[tokio::main]
@@ -26,36 +28,40 @@
         Some(("site-worker", args)) => serve_site_worker(args).await?,
         Some(("service", args)) => {
             let options = service::Options {
-                run_ms: number(args, "run-ms"),
+                run_ms: u64_value(args, "run-ms"),
             };
             service::serve(listen(args).await?, options).await?;
         }
-        _ => unreachable!("clap demands a subcommand"),
+        _ => unreachable!("clap requires a subcommand"),
     }
     Ok(process::ExitCode::SUCCESS)
 }
 
-// ---- The command line ----
+// ---- Command line ----
 
 fn command() -> Command {
     Command::new("fireflywheel_standin")
         .about("Stand-ins of what fireflywheel meets, for tests")
         .subcommand_required(true)
         .subcommand(log_command())
-        .subcommand(server("list", "The platform's list of instances").arg(count("lag-ms", "0")))
+        .subcommand(
+            server_command("list", "The platform's list of instances")
+                .arg(integer_arg("lag-ms", "0")),
+        )
         .subcommand(store_command())
         .subcommand(engine_command())
-        .subcommand(server("service", "A plain service").arg(count("run-ms", "0")))
+        .subcommand(server_command("service", "A plain service").arg(integer_arg("run-ms", "0")))
         .subcommand(load_command())
         .subcommand(
-            server("site-store", "The store of the users' platform").arg(count("lapse-ms", "1000")),
+            server_command("site-store", "The store of the users' platform")
+                .arg(integer_arg("lapse-ms", "1000")),
         )
         .subcommand(site_worker_command())
         .subcommand(soak_command())
         .subcommand(replay_command())
 }
 
-fn server(name: &'static str, about: &'static str) -> Command {
+fn server_command(name: &'static str, about: &'static str) -> Command {
     let listen = Arg::new("listen")
         .long("listen")
         .help("Address to listen on; port 0 takes a free one")
@@ -64,38 +70,38 @@
     Command::new(name).about(about).arg(listen)
 }
 
-fn count(name: &'static str, default: &'static str) -> Arg {
+fn integer_arg(name: &'static str, default: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_parser(value_parser!(u64))
         .default_value(default)
 }
 
-fn decimal(name: &'static str, default: &'static str) -> Arg {
+fn decimal_arg(name: &'static str, default: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_parser(value_parser!(f64))
         .default_value(default)
 }
 
-fn texts(name: &'static str) -> Arg {
+fn text_args(name: &'static str) -> Arg {
     Arg::new(name).long(name).action(ArgAction::Append)
 }
 
 fn log_command() -> Command {
-    server("log", "The platform's append-only log")
-        .arg(count("retain", "0"))
-        .arg(count("appends-per-second", "0"))
+    server_command("log", "The platform's append-only log")
+        .arg(integer_arg("retain", "0"))
+        .arg(integer_arg("appends-per-second", "0"))
 }
 
 fn store_command() -> Command {
-    server("store", "The platform's weight store")
-        .arg(decimal("rate", "5"))
-        .arg(count("at-once", "4"))
-        .arg(count("fetch-ms", "200"))
-        .arg(count("ms-per-gb", "0"))
-        .arg(count("adapter-ms", "8"))
-        .arg(count("adapters-at-once", "30"))
+    server_command("store", "The platform's weight store")
+        .arg(decimal_arg("rate", "5"))
+        .arg(integer_arg("at-once", "4"))
+        .arg(integer_arg("fetch-ms", "200"))
+        .arg(integer_arg("ms-per-gb", "0"))
+        .arg(integer_arg("adapter-ms", "8"))
+        .arg(integer_arg("adapters-at-once", "30"))
 }
 
 fn engine_command() -> Command {
@@ -107,17 +113,17 @@
         .long("store")
         .help("http://IP:PORT of the weight store, or none")
         .default_value("none");
-    server("engine", "A model engine")
+    server_command("engine", "A model engine")
         .arg(store)
         .arg(fencing)
-        .arg(count("fence-floor", "0"))
-        .arg(count("slots", "16"))
-        .arg(count("queue", "64"))
-        .arg(count("token-us", "1000"))
-        .arg(count("load-ms", "100"))
-        .arg(count("adapter-ms", "8"))
-        .arg(count("report-lag-ms", "0"))
-        .arg(count("keep-ms", "3000"))
+        .arg(integer_arg("fence-floor", "0"))
+        .arg(integer_arg("slots", "16"))
+        .arg(integer_arg("queue", "64"))
+        .arg(integer_arg("token-us", "1000"))
+        .arg(integer_arg("load-ms", "100"))
+        .arg(integer_arg("adapter-ms", "8"))
+        .arg(integer_arg("report-lag-ms", "0"))
+        .arg(integer_arg("keep-ms", "3000"))
 }
 
 fn site_worker_command() -> Command {
@@ -128,32 +134,32 @@
             .value_parser(value_parser!(net::SocketAddr))
             .required(true)
     };
-    server("site-worker", "A worker of the users' platform")
+    server_command("site-worker", "A worker of the users' platform")
         .arg(Arg::new("id").long("id").required(true))
         .arg(Arg::new("service").long("service").required(true))
         .arg(address("store", "IP:PORT of the store"))
         .arg(address("reached-at", "IP:PORT that its entry names"))
-        .arg(texts("in-memory"))
-        .arg(texts("on-disk"))
-        .arg(count("beat-ms", "200"))
-        .arg(count("load-ms", "100"))
-        .arg(count("disk-load-ms", "50"))
-        .arg(count("run-ms", "5"))
-        .arg(count("step-ms", "5"))
-        .arg(count("slots", "8"))
-        .arg(count("queue", "8"))
-        .arg(count("model-mb", "40"))
-        .arg(count("weights-mb", "83"))
-}
-
-fn path(name: &'static str, help: &'static str) -> Arg {
+        .arg(text_args("in-memory"))
+        .arg(text_args("on-disk"))
+        .arg(integer_arg("beat-ms", "200"))
+        .arg(integer_arg("load-ms", "100"))
+        .arg(integer_arg("disk-load-ms", "50"))
+        .arg(integer_arg("run-ms", "5"))
+        .arg(integer_arg("step-ms", "5"))
+        .arg(integer_arg("slots", "8"))
+        .arg(integer_arg("queue", "8"))
+        .arg(integer_arg("model-mb", "40"))
+        .arg(integer_arg("weights-mb", "83"))
+}
+
+fn path_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .help(help)
         .value_parser(value_parser!(path::PathBuf))
 }
 
-fn faults(args: &ArgMatches) -> trial::script::Faults {
+fn soak_faults(args: &ArgMatches) -> trial::script::Faults {
     if args.get_flag("planned") {
         trial::script::Faults::Planned
     } else if args.get_flag("drills") {
@@ -166,14 +172,14 @@
 fn soak_command() -> Command {
     Command::new("soak")
         .about("Runs instances under seeded faults and checks what must hold")
-        .arg(path("program", "The program of the instances").required(true))
-        .arg(path("logs", "A folder for the instances' logs"))
-        .arg(count("first", "1"))
-        .arg(count("seeds", "1"))
-        .arg(count("at-once", "1"))
-        .arg(count("seconds", "10"))
-        .arg(count("instances", "3"))
-        .arg(count("engines", "3"))
+        .arg(path_arg("program", "The program of the instances").required(true))
+        .arg(path_arg("logs", "A folder for the instances' logs"))
+        .arg(integer_arg("first", "1"))
+        .arg(integer_arg("seeds", "1"))
+        .arg(integer_arg("at-once", "1"))
+        .arg(integer_arg("seconds", "10"))
+        .arg(integer_arg("instances", "3"))
+        .arg(integer_arg("engines", "3"))
         .arg(
             Arg::new("planned")
                 .long("planned")
@@ -194,7 +200,7 @@
     Command::new("replay")
         .about("Sends the same load to each program, and shows what became of it")
         .arg(
-            path("program", "A program of the instances")
+            path_arg("program", "A program of the instances")
                 .action(ArgAction::Append)
                 .required(true),
         )
@@ -210,12 +216,12 @@
                 .value_parser(LOG_LEVELS)
                 .default_value("info"),
         )
-        .arg(count("seed", "1"))
-        .arg(count("seconds", "12"))
-        .arg(decimal("rate", "60"))
-        .arg(count("instances", "3"))
-        .arg(count("engines", "4"))
-        .arg(count("models", "12"))
+        .arg(integer_arg("seed", "1"))
+        .arg(integer_arg("seconds", "12"))
+        .arg(decimal_arg("rate", "60"))
+        .arg(integer_arg("instances", "3"))
+        .arg(integer_arg("engines", "4"))
+        .arg(integer_arg("models", "12"))
 }
 
 fn load_command() -> Command {
@@ -232,43 +238,44 @@
     Command::new("load")
         .about("Sends a bounded load to daemons on this machine and judges the answers")
         .arg(target)
-        .arg(texts("model").required(true))
-        .arg(texts("class"))
-        .arg(texts("tenant"))
-        .arg(count("deadline-ms", "10000"))
-        .arg(count("max-tokens", "16"))
-        .arg(decimal("rate", "10"))
-        .arg(count("count", "100"))
-        .arg(count("seconds", "60"))
-        .arg(count("seed", "1"))
+        .arg(text_args("model").required(true))
+        .arg(text_args("class"))
+        .arg(text_args("tenant"))
+        .arg(integer_arg("deadline-ms", "10000"))
+        .arg(integer_arg("max-tokens", "16"))
+        .arg(decimal_arg("rate", "10"))
+        .arg(integer_arg("count", "100"))
+        .arg(integer_arg("seconds", "60"))
+        .arg(integer_arg("seed", "1"))
         .arg(svg)
         .arg(Arg::new("stream").long("stream").action(ArgAction::SetTrue))
         .arg(Arg::new("json").long("json").action(ArgAction::SetTrue))
 }
 
-// ---- From arguments to options ----
+// ---- Options ----
 
-fn number(args: &ArgMatches, name: &str) -> u64 {
-    *args.get_one(name).expect("it has a default")
+fn u64_value(args: &ArgMatches, name: &str) -> u64 {
+    *args.get_one(name).expect("argument has a default")
 }
 
-fn span(args: &ArgMatches, name: &str) -> time::Duration {
-    time::Duration::from_millis(number(args, name))
+fn duration_value(args: &ArgMatches, name: &str) -> time::Duration {
+    time::Duration::from_millis(u64_value(args, name))
 }
 
-fn size(args: &ArgMatches, name: &str) -> usize {
-    usize::try_from(number(args, name)).unwrap_or(usize::MAX)
+fn usize_value(args: &ArgMatches, name: &str) -> usize {
+    usize::try_from(u64_value(args, name)).unwrap_or(usize::MAX)
 }
 
-fn fraction(args: &ArgMatches, name: &str) -> f64 {
-    *args.get_one(name).expect("it has a default")
+fn f64_value(args: &ArgMatches, name: &str) -> f64 {
+    *args.get_one(name).expect("argument has a default")
 }
 
-fn text<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
-    args.get_one::<String>(name).expect("it has a default")
+fn text_value<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
+    args.get_one::<String>(name)
+        .expect("argument has a default")
 }
 
-fn all_texts(args: &ArgMatches, name: &str) -> Vec<SmolStr> {
+fn text_values(args: &ArgMatches, name: &str) -> Vec<SmolStr> {
     args.get_many::<String>(name)
         .unwrap_or_default()
         .map(SmolStr::from)
@@ -277,46 +284,46 @@
 
 fn log_options(args: &ArgMatches) -> log::Options {
     log::Options {
-        retain: number(args, "retain"),
-        appends_per_second: number(args, "appends-per-second"),
+        retain: u64_value(args, "retain"),
+        appends_per_second: u64_value(args, "appends-per-second"),
     }
 }
 
 fn list_options(args: &ArgMatches) -> list::Options {
     list::Options {
-        lag_ms: number(args, "lag-ms"),
+        lag_ms: u64_value(args, "lag-ms"),
         instances: Vec::new(),
     }
 }
 
 fn store_options(args: &ArgMatches) -> store::Options {
     store::Options {
-        rate: fraction(args, "rate"),
-        at_once: number(args, "at-once"),
-        fetch_ms: number(args, "fetch-ms"),
-        ms_per_gb: number(args, "ms-per-gb"),
-        adapter_ms: number(args, "adapter-ms"),
-        adapters_at_once: number(args, "adapters-at-once"),
+        rate: f64_value(args, "rate"),
+        at_once: u64_value(args, "at-once"),
+        fetch_ms: u64_value(args, "fetch-ms"),
+        ms_per_gb: u64_value(args, "ms-per-gb"),
+        adapter_ms: u64_value(args, "adapter-ms"),
+        adapters_at_once: u64_value(args, "adapters-at-once"),
     }
 }
 
 fn engine_options(args: &ArgMatches) -> engine::Options {
-    let store = text(args, "store");
+    let store = text_value(args, "store");
     engine::Options {
         store: (store != "none").then(|| store.trim_end_matches('/').into()),
-        fencing: match text(args, "fencing") {
+        fencing: match text_value(args, "fencing") {
             "forgets" => engine::Fencing::Forgets,
             "ignored" => engine::Fencing::Ignored,
             _ => engine::Fencing::Checked,
         },
-        fence_floor: number(args, "fence-floor"),
-        slots: size(args, "slots"),
-        queue: size(args, "queue"),
-        token_us: number(args, "token-us"),
-        load_ms: number(args, "load-ms"),
-        adapter_ms: number(args, "adapter-ms"),
-        report_lag_ms: number(args, "report-lag-ms"),
-        keep_ms: number(args, "keep-ms"),
+        fence_floor: u64_value(args, "fence-floor"),
+        slots: usize_value(args, "slots"),
+        queue: usize_value(args, "queue"),
+        token_us: u64_value(args, "token-us"),
+        load_ms: u64_value(args, "load-ms"),
+        adapter_ms: u64_value(args, "adapter-ms"),
+        report_lag_ms: u64_value(args, "report-lag-ms"),
+        stream_retention_ms: u64_value(args, "keep-ms"),
     }
 }
 
@@ -327,25 +334,25 @@
             .unwrap_or_default()
             .copied()
             .collect(),
-        models: all_texts(args, "model"),
-        classes: all_texts(args, "class"),
-        tenants: all_texts(args, "tenant"),
-        deadline_ms: number(args, "deadline-ms"),
+        models: text_values(args, "model"),
+        classes: text_values(args, "class"),
+        tenants: text_values(args, "tenant"),
+        deadline_ms: u64_value(args, "deadline-ms"),
         stream: args.get_flag("stream"),
-        max_tokens: size(args, "max-tokens"),
-        rate: fraction(args, "rate"),
-        count: number(args, "count"),
-        time: time::Duration::from_secs(number(args, "seconds")),
-        seed: number(args, "seed"),
+        max_tokens: usize_value(args, "max-tokens"),
+        rate: f64_value(args, "rate"),
+        count: u64_value(args, "count"),
+        time: time::Duration::from_secs(u64_value(args, "seconds")),
+        seed: u64_value(args, "seed"),
         svg: args.get_one("svg").cloned(),
     }
 }
 
-// ---- Running ----
+// ---- Commands ----
 
-/// Listens, and says so on stdout once a connection would be taken.
+/// Binds the listener, and reports its address on stdout once connections are accepted.
 async fn listen(args: &ArgMatches) -> anyhow::Result<tokio::net::TcpListener> {
-    let address: &net::SocketAddr = args.get_one("listen").expect("it has a default");
+    let address: &net::SocketAddr = args.get_one("listen").expect("argument has a default");
     let listener = tokio::net::TcpListener::bind(address).await?;
     println!("listening {}", listener.local_addr()?);
     Ok(listener)
@@ -353,90 +360,97 @@
 
 async fn serve_site_store(args: &ArgMatches) -> anyhow::Result<()> {
     let store = site::store::Store::new();
-    let lapse = store.clone().lapse(span(args, "lapse-ms"));
+    let expiry = store
+        .clone()
+        .expire_entries(duration_value(args, "lapse-ms"));
     let listener = listen(args).await?;
     tokio::select! {
         result = store.serve(listener) => result,
-        () = lapse => Ok(()),
+        () = expiry => Ok(()),
     }
 }
 
 async fn serve_site_worker(args: &ArgMatches) -> anyhow::Result<()> {
     let options = site::worker::Options {
-        load: span(args, "load-ms"),
-        disk_load: span(args, "disk-load-ms"),
-        run: span(args, "run-ms"),
-        step: span(args, "step-ms"),
-        slots: size(args, "slots"),
-        queue: size(args, "queue"),
-        model_mb: number(args, "model-mb"),
-        weights_mb: number(args, "weights-mb"),
-        tells: true,
+        load: duration_value(args, "load-ms"),
+        disk_load: duration_value(args, "disk-load-ms"),
+        run: duration_value(args, "run-ms"),
+        event_interval: duration_value(args, "step-ms"),
+        slots: usize_value(args, "slots"),
+        queue: usize_value(args, "queue"),
+        model_mb: u64_value(args, "model-mb"),
+        weights_mb: u64_value(args, "weights-mb"),
+        prints_lines: true,
     };
-    let mut worker =
-        site::worker::Worker::with_options(text(args, "id"), text(args, "service"), options);
-    for model in all_texts(args, "on-disk") {
+    let mut worker = site::worker::Worker::with_options(
+        text_value(args, "id"),
+        text_value(args, "service"),
+        options,
+    );
+    for model in text_values(args, "on-disk") {
         worker = worker.with_on_disk(&model);
     }
-    for model in all_texts(args, "in-memory") {
+    for model in text_values(args, "in-memory") {
         worker = worker.with_model(&model);
     }
-    let [store, reached_at] = ["store", "reached-at"].map(|name| {
-        let address: &net::SocketAddr = args.get_one(name).expect("it is required");
+    let [store, address] = ["store", "reached-at"].map(|name| {
+        let address: &net::SocketAddr = args.get_one(name).expect("argument is required");
         *address
     });
-    let beat = worker
+    let entries = worker
         .clone()
-        .beat(store, reached_at, span(args, "beat-ms"));
+        .publish_entries(store, address, duration_value(args, "beat-ms"));
     let listener = listen(args).await?;
     tokio::select! {
         result = worker.serve(listener) => result,
-        () = beat => Ok(()),
+        () = entries => Ok(()),
     }
 }
 
-/// Runs seeds, some at once; the exit code tells whether all promises were kept.
+/// Runs a soak for each seed, several concurrently. The exit code is 0 if all promises held.
 async fn run_soak(args: &ArgMatches) -> anyhow::Result<process::ExitCode> {
-    let program: &path::PathBuf = args.get_one("program").expect("it is required");
+    let program: &path::PathBuf = args.get_one("program").expect("argument is required");
     let logs: Option<&path::PathBuf> = args.get_one("logs");
-    let first = number(args, "first");
-    let mut seeds = first..first + number(args, "seeds");
+    let first = u64_value(args, "first");
+    let mut seeds = first..first + u64_value(args, "seeds");
     let mut running = task::JoinSet::new();
     let mut broken = 0;
     loop {
-        while running.len() < size(args, "at-once").max(1)
+        while running.len() < usize_value(args, "at-once").max(1)
             && let Some(seed) = seeds.next()
         {
             let options = trial::soak::Options {
                 program: program.clone(),
                 seed,
-                faults: faults(args),
-                time: time::Duration::from_secs(number(args, "seconds")),
-                instances: size(args, "instances"),
-                engines: size(args, "engines"),
+                faults: soak_faults(args),
+                time: time::Duration::from_secs(u64_value(args, "seconds")),
+                instances: usize_value(args, "instances"),
+                engines: usize_value(args, "engines"),
                 logs: logs.map(|logs| logs.join(seed.to_string())),
             };
             running.spawn(async move { trial::soak::run(&options).await });
         }
-        let Some(ended) = running.join_next().await else {
+        let Some(finished) = running.join_next().await else {
             break;
         };
-        let report = ended??;
+        let report = finished??;
         print!("{report}");
         broken += report.broken.len();
     }
     println!("{broken} broken");
-    let code = if broken == 0 { 0 } else { NOT_CLEAN };
+    let code = if broken == 0 { 0 } else { CHECK_FAILED };
     Ok(code.into())
 }
 
 async fn run_replay(args: &ArgMatches) -> anyhow::Result<()> {
-    let name = text(args, "pattern");
+    let name = text_value(args, "pattern");
     let mut patterns = trial::replay::Pattern::NAMES.into_iter();
-    let pattern = patterns.find(|(known, _)| *known == name);
-    let (_, pattern) = pattern.context("clap knows the names")?;
-    let level = text(args, "log-level");
-    let log_level = LOG_LEVELS.into_iter().find(|known| *known == level);
+    let pattern = patterns.find(|(pattern_name, _)| *pattern_name == name);
+    let (_, pattern) = pattern.context("unknown pattern")?;
+    let level = text_value(args, "log-level");
+    let log_level = LOG_LEVELS
+        .into_iter()
+        .find(|known_level| *known_level == level);
     for program in args
         .get_many::<path::PathBuf>("program")
         .unwrap_or_default()
@@ -444,13 +458,13 @@
         let options = trial::replay::Options {
             program: program.clone(),
             pattern,
-            seed: number(args, "seed"),
-            time: time::Duration::from_secs(number(args, "seconds")),
-            rate: fraction(args, "rate"),
-            instances: size(args, "instances"),
-            engines: size(args, "engines"),
-            models: size(args, "models"),
-            log_level: log_level.context("clap knows the levels")?,
+            seed: u64_value(args, "seed"),
+            time: time::Duration::from_secs(u64_value(args, "seconds")),
+            rate: f64_value(args, "rate"),
+            instances: usize_value(args, "instances"),
+            engines: usize_value(args, "engines"),
+            models: usize_value(args, "models"),
+            log_level: log_level.context("unknown log level")?,
         };
         println!("{}, {name}, seed {}", program.display(), options.seed);
         print!("{}", trial::replay::run(&options).await?);
@@ -465,6 +479,6 @@
     } else {
         print!("{report}");
     }
-    let code = if report.is_clean() { 0 } else { NOT_CLEAN };
+    let code = if report.is_clean() { 0 } else { CHECK_FAILED };
     Ok(code.into())
 }
--- a/crates/fireflywheel_standin/src/process.rs
+++ b/crates/fireflywheel_standin/src/process.rs
@@ -1,6 +1,6 @@
-//! A harness for tests that run the daemon and the stand-ins as processes of their own.
+//! A harness for tests that run the daemon and the stand-ins as child processes.
 //!
-//! Only the test runner starts processes; the shipped ones never do.
+//! Only the test runner starts processes; the shipped binaries never do.
 
 use std::ffi::OsString;
 use std::sync::atomic;
@@ -13,39 +13,45 @@
 use tokio::process as children;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Guards a test against a process that never gets ready.
-const START_GUARD: time::Duration = time::Duration::from_secs(60);
+/// Maximum time that a process may take to become ready. It prevents a test from hanging.
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Where the times in `/proc/PID/stat` stand after the program's name, and their unit on Linux.
-const USER_TICKS: usize = 11;
-const SYSTEM_TICKS: usize = 12;
-const TICK: time::Duration = time::Duration::from_millis(10);
+/// Index of the user time in `/proc/PID/stat`, counted from the field after the program name.
+const USER_TIME_INDEX: usize = 11;
+/// Index of the system time in `/proc/PID/stat`, counted from the same field.
+const SYSTEM_TIME_INDEX: usize = 12;
+/// Unit of these times on Linux.
+const CLOCK_TICK: time::Duration = time::Duration::from_millis(10);
 
-/// Distinguishes the files of the children of one test process.
-static NEXT_FILE: atomic::AtomicU64 = atomic::AtomicU64::new(0);
+/// Number of the next stderr file. It distinguishes the files of the child processes of one test
+/// process.
+static NEXT_FILE_NUMBER: atomic::AtomicU64 = atomic::AtomicU64::new(0);
 
-/// What to start, and how.
+/// The settings of a child process.
 #[derive(Debug)]
 pub struct Program {
     name: SmolStr,
     path: path::PathBuf,
     args: Vec<OsString>,
     variables: Vec<(&'static str, OsString)>,
-    marks: Vec<&'static str>,
+    /// Prefixes of the line that reports that the process is ready. If empty, the process counts as
+    /// ready at once.
+    ready_prefixes: Vec<&'static str>,
     lines: Option<UnboundedSender<String>>,
 }
 
 impl Program {
-    /// The binary `name` of this workspace. It says on stdout that it is `listening` or `ready`.
+    /// Creates the settings for the binary `name` of this workspace, which reports on stdout that
+    /// it is `listening` or `ready`.
     ///
     /// # Panics
-    /// When the binary isn't built.
+    /// If the binary is not built.
     #[must_use]
     pub fn new(name: &str) -> Self {
         Self::at(binary(name))
     }
 
-    /// The binary at this path.
+    /// Creates the settings for the binary at `path`.
     #[must_use]
     pub fn at(path: path::PathBuf) -> Self {
         let name = path.file_name().unwrap_or_default().to_string_lossy();
@@ -54,12 +60,12 @@
             path,
             args: Vec::new(),
             variables: Vec::new(),
-            marks: vec!["listening ", "ready "],
+            ready_prefixes: vec!["listening ", "ready "],
             lines: None,
         }
     }
 
-    /// The same with arguments after those it has.
+    /// Appends arguments.
     #[must_use]
     pub fn with_args<A>(mut self, args: A) -> Self
     where
@@ -70,33 +76,34 @@
         self
     }
 
-    /// The same with a variable in its environment.
+    /// Sets an environment variable.
     #[must_use]
     pub fn with_variable(mut self, name: &'static str, value: impl Into<OsString>) -> Self {
         self.variables.push((name, value.into()));
         self
     }
 
-    /// The same, but it counts as ready at once, whatever it says.
+    /// Makes the process count as ready at once, whatever it writes to stdout.
     #[must_use]
     pub fn without_mark(mut self) -> Self {
-        self.marks.clear();
+        self.ready_prefixes.clear();
         self
     }
 
-    /// The same with a reader of all lines that it writes to stdout.
+    /// Sends the lines that the process writes to stdout once it is ready to a channel.
     #[must_use]
     pub fn with_lines(mut self, lines: UnboundedSender<String>) -> Self {
         self.lines = Some(lines);
         self
     }
 
-    /// Starts it and waits until it is ready. Needs a runtime with time and I/O.
+    /// Starts the process and waits until it is ready. Requires a runtime with time and I/O
+    /// enabled.
     ///
     /// # Errors
-    /// When the process ends or stays silent; the error holds what it wrote to stderr.
+    /// If the process ends or does not become ready in time. The error contains its stderr output.
     pub async fn start(self) -> anyhow::Result<Child> {
-        let stderr = scratch_file(&self.name);
+        let stderr = stderr_file(&self.name);
         let mut inner = children::Command::new(&self.path)
             .args(&self.args)
             .envs(self.variables.iter().map(|(name, value)| (name, value)))
@@ -105,8 +112,11 @@
             .stderr(fs::File::create(&stderr)?)
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("start {}", self.name))?;
-        let pid = inner.id().and_then(pid_of).context("ended at once")?;
+            .with_context(|| format!("failed to start {}", self.name))?;
+        let pid = inner
+            .id()
+            .and_then(pid_of)
+            .context("process ended at once")?;
         let stdout = inner.stdout.take().context("stdout is piped")?;
         let mut child = Child {
             inner,
@@ -114,14 +124,17 @@
             ready: SmolStr::default(),
             stderr,
         };
-        child.ready = wait_until_ready(stdout, self.marks, self.lines)
+        child.ready = wait_until_ready(stdout, self.ready_prefixes, self.lines)
             .await
-            .with_context(|| format!("{}, which wrote: {}", self.name, child.stderr()))?;
+            .with_context(|| {
+                format!("{} failed to start; stderr: {}", self.name, child.stderr())
+            })?;
         Ok(child)
     }
 }
 
-/// A process started by a test. Dropping it kills it by its id and removes its files.
+/// A process that a test started. Dropping it kills the process by its id and removes its stderr
+/// file.
 #[derive(Debug)]
 pub struct Child {
     inner: children::Child,
@@ -131,14 +144,14 @@
 }
 
 impl Child {
-    /// Starts the binary `name` of this workspace and waits until it says on stdout that it is
-    /// `listening` or `ready`. Needs a runtime with time and I/O.
+    /// Starts the binary `name` of this workspace and waits until it reports on stdout that it is
+    /// `listening` or `ready`. Requires a runtime with time and I/O enabled.
     ///
     /// # Errors
-    /// When the process ends or stays silent; the error holds what it wrote to stderr.
+    /// If the process ends or does not become ready in time. The error contains its stderr output.
     ///
     /// # Panics
-    /// When the binary isn't built.
+    /// If the binary is not built.
     pub async fn start<A>(name: &str, args: A) -> anyhow::Result<Self>
     where
         A: IntoIterator,
@@ -147,17 +160,17 @@
         Program::new(name).with_args(args).start().await
     }
 
-    /// The line by which it said that it was ready.
+    /// Returns the line that reported that the process was ready.
     #[must_use]
     pub fn ready_line(&self) -> &str {
         &self.ready
     }
 
-    /// An address from the ready line: `listening` of a stand-in, `caller`, `peer` or `operator`
-    /// of the daemon.
+    /// Returns an address from the ready line: `listening` of a stand-in, or `caller`, `peer` or
+    /// `operator` of the daemon.
     ///
     /// # Panics
-    /// When the line names no such address.
+    /// If the ready line does not contain the address.
     #[must_use]
     pub fn address(&self, name: &str) -> net::SocketAddr {
         let mut words = self.ready.split_whitespace();
@@ -168,110 +181,114 @@
         };
         found
             .and_then(|address| address.parse().ok())
-            .unwrap_or_else(|| panic!("no address {name} in: {}", self.ready))
+            .unwrap_or_else(|| panic!("no address `{name}` in ready line: {}", self.ready))
     }
 
-    /// `http://IP:PORT` of an address, see [`Child::address`].
+    /// Returns the base URL `http://IP:PORT` of an address; see [`Child::address`].
     ///
     /// # Panics
-    /// When the ready line names no such address.
+    /// If the ready line does not contain the address.
     #[must_use]
     pub fn base(&self, name: &str) -> String {
         format!("http://{}", self.address(name))
     }
 
-    /// The id of the process.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.pid.as_raw_nonzero().get().unsigned_abs()
     }
 
-    /// Ends it at once (SIGKILL) and waits for its end.
+    /// Kills the process with SIGKILL and waits for its end.
     ///
     /// # Errors
-    /// When it can't be killed.
+    /// If the process cannot be killed.
     pub async fn kill(&mut self) -> anyhow::Result<()> {
         Ok(self.inner.kill().await?)
     }
 
-    /// Stops it where it stands (SIGSTOP).
+    /// Suspends the process with SIGSTOP.
     ///
     /// # Errors
-    /// When it has ended.
+    /// If the process has ended.
     pub fn pause(&self) -> anyhow::Result<()> {
         self.signal(signals::Signal::STOP)
     }
 
-    /// Lets it go on after a pause (SIGCONT).
+    /// Resumes a suspended process with SIGCONT.
     ///
     /// # Errors
-    /// When it has ended.
+    /// If the process has ended.
     pub fn resume(&self) -> anyhow::Result<()> {
         self.signal(signals::Signal::CONT)
     }
 
-    /// Tells it that its settings changed (SIGHUP).
+    /// Makes the process reload its settings with SIGHUP.
     ///
     /// # Errors
-    /// When it has ended.
+    /// If the process has ended.
     pub fn reload(&self) -> anyhow::Result<()> {
         self.signal(signals::Signal::HUP)
     }
 
-    /// The time of a processor that it has used so far.
+    /// Returns the CPU time that the process has used.
     ///
     /// # Errors
-    /// When the system can't be asked.
+    /// If `/proc/PID/stat` cannot be read or parsed.
     pub fn processor_time(&self) -> anyhow::Result<time::Duration> {
         let text = fs::read_to_string(format!("/proc/{}/stat", self.id()))?;
-        // The name of the program stands in brackets and may hold anything.
-        let (_, rest) = text.rsplit_once(')').context("no name in it")?;
+        // The program name is in parentheses and may contain any characters.
+        let (_, rest) = text
+            .rsplit_once(')')
+            .context("no program name in /proc/PID/stat")?;
         let fields: Vec<&str> = rest.split_whitespace().collect();
-        let ticks = |place: usize| -> anyhow::Result<u64> {
-            Ok(fields.get(place).context("too short")?.parse()?)
+        let ticks = |index: usize| -> anyhow::Result<u64> {
+            Ok(fields
+                .get(index)
+                .context("too few fields in /proc/PID/stat")?
+                .parse()?)
         };
-        let ticks = ticks(USER_TICKS)? + ticks(SYSTEM_TICKS)?;
-        Ok(TICK * u32::try_from(ticks)?)
+        let ticks = ticks(USER_TIME_INDEX)? + ticks(SYSTEM_TIME_INDEX)?;
+        Ok(CLOCK_TICK * u32::try_from(ticks)?)
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
-        // One that can't be asked about is treated as ended: it was waited for before.
+        // If the status is unavailable, the process was already waited for, so it has ended.
         !matches!(self.inner.try_wait(), Ok(None))
     }
 
-    /// Ends the process at once (`SIGKILL`), without waiting for its end: [`Self::wait`] does.
+    /// Kills the process with SIGKILL without waiting for its end; [`Self::wait`] waits.
     ///
     /// # Errors
-    ///
-    /// When the process has ended.
+    /// If the process has ended.
     pub fn kill_now(&self) -> anyhow::Result<()> {
         self.signal(signals::Signal::KILL)
     }
 
-    /// Asks it to end (SIGTERM).
+    /// Asks the process to shut down with SIGTERM.
     ///
     /// # Errors
-    /// When it has ended.
+    /// If the process has ended.
     pub fn terminate(&self) -> anyhow::Result<()> {
         self.signal(signals::Signal::TERM)
     }
 
     fn signal(&self, signal: signals::Signal) -> anyhow::Result<()> {
-        // Once it was waited for, its id may belong to another process.
-        anyhow::ensure!(self.inner.id().is_some(), "the process has ended");
+        // After the process was waited for, its id may belong to another process.
+        anyhow::ensure!(self.inner.id().is_some(), "process has ended");
         Ok(signals::kill_process(self.pid, signal)?)
     }
 
-    /// Waits for its end; `None` when a signal ended it.
+    /// Waits for the end of the process and returns its exit code; `None` if a signal ended it.
     ///
     /// # Errors
-    /// When the system can't wait for it.
+    /// If waiting for the process fails.
     pub async fn wait(&mut self) -> io::Result<Option<i32>> {
         Ok(self.inner.wait().await?.code())
     }
 
-    /// What it has written to stderr so far.
+    /// Returns what the process has written to stderr so far.
     #[must_use]
     pub fn stderr(&self) -> String {
         let bytes = fs::read(&self.stderr).unwrap_or_default();
@@ -281,7 +298,7 @@
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // It may have ended already; the file may be gone.
+        // The process may have ended, and the file may be gone.
         let _ = self.inner.start_kill();
         let _ = fs::remove_file(&self.stderr);
     }
@@ -289,29 +306,29 @@
 
 async fn wait_until_ready(
     stdout: children::ChildStdout,
-    marks: Vec<&'static str>,
+    ready_prefixes: Vec<&'static str>,
     sink: Option<UnboundedSender<String>>,
 ) -> anyhow::Result<SmolStr> {
     let mut lines = BufReader::new(stdout).lines();
-    let first = async {
-        if marks.is_empty() {
+    let ready_line = async {
+        if ready_prefixes.is_empty() {
             return Ok(SmolStr::default());
         }
         while let Some(line) = lines.next_line().await? {
-            if marks.iter().any(|mark| line.starts_with(mark)) {
+            if ready_prefixes.iter().any(|prefix| line.starts_with(prefix)) {
                 return Ok(SmolStr::from(line));
             }
         }
-        anyhow::bail!("stdout closed before it was ready")
+        anyhow::bail!("stdout closed before the process was ready")
     };
-    let line = tokio::time::timeout(START_GUARD, first)
+    let line = tokio::time::timeout(START_TIMEOUT, ready_line)
         .await
-        .context("not ready in time")??;
-    // A full pipe would block the process at its next line.
+        .context("process was not ready in time")??;
+    // Stdout is read to its end, because a full pipe would block the process.
     tokio::spawn(async move {
         while let Ok(Some(line)) = lines.next_line().await {
             if let Some(sink) = &sink {
-                // Whoever wanted the lines may have gone.
+                // The receiver may have been dropped.
                 let _ = sink.send(line);
             }
         }
@@ -323,27 +340,27 @@
     signals::Pid::from_raw(i32::try_from(id).ok()?)
 }
 
-fn scratch_file(name: &str) -> path::PathBuf {
-    let number = NEXT_FILE.fetch_add(1, atomic::Ordering::Relaxed);
-    let own = process::id();
-    env::temp_dir().join(format!("{name}-{own}-{number}.stderr"))
+fn stderr_file(name: &str) -> path::PathBuf {
+    let number = NEXT_FILE_NUMBER.fetch_add(1, atomic::Ordering::Relaxed);
+    let pid = process::id();
+    env::temp_dir().join(format!("{name}-{pid}-{number}.stderr"))
 }
 
-/// The path of a binary of this workspace, beside the running test.
+/// Returns the path of a binary of this workspace, in the target directory of the running test.
 ///
 /// # Panics
-/// When the binary isn't built.
+/// If the binary is not built.
 #[must_use]
 pub fn binary(name: &str) -> path::PathBuf {
-    let test = env::current_exe().expect("the test knows its own path");
-    let mut directory = test.parent().expect("a file is in a directory");
+    let test = env::current_exe().expect("path of the running test");
+    let mut directory = test.parent().expect("a file has a parent directory");
     if directory.ends_with("deps") {
-        directory = directory.parent().expect("deps is in the target directory");
+        directory = directory.parent().expect("`deps` has a parent directory");
     }
     let binary = directory.join(name);
     assert!(
         binary.is_file(),
-        "{} isn't built: run `cargo build --workspace` in the same profile first",
+        "{} is not built: run `cargo build --workspace` in the same profile first",
         binary.display()
     );
     binary
--- a/crates/fireflywheel_standin/src/service.rs
+++ b/crates/fireflywheel_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service: it answers any method and path, and counts its runs.
+//! Stand-in for a plain service. It answers requests with any method and path, and counts its runs.
 
 use std::{collections, sync};
 
@@ -9,39 +9,39 @@
 
 use crate::{fault, http};
 
-/// The id in an answer that was crossed on purpose.
-pub const CROSSED_ID: &str = "crossed-answer";
+/// The request id in an answer that the switch `cross_answers` modified.
+pub const WRONG_REQUEST_ID: &str = "crossed-answer";
 
-/// How a service starts.
+/// Settings of a plain service.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// How long a run takes, in milliseconds.
+    /// Duration of a run in milliseconds.
     pub run_ms: u64,
 }
 
 /// The answer to a call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Outcome {
-    /// The request id of the call.
+    /// Request id of the call.
     pub id: SmolStr,
-    /// The method of the call.
+    /// Method of the call.
     pub method: SmolStr,
-    /// The path of the call.
+    /// Path of the call.
     pub path: SmolStr,
-    /// The body of the call, as text.
+    /// Body of the call as text.
     pub body: String,
-    /// How many runs there were, with this one.
+    /// Total number of runs of the service, including this one.
     pub run: u64,
 }
 
-/// What `GET /v1/counts` answers.
+/// The answer to `GET /v1/counts`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Runs by request id.
+    /// Number of runs by request id.
     pub runs: collections::BTreeMap<SmolStr, u64>,
-    /// Runs by the text of the body.
+    /// Number of runs by the text of the body.
     pub bodies: collections::BTreeMap<String, u64>,
-    /// All runs.
+    /// Total number of runs.
     pub total: u64,
 }
 
@@ -55,7 +55,7 @@
 /// Serves a plain service until the future is dropped.
 ///
 /// # Errors
-/// When the listener fails for good.
+/// If the listener fails.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
     let service = Service {
         injector: fault::Injector::new(fault::Switches::default()),
@@ -111,12 +111,12 @@
             return Ok(answer);
         }
         let mut outcome = self.run(&request);
-        fault::pause(self.options.run_ms).await;
+        fault::sleep_ms(self.options.run_ms).await;
         if self
             .injector
             .try_consume(|switches| &mut switches.cross_answers)
         {
-            outcome.id = CROSSED_ID.into();
+            outcome.id = WRONG_REQUEST_ID.into();
         }
         let mut answer = http::json(StatusCode::OK, &outcome);
         http::set_request_id(&mut answer, &outcome.id);
@@ -124,7 +124,7 @@
             .injector
             .try_consume(|switches| &mut switches.cut_answers)
         {
-            http::shorten(&mut answer);
+            http::truncate(&mut answer);
         }
         Ok(answer)
     }
--- a/crates/fireflywheel_standin/src/site/configuration.rs
+++ b/crates/fireflywheel_standin/src/site/configuration.rs
@@ -1,10 +1,10 @@
-//! The operator's configuration, for stand-ins of a store and workers.
+//! The operator's configuration for the stand-ins for the store and the workers.
 
-/// Servers that a request may run on, by the configuration.
+/// Maximum number of workers on which the configuration lets a request run.
 pub const ATTEMPTS: usize = 2;
 
-/// Its text, with a group `llm` of engines with room for two models each, and a group `app` of plain services. Each
-/// version adds a route `/vN/`, by which it is seen where it is in force.
+/// Returns the configuration as JSON. The service `llm` consists of engines with memory for two models each, and `app`
+/// is a plain service. Each version adds a route `/vN/`, so that a request can show whether the version is in effect.
 #[must_use]
 pub fn text(models: usize, loads_per_second: f64, version: u64) -> String {
     let models: Vec<String> = (1..=models)
@@ -14,31 +14,31 @@
             )
         })
         .collect();
-    let added: Vec<String> = (1..=version)
-        .map(|version| plain(&format!("v{version}"), "safe"))
+    let version_routes: Vec<String> = (1..=version)
+        .map(|version| plain_route(&format!("v{version}"), "safe"))
         .collect();
     format!(
         r#"{{"version":{version},"routes":[{},{},{},{},{}],
         "services":[{{"name":"llm","maxConns":200,"engine":{{"slots":8,"models":[{}],"weightsMb":83,
         "adapterSlots":4,"loadsPerS":{loads_per_second}}}}},{{"name":"app","maxConns":200}}],
         "limits":{{"maxHeaderBytes":16384,"maxBodyBytes":100000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}}}"#,
-        streaming("ask", 2, true),
-        streaming("once", 1, false),
-        plain("book", "unsafe"),
-        plain("look", "safe"),
-        added.join(","),
+        streaming_route("ask", 2, true),
+        streaming_route("once", 1, false),
+        plain_route("book", "unsafe"),
+        plain_route("look", "safe"),
+        version_routes.join(","),
         models.join(",")
     )
 }
 
-fn streaming(name: &str, attempts: usize, resumable: bool) -> String {
+fn streaming_route(name: &str, attempts: usize, resumable: bool) -> String {
     format!(
         r#"{{"name":"{name}","host":"h","pathPrefix":"/{name}/","kind":"streaming","timeoutMs":8000,"goalMs":1000,
         "priority":0,"service":"llm","attempts":{attempts},"resumable":{resumable},"gapTargetMs":400}}"#
     )
 }
 
-fn plain(name: &str, kind: &str) -> String {
+fn plain_route(name: &str, kind: &str) -> String {
     format!(
         r#"{{"name":"{name}","host":"h","pathPrefix":"/{name}/","kind":"{kind}","timeoutMs":3000,"goalMs":100,
         "priority":2,"service":"app","attempts":{ATTEMPTS}}}"#
--- a/crates/fireflywheel_standin/src/site/line.rs
+++ b/crates/fireflywheel_standin/src/site/line.rs
@@ -1,20 +1,20 @@
-//! What a worker tells on its standard output, for whoever judges it afterwards.
+//! The lines that a worker writes to standard output. A test evaluates them after the run.
 
 use std::fmt;
 use std::str::FromStr;
 
 use smol_str::SmolStr;
 
-/// What a worker does, as a line of text. It outlives the worker.
+/// An event of a worker as a line of text. The lines remain available after the worker has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Line {
-    /// A request runs.
+    /// A request started to run; contains its attempt id.
     Run(SmolStr),
-    /// An order was accepted from this holder with this fencing token.
+    /// An order was accepted; contains the lease holder that sent it and the fencing token.
     Order(SmolStr, u64),
-    /// A load from the weight store begins.
+    /// A load from the weight store began.
     Fetch,
-    /// An order asked for more than its memory holds.
+    /// A load was ordered for which the worker lacks the memory.
     Overcommitted,
 }
 
@@ -22,7 +22,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Run(id) => write!(f, "run {id}"),
-            Self::Order(holder, fence) => write!(f, "order {holder} {fence}"),
+            Self::Order(holder, fencing_token) => write!(f, "order {holder} {fencing_token}"),
             Self::Fetch => f.write_str("fetch"),
             Self::Overcommitted => f.write_str("overcommitted"),
         }
@@ -36,9 +36,9 @@
         let words: Vec<&str> = text.split(' ').collect();
         match words[..] {
             ["run", id] => Ok(Self::Run(id.into())),
-            ["order", holder, fence] => {
-                let fence = fence.parse().map_err(|_| UnknownLine)?;
-                Ok(Self::Order(holder.into(), fence))
+            ["order", holder, fencing_token] => {
+                let fencing_token = fencing_token.parse().map_err(|_| UnknownLine)?;
+                Ok(Self::Order(holder.into(), fencing_token))
             }
             ["fetch"] => Ok(Self::Fetch),
             ["overcommitted"] => Ok(Self::Overcommitted),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A line that no worker writes.
+/// The text is not a line that a worker writes.
 #[derive(Clone, Copy, Debug)]
 pub struct UnknownLine;
 
--- a/crates/fireflywheel_standin/src/site/mod.rs
+++ b/crates/fireflywheel_standin/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the users' platform: its [`store`] and its [`worker`]s, which speak the platform's protocol.
+//! Stand-ins for the [`store`] and the [`worker`]s of the users' platform, which implement the platform's protocol.
 //!
-//! They are small fakes with switches, for tests in one process. Each is a handle that can be cloned: the test
-//! keeps one to look at and change what happens, and serves with another.
+//! They are small fakes with fault switches that run in the test process. Each is a cloneable handle: a test serves
+//! requests with one clone, and uses another to inspect the state and to inject faults.
 
 pub mod configuration;
 pub mod line;
@@ -11,15 +11,15 @@
 use crate::http;
 use hyper::{Response, StatusCode, header};
 
-/// An answer with nothing but a status.
-fn bare(status: StatusCode) -> http::Answer {
+/// Returns an answer with a status and an empty body.
+fn empty_answer(status: StatusCode) -> http::Answer {
     let mut answer = Response::new(http::Body::Full(bytes::Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
-/// Sets a header of an answer; a value that can't stand in one is left out.
-fn set(answer: &mut http::Answer, name: &'static str, value: &str) {
+/// Sets a header of an answer. A value that is invalid in a header is ignored.
+fn set_header(answer: &mut http::Answer, name: &'static str, value: &str) {
     if let Ok(value) = header::HeaderValue::from_str(value) {
         answer.headers_mut().insert(name, value);
     }
--- a/crates/fireflywheel_standin/src/site/store.rs
+++ b/crates/fireflywheel_standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: keyed topics in a log.
+//! Stand-in for the store of the users' platform: topics of keyed records, each topic a log.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,17 +13,17 @@
 use tokio::sync::watch;
 use tokio::time;
 
-use super::{bare, set};
+use super::{empty_answer, set_header};
 use crate::{fault, http};
 
-/// The topic of the workers' entries.
+/// Topic of the workers' directory entries.
 pub const SERVERS: &str = "keyed.servers";
-/// The topic and the key of the operator's configuration.
+/// Topic and key of the operator's configuration.
 pub const CONFIG: (&str, &str) = ("keyed.op", "config");
-/// How often it is looked for entries that have lapsed.
-const LAPSE_LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks for expired entries.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A handle to the store.
+/// A cloneable handle to the store.
 #[derive(Clone, Debug)]
 pub struct Store {
     inner: Arc<Inner>,
@@ -40,17 +40,17 @@
 struct State {
     topics: BTreeMap<SmolStr, Topic>,
     calls: u64,
-    /// How often it has come back from an older copy.
+    /// Number of times that the store was restored from an older copy.
     era: u64,
     longest_wait: Duration,
-    /// The most records that one read returns; 0 for no limit.
-    page: usize,
+    /// Maximum number of records that one read returns; 0 for no limit.
+    max_page_records: usize,
 }
 
 #[derive(Debug, Default)]
 struct Topic {
-    /// Offset of the oldest record that reads still find.
-    first: u64,
+    /// Offset of the oldest record that can still be read.
+    first_offset: u64,
     records: Vec<Record>,
 }
 
@@ -62,10 +62,11 @@
 }
 
 impl Topic {
-    fn end(&self) -> u64 {
+    fn end_offset(&self) -> u64 {
         self.records.len() as u64
     }
 
+    /// Returns the newest record of each key with its offset. Keys whose newest value is empty are deleted.
     fn newest(&self) -> BTreeMap<&str, (u64, &Record)> {
         let mut newest = BTreeMap::new();
         for (offset, record) in self.records.iter().enumerate() {
@@ -83,7 +84,7 @@
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         let inner = Inner {
@@ -92,46 +93,48 @@
         };
         Self {
             inner: Arc::new(inner),
-            injector: no_faults(),
+            injector: new_injector(),
         }
     }
 
-    /// The same store with switches of its own, for callers that it turns away while it serves others.
+    /// Returns a handle to the same store with its own fault switches. With it, the store can refuse some callers while
+    /// it serves others.
     #[must_use]
     pub fn with_own_faults(&self) -> Self {
         Self {
             inner: Arc::clone(&self.inner),
-            injector: no_faults(),
+            injector: new_injector(),
         }
     }
 
     /// Serves until the future is dropped.
     ///
     /// # Errors
-    /// When the listener fails for good.
+    /// If the listener fails.
     pub async fn serve(self, listener: TcpListener) -> anyhow::Result<()> {
         http::serve(listener, self).await
     }
 
     /// Writes a record, as the operator and the workers do.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
-        // Without a condition it is always written.
-        let _ = self.put_at(topic, None, key, value);
+        // An append without a condition always succeeds.
+        let _ = self.append_if(topic, None, key, value);
     }
 
-    /// Drops a key.
+    /// Deletes a key.
     pub fn remove(&self, topic: &str, key: &str) {
         self.put(topic, key, b"");
     }
 
-    /// Lets the history of a topic go; the newest record of each key stays.
+    /// Compacts a topic: its history can no longer be read, but the newest record of each key stays available.
     pub fn compact(&self, topic: &str) {
         let mut state = self.lock();
         let topic = state.topics.entry(topic.into()).or_default();
-        topic.first = topic.end();
+        topic.first_offset = topic.end_offset();
     }
 
-    /// Comes back from a copy of `age` ago: what was written since is gone, and its offsets are given out again.
+    /// Restores the store from a copy of `age` ago. Records written since then are lost, and their offsets are assigned
+    /// again.
     pub fn restore(&self, age: Duration) {
         let mut state = self.lock();
         state.era += 1;
@@ -139,53 +142,54 @@
             topic
                 .records
                 .retain(|record| record.written.elapsed() >= age);
-            topic.first = topic.first.min(topic.end());
+            topic.first_offset = topic.first_offset.min(topic.end_offset());
         }
         drop(state);
-        self.inner.changes.send_modify(|count| *count += 1);
+        self.inner.changes.send_modify(|revision| *revision += 1);
     }
 
-    /// Drops entries of workers that weren't written for this long, for ever; also while the store is out of order.
-    pub async fn lapse(self, patience: Duration) {
+    /// Deletes directory entries that were not rewritten within `ttl`, until the future is dropped. Entries also expire
+    /// while the store is in an outage.
+    pub async fn expire_entries(self, ttl: Duration) {
         loop {
-            time::sleep(LAPSE_LOOK).await;
+            time::sleep(EXPIRY_CHECK_INTERVAL).await;
             let state = self.lock();
             let newest = state.topics.get(SERVERS).map(Topic::newest);
             let newest = newest.unwrap_or_default().into_iter();
-            let lapsed: Vec<String> = newest
-                .filter(|(_, (_, record))| record.written.elapsed() > patience)
+            let expired: Vec<String> = newest
+                .filter(|(_, (_, record))| record.written.elapsed() > ttl)
                 .map(|(key, _)| key.to_owned())
                 .collect();
             drop(state);
-            for key in lapsed {
+            for key in expired {
                 self.remove(SERVERS, &key);
             }
         }
     }
 
-    /// Changes the switches.
+    /// Changes the fault switches.
     pub fn set_faults(&self, change: &fault::Change) {
         self.injector.apply(change);
     }
 
-    /// Limits how many records one read returns.
+    /// Limits the number of records that one read returns; 0 for no limit.
     pub fn set_page(&self, records: usize) {
-        self.lock().page = records;
+        self.lock().max_page_records = records;
     }
 
-    /// Calls that were answered.
+    /// Returns the number of calls that reached the store; calls refused in an outage do not count.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    /// The longest time for which a read asked to wait for records.
+    /// Returns the longest time for which a read asked to wait for records.
     #[must_use]
     pub fn longest_wait(&self) -> Duration {
         self.lock().longest_wait
     }
 
-    /// The newest value of a key.
+    /// Returns the newest value of a key.
     #[must_use]
     pub fn newest(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let state = self.lock();
@@ -208,46 +212,49 @@
             .collect();
         http::json(
             StatusCode::OK,
-            &json!({"items": items, "hasMore": false, "endOffset": topic.end()}),
+            &json!({"items": items, "hasMore": false, "endOffset": topic.end_offset()}),
         )
     }
 
     async fn read(&self, topic: &str, from: u64, wait: Duration) -> http::Answer {
         let mut changes = self.inner.changes.subscribe();
-        let there = async {
-            while self.end(topic) <= from {
+        let available = async {
+            while self.end_offset(topic) <= from {
                 if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        // Without a record in time the answer is a page without records.
-        let _ = time::timeout(wait, there).await;
+        // If no record is written in time, the answer is an empty page.
+        let _ = time::timeout(wait, available).await;
         let state = self.lock();
         let empty = Topic::default();
         let topic = state.topics.get(topic).unwrap_or(&empty);
-        if from < topic.first || from > topic.end() {
-            return http::json(StatusCode::GONE, &json!({"firstOffset": topic.first}));
+        if from < topic.first_offset || from > topic.end_offset() {
+            return http::json(
+                StatusCode::GONE,
+                &json!({"firstOffset": topic.first_offset}),
+            );
         }
         let mut bytes = Vec::new();
-        bytes.extend_from_slice(&topic.end().to_be_bytes());
-        bytes.extend_from_slice(&topic.first.to_be_bytes());
+        bytes.extend_from_slice(&topic.end_offset().to_be_bytes());
+        bytes.extend_from_slice(&topic.first_offset.to_be_bytes());
         let skipped = usize::try_from(from).unwrap_or(usize::MAX);
-        let page = match state.page {
+        let max_records = match state.max_page_records {
             0 => usize::MAX,
-            page => page,
+            limit => limit,
         };
-        for record in topic.records.iter().skip(skipped).take(page) {
-            write_record(&mut bytes, &record.key, &record.value);
+        for record in topic.records.iter().skip(skipped).take(max_records) {
+            encode_record_into(&mut bytes, &record.key, &record.value);
         }
         Response::new(http::Body::Full(bytes.into()))
     }
 
-    fn append(&self, topic: &str, at: Option<u64>, body: &Bytes) -> http::Answer {
-        let Some((key, value)) = read_record(body) else {
-            return bare(StatusCode::BAD_REQUEST);
+    fn append(&self, topic: &str, expected_end: Option<u64>, body: &Bytes) -> http::Answer {
+        let Some((key, value)) = decode_record(body) else {
+            return empty_answer(StatusCode::BAD_REQUEST);
         };
-        match self.put_at(topic, at, &key, value) {
+        match self.append_if(topic, expected_end, &key, value) {
             Ok(offset) => http::json(
                 StatusCode::OK,
                 &json!({"offset": offset, "endOffset": offset + 1}),
@@ -256,8 +263,15 @@
         }
     }
 
-    /// Writes a record, on condition that the topic ends at `at`. Gives its offset, or the end that is there.
-    fn put_at(&self, topic: &str, at: Option<u64>, key: &str, value: &[u8]) -> Result<u64, u64> {
+    /// Appends a record, if the topic ends at `expected_end`. Returns the offset of the record, or the actual end offset
+    /// if the condition does not hold.
+    fn append_if(
+        &self,
+        topic: &str,
+        expected_end: Option<u64>,
+        key: &str,
+        value: &[u8],
+    ) -> Result<u64, u64> {
         let record = Record {
             key: key.to_owned(),
             value: value.to_vec(),
@@ -265,23 +279,23 @@
         };
         let mut state = self.lock();
         let topic = state.topics.entry(topic.into()).or_default();
-        let end = topic.end();
-        if at.is_some_and(|at| at != end) {
+        let end = topic.end_offset();
+        if expected_end.is_some_and(|expected| expected != end) {
             return Err(end);
         }
         topic.records.push(record);
         drop(state);
-        self.inner.changes.send_modify(|count| *count += 1);
+        self.inner.changes.send_modify(|revision| *revision += 1);
         Ok(end)
     }
 
-    fn note_wait(&self, wait: Duration) {
+    fn record_wait(&self, wait: Duration) {
         let mut state = self.lock();
         state.longest_wait = state.longest_wait.max(wait);
     }
 
-    fn end(&self, topic: &str) -> u64 {
-        self.lock().topics.get(topic).map_or(0, Topic::end)
+    fn end_offset(&self, topic: &str) -> u64 {
+        self.lock().topics.get(topic).map_or(0, Topic::end_offset)
     }
 }
 
@@ -302,12 +316,12 @@
 
     async fn call(self: Arc<Self>, request: http::Request) -> Result<http::Answer, http::Lost> {
         self.lock().calls += 1;
-        let topic = text(&request, "topic").unwrap_or_default();
+        let topic = query_value(&request, "topic").unwrap_or_default();
         let answer = match request.path.as_str() {
             "/v1/log-newest" => self.read_newest(topic),
             "/v1/log-read" => {
                 let wait = Duration::from_millis(request.number("waitMs").unwrap_or_default());
-                self.note_wait(wait);
+                self.record_wait(wait);
                 self.read(topic, request.number("from").unwrap_or_default(), wait)
                     .await
             }
@@ -315,21 +329,21 @@
             "/v1/restore" => {
                 let age = request.number("ageMs").unwrap_or_default();
                 self.restore(Duration::from_millis(age));
-                bare(StatusCode::OK)
+                empty_answer(StatusCode::OK)
             }
-            _ => bare(StatusCode::NOT_FOUND),
+            _ => empty_answer(StatusCode::NOT_FOUND),
         };
         let mut answer = answer;
-        set(&mut answer, "store-era", &self.lock().era.to_string());
+        set_header(&mut answer, "store-era", &self.lock().era.to_string());
         Ok(answer)
     }
 }
 
-fn no_faults() -> Arc<fault::Injector> {
+fn new_injector() -> Arc<fault::Injector> {
     Arc::new(fault::Injector::new(fault::Switches::default()))
 }
 
-fn text<'a>(request: &'a http::Request, name: &str) -> Option<&'a str> {
+fn query_value<'a>(request: &'a http::Request, name: &str) -> Option<&'a str> {
     let pairs = request
         .query
         .split('&')
@@ -340,24 +354,28 @@
         .map(|(_, value)| value)
 }
 
-/// A record as it is appended and read.
+/// Encodes a record as it is appended and read.
 #[must_use]
 pub fn record(key: &str, value: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write_record(&mut bytes, key, value);
+    encode_record_into(&mut bytes, key, value);
     bytes
 }
 
-fn write_record(bytes: &mut Vec<u8>, key: &str, value: &[u8]) {
+fn encode_record_into(bytes: &mut Vec<u8>, key: &str, value: &[u8]) {
     let length = 1 + key.len() + value.len();
-    bytes.extend_from_slice(&u32::try_from(length).expect("small records").to_be_bytes());
-    bytes.push(u8::try_from(key.len()).expect("short keys"));
+    bytes.extend_from_slice(
+        &u32::try_from(length)
+            .expect("record length fits into 32 bits")
+            .to_be_bytes(),
+    );
+    bytes.push(u8::try_from(key.len()).expect("key length fits into 8 bits"));
     bytes.extend_from_slice(key.as_bytes());
     bytes.extend_from_slice(value);
 }
 
-/// Key and value of a record.
-fn read_record(body: &[u8]) -> Option<(String, &[u8])> {
+/// Returns the key and the value of an encoded record.
+fn decode_record(body: &[u8]) -> Option<(String, &[u8])> {
     let (key_length, rest) = body.get(4..)?.split_first()?;
     let (key, value) = rest.split_at_checked((*key_length).into())?;
     Some((String::from_utf8(key.to_vec()).ok()?, value))
--- a/crates/fireflywheel_standin/src/site/worker.rs
+++ b/crates/fireflywheel_standin/src/site/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the users' platform: a model engine or a plain service.
+//! Stand-in for a backend server (a worker) of the users' platform: a model engine or a plain service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,40 +16,40 @@
 
 use super::line::Line;
 use super::store::{SERVERS, record};
-use super::{bare, set};
+use super::{empty_answer, set_header};
 use crate::{client, clock, fault, http};
 
-/// Time between two events of a stream.
-const STEP: Duration = Duration::from_millis(5);
-/// A pause of a stream that goes on after it: longer than a route's pauses, as when an engine runs out of memory and reads a
-/// prompt anew.
-pub const PAUSE: Duration = Duration::from_secs(2);
-/// Events of a stream.
+/// Default time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
+/// Duration of a pause within a stream. It exceeds the maximum event gap of a route, like the pause of an engine that
+/// runs out of memory and repeats the prefill of a prompt.
+pub const STREAM_PAUSE: Duration = Duration::from_secs(2);
+/// Number of events in a stream.
 pub const EVENTS: u64 = 6;
-/// Requests that run at once, as entries say.
-const SLOTS: usize = 8;
+/// Default number of requests that run concurrently, which directory entries contain.
+const DEFAULT_SLOTS: usize = 8;
 
-/// How a worker is made.
+/// Settings of a worker.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// How long a load from the weight store takes.
+    /// Duration of a load from the weight store.
     pub load: Duration,
-    /// How long a load from its own disk takes.
+    /// Duration of a load from the worker's disk.
     pub disk_load: Duration,
-    /// From the start of a run to its first event, or to the end of a plain one.
+    /// Time from the start of a run to the first event of its stream, or to the answer of a plain service.
     pub run: Duration,
     /// Time between two events of a stream.
-    pub step: Duration,
-    /// Requests that run at once.
+    pub event_interval: Duration,
+    /// Number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that wait beyond these; more are refused.
+    /// Number of requests that may wait for a slot before further requests are refused.
     pub queue: usize,
-    /// The size of each model, in MB; 0 for a worker without a limit.
+    /// Size of each model in MB; 0 for a worker without a memory limit.
     pub model_mb: u64,
-    /// Memory for weights, in MB.
+    /// Memory for weights in MB.
     pub weights_mb: u64,
-    /// Writes what it does to standard output, a line each; see [`Line`].
-    pub tells: bool,
+    /// Whether the worker writes its events to standard output, one [`Line`] each.
+    pub prints_lines: bool,
 }
 
 impl Default for Options {
@@ -58,17 +58,17 @@
             load: Duration::ZERO,
             disk_load: Duration::ZERO,
             run: Duration::ZERO,
-            step: STEP,
-            slots: SLOTS,
+            event_interval: EVENT_INTERVAL,
+            slots: DEFAULT_SLOTS,
             queue: usize::MAX,
             model_mb: 0,
             weights_mb: 0,
-            tells: false,
+            prints_lines: false,
         }
     }
 }
 
-/// A handle to a worker.
+/// A cloneable handle to a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
     inner: Arc<Inner>,
@@ -80,7 +80,7 @@
     service: SmolStr,
     injector: fault::Injector,
     options: Options,
-    born_ms: u64,
+    started_ms: u64,
     slots: Arc<Semaphore>,
     state: Mutex<State>,
 }
@@ -88,9 +88,12 @@
 #[derive(Debug, Default)]
 struct State {
     orders: u64,
-    fence: u64,
+    /// The highest fencing token seen.
+    highest_fencing: u64,
+    /// Whether a load is in progress.
     busy: bool,
-    entries: u64,
+    /// Sequence number of the last directory entry.
+    entry_seq: u64,
     running: usize,
     waiting: usize,
     models: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
@@ -98,37 +101,37 @@
     runs: BTreeMap<SmolStr, u64>,
     taken: Vec<Taken>,
     switches: Switches,
-    /// Requests a second that it says it takes.
+    /// Limit in requests per second that answers contain, if any.
     limit: Option<f64>,
-    /// When requests for it came, also those that it refused.
+    /// Times at which requests arrived, including refused ones.
     arrivals: Vec<time::Instant>,
 }
 
-/// What a worker does wrong; each counts down.
+/// The faults of a worker. Each switch counts down by one when its fault occurs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Switches {
-    /// Streams that break off within their third event.
+    /// Number of streams that end within their third event.
     pub cut_streams: u32,
-    /// Streams that pause for [`PAUSE`] before their third event.
+    /// Number of streams that pause for [`STREAM_PAUSE`] before their third event.
     pub pause_streams: u32,
-    /// Requests refused as not run.
+    /// Number of requests that are refused as not executed.
     pub refuse: u32,
-    /// Requests that run and are answered with 500.
+    /// Number of requests that run and are answered with status 500.
     pub fail: u32,
-    /// Responses with the id of another request.
+    /// Number of responses with the attempt id of another request.
     pub cross: u32,
-    /// Responses without the worker's seal.
+    /// Number of responses without the worker's seal.
     pub unsealed: u32,
 }
 
-/// A request that was carried out.
+/// A request that the worker has run.
 #[derive(Clone, Debug)]
 pub struct Taken {
-    /// Its path with the query.
+    /// Path with the query.
     pub target: String,
-    /// Its headers.
+    /// Headers.
     pub headers: hyper::HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
@@ -140,11 +143,11 @@
     holder: SmolStr,
     precondition: Option<u64>,
     #[serde(rename = "fencingToken")]
-    fence: u64,
+    fencing_token: u64,
 }
 
 impl Worker {
-    /// A worker of `service` that takes `load` for each load of a model.
+    /// Creates a worker of `service` for which each load of a model takes `load`.
     #[must_use]
     pub fn new(id: &str, service: &str, load: Duration) -> Self {
         let options = Options {
@@ -155,7 +158,7 @@
         Self::with_options(id, service, options)
     }
 
-    /// A worker of `service` that was born now.
+    /// Creates a worker of `service` that starts now.
     #[must_use]
     pub fn with_options(id: &str, service: &str, options: Options) -> Self {
         let inner = Inner {
@@ -163,7 +166,7 @@
             service: service.into(),
             injector: fault::Injector::new(fault::Switches::default()),
             slots: Arc::new(Semaphore::new(options.slots)),
-            born_ms: clock::unix_ms(),
+            started_ms: clock::unix_ms(),
             options,
             state: Mutex::default(),
         };
@@ -172,14 +175,14 @@
         }
     }
 
-    /// The same with a copy of a model on its disk.
+    /// Adds a model on the worker's disk.
     #[must_use]
     pub fn with_on_disk(self, model: &str) -> Self {
         self.lock().on_disk.insert(model.into());
         self
     }
 
-    /// The same with a model in memory.
+    /// Adds a model in memory and on disk.
     #[must_use]
     pub fn with_model(self, model: &str) -> Self {
         let mut state = self.lock();
@@ -192,30 +195,30 @@
     /// Serves until the future is dropped.
     ///
     /// # Errors
-    /// When the listener fails for good.
+    /// If the listener fails.
     pub async fn serve(self, listener: TcpListener) -> anyhow::Result<()> {
         http::serve(listener, self).await
     }
 
-    /// Its id.
+    /// Returns the id of the worker.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.inner.id
     }
 
-    /// Its entry in the directory.
+    /// Returns a new entry of the worker for the directory.
     #[must_use]
     pub fn entry(&self, address: SocketAddr, state: &str) -> Vec<u8> {
-        let mut entry = self.report();
-        let count = {
+        let mut entry = self.build_report();
+        let seq = {
             let mut state = self.lock();
-            state.entries += 1;
-            state.entries
+            state.entry_seq += 1;
+            state.entry_seq
         };
         let fields = json!({
             "service": self.inner.service, "address": address, "zone": "z1", "version": "v1",
-            "slots": self.inner.options.slots, "state": state, "coldLeftMs": 0, "seq": count,
-            "born": self.inner.born_ms,
+            "slots": self.inner.options.slots, "state": state, "coldLeftMs": 0, "seq": seq,
+            "born": self.inner.started_ms,
         });
         if let (Value::Object(entry), Value::Object(fields)) = (&mut entry, fields) {
             entry.extend(fields);
@@ -223,61 +226,61 @@
         entry.to_string().into_bytes()
     }
 
-    /// Writes its entry into the store every `pause`, for ever. It says that it leaves while the switch for that
-    /// is on.
-    pub async fn beat(self, store: SocketAddr, reached_at: SocketAddr, pause: Duration) {
+    /// Writes the worker's directory entry to the store once per `interval`, until the future is dropped. The entry has
+    /// the state `draining` while the switch `leaving` is set.
+    pub async fn publish_entries(self, store: SocketAddr, address: SocketAddr, interval: Duration) {
         let client = client::Client::new();
         let url = format!("http://{store}/v1/log-append?topic={SERVERS}&part=0");
         loop {
-            let leaves = self.inner.injector.switches().leaving;
-            let state = if leaves { "draining" } else { "ready" };
-            let entry = self.entry(reached_at, state);
-            // A store that is away is asked again at the next beat.
-            let _ = time::timeout(pause, client.post(&url, record(self.id(), &entry))).await;
-            time::sleep(pause).await;
+            let leaving = self.inner.injector.switches().leaving;
+            let state = if leaving { "draining" } else { "ready" };
+            let entry = self.entry(address, state);
+            // If the store does not answer, the next interval retries.
+            let _ = time::timeout(interval, client.post(&url, record(self.id(), &entry))).await;
+            time::sleep(interval).await;
         }
     }
 
-    /// Changes what it does wrong.
+    /// Sets the faults of the worker.
     pub fn set_switches(&self, switches: Switches) {
         self.lock().switches = switches;
     }
 
-    /// Names in all answers from now on how many requests a second it takes, or names no limit any more.
+    /// Sets the limit in requests per second that all further answers contain; `None` removes it.
     pub fn set_limit(&self, per_second: Option<f64>) {
         self.lock().limit = per_second;
     }
 
-    /// When requests for it came, also those that it refused.
+    /// Returns the times at which requests arrived, including refused ones.
     #[must_use]
     pub fn arrivals(&self) -> Vec<time::Instant> {
         self.lock().arrivals.clone()
     }
 
-    /// Changes the switches that all stand-ins have.
+    /// Changes the fault switches that all stand-ins have.
     pub fn set_faults(&self, change: &fault::Change) {
         self.inner.injector.apply(change);
     }
 
-    /// How often a request has run.
+    /// Returns the number of runs of a request, given its attempt id.
     #[must_use]
     pub fn runs(&self, id: &str) -> u64 {
         self.lock().runs.get(id).copied().unwrap_or_default()
     }
 
-    /// Requests that were carried out, in order.
+    /// Returns the requests that have run, in order of their start.
     #[must_use]
     pub fn taken(&self) -> Vec<Taken> {
         self.lock().taken.clone()
     }
 
-    /// Orders that were accepted.
+    /// Returns the number of orders that were accepted.
     #[must_use]
     pub fn orders(&self) -> u64 {
         self.lock().orders
     }
 
-    /// Whether a model is in memory.
+    /// Whether a model is loaded in memory.
     #[must_use]
     pub fn holds(&self, model: &str) -> bool {
         self.lock().models.contains_key(model)
@@ -287,13 +290,13 @@
         self.inner.state.lock().expect("no panic under the lock")
     }
 
-    fn tell(&self, line: &Line) {
-        if self.inner.options.tells {
+    fn print(&self, line: &Line) {
+        if self.inner.options.prints_lines {
             println!("{line}");
         }
     }
 
-    fn report(&self) -> Value {
+    fn build_report(&self) -> Value {
         let state = self.lock();
         let models: Vec<_> = state
             .models
@@ -307,30 +310,30 @@
         })
     }
 
-    fn order(&self, order: &Order) -> StatusCode {
+    fn execute_order(&self, order: &Order) -> StatusCode {
         let mut state = self.lock();
-        if order.fence < state.fence {
+        if order.fencing_token < state.highest_fencing {
             return StatusCode::PRECONDITION_FAILED;
         }
-        state.fence = order.fence;
-        let late = order
+        state.highest_fencing = order.fencing_token;
+        let outdated = order
             .precondition
             .is_some_and(|orders| orders != state.orders);
-        if state.busy || late {
+        if state.busy || outdated {
             return StatusCode::CONFLICT;
         }
         state.orders += 1;
-        self.tell(&Line::Order(order.holder.clone(), order.fence));
+        self.print(&Line::Order(order.holder.clone(), order.fencing_token));
         match (order.operation.as_str(), &order.adapter) {
             ("load", None) => {
                 let options = &self.inner.options;
                 let models = state.models.len() as u64 + 1;
                 if options.model_mb * models > options.weights_mb {
-                    self.tell(&Line::Overcommitted);
+                    self.print(&Line::Overcommitted);
                 }
                 state.busy = true;
                 let on_disk = state.on_disk.contains(&order.model);
-                tokio::spawn(self.clone().load(order.model.clone(), on_disk));
+                tokio::spawn(self.clone().load_model(order.model.clone(), on_disk));
             }
             ("load", Some(adapter)) => {
                 let Some(adapters) = state.models.get_mut(&order.model) else {
@@ -352,11 +355,11 @@
         StatusCode::ACCEPTED
     }
 
-    async fn load(self, model: SmolStr, on_disk: bool) {
+    async fn load_model(self, model: SmolStr, on_disk: bool) {
         if on_disk {
             time::sleep(self.inner.options.disk_load).await;
         } else {
-            self.tell(&Line::Fetch);
+            self.print(&Line::Fetch);
             time::sleep(self.inner.options.load).await;
         }
         let mut state = self.lock();
@@ -365,51 +368,51 @@
         state.models.insert(model, BTreeSet::new());
     }
 
-    /// The refusal of a call that is for another worker.
-    fn misdirected(&self, request: &http::Request) -> Option<http::Answer> {
+    /// Refuses a request that expects another worker.
+    fn refuse_misdirected(&self, request: &http::Request) -> Option<http::Answer> {
         let expected = request.header("x-expect-instance");
         expected.filter(|expected| *expected != self.inner.id)?;
-        let mut answer = bare(StatusCode::MISDIRECTED_REQUEST);
-        set(&mut answer, "x-instance-id", &self.inner.id);
+        let mut answer = empty_answer(StatusCode::MISDIRECTED_REQUEST);
+        set_header(&mut answer, "x-instance-id", &self.inner.id);
         Some(answer)
     }
 
-    /// A response that says that nothing has run, if this request can't.
-    fn refusal(&self, request: &http::Request) -> Option<http::Answer> {
+    /// Refuses a request that cannot run here, with an answer that shows that it was not executed.
+    fn refuse_before_run(&self, request: &http::Request) -> Option<http::Answer> {
         let mut state = self.lock();
-        if take(&mut state.switches.refuse) {
-            return Some(not_run());
+        if try_consume(&mut state.switches.refuse) {
+            return Some(not_executed());
         }
         let model = request.header("x-model")?;
         let (model, adapter) = model
             .split_once('/')
             .map_or((model, None), |(model, adapter)| (model, Some(adapter)));
-        let held = state.models.get(model);
-        let there =
-            held.is_some_and(|adapters| adapter.is_none_or(|adapter| adapters.contains(adapter)));
-        (!there).then(|| bare(StatusCode::MISDIRECTED_REQUEST))
+        let adapters = state.models.get(model);
+        let is_loaded = adapters
+            .is_some_and(|adapters| adapter.is_none_or(|adapter| adapters.contains(adapter)));
+        (!is_loaded).then(|| empty_answer(StatusCode::MISDIRECTED_REQUEST))
     }
 
-    /// Runs a request once there is a slot; none when too many wait.
+    /// Runs a request once a slot is free. Returns `None` if too many requests wait.
     async fn run(&self, request: &http::Request) -> Option<http::Answer> {
-        let waiting = self.wait()?;
+        let waiting = self.enter_queue()?;
         let slot = Arc::clone(&self.inner.slots).acquire_owned().await.ok()?;
         drop(waiting);
-        let running = Running::new(self.clone(), slot);
+        let running = RunningGuard::new(self.clone(), slot);
         let id: SmolStr = request.header("x-attempt-id").unwrap_or_default().into();
-        self.tell(&Line::Run(id.clone()));
-        let switches = self.begin(&id, request);
+        self.print(&Line::Run(id.clone()));
+        let faults = self.start_run(&id, request);
         time::sleep(self.inner.options.run).await;
-        let mut answer = if switches.fail > 0 {
-            bare(StatusCode::INTERNAL_SERVER_ERROR)
+        let mut answer = if faults.fail > 0 {
+            empty_answer(StatusCode::INTERNAL_SERVER_ERROR)
         } else if request.header("x-model").is_some() {
             let after = request
                 .header("last-event-id")
                 .and_then(|id| id.parse().ok());
-            stream(
+            stream_events(
                 after.unwrap_or_default(),
-                switches,
-                self.inner.options.step,
+                faults,
+                self.inner.options.event_interval,
                 running,
             )
         } else {
@@ -418,27 +421,27 @@
                 &json!({"by": self.inner.id, "body": request.body.len()}),
             )
         };
-        let echoed = if switches.cross > 0 { "another" } else { &id };
-        set(&mut answer, "x-attempt-id", echoed);
-        if switches.unsealed == 0 {
+        let echoed_id = if faults.cross > 0 { "another" } else { &id };
+        set_header(&mut answer, "x-attempt-id", echoed_id);
+        if faults.unsealed == 0 {
             let seal = format!("seal-of-{}", self.inner.id);
-            set(&mut answer, "x-server-seal", &seal);
+            set_header(&mut answer, "x-server-seal", &seal);
         }
-        set(&mut answer, "x-server-load", "1,0,8");
+        set_header(&mut answer, "x-server-load", "1,0,8");
         Some(answer)
     }
 
-    fn wait(&self) -> Option<Waiting> {
+    fn enter_queue(&self) -> Option<WaitingGuard> {
         let mut state = self.lock();
         if state.waiting > self.inner.options.queue {
             return None;
         }
         state.waiting += 1;
-        Some(Waiting(self.clone()))
+        Some(WaitingGuard(self.clone()))
     }
 
-    /// Notes that a request runs, and takes what goes wrong with it.
-    fn begin(&self, id: &SmolStr, request: &http::Request) -> Switches {
+    /// Records the start of a run and returns the faults that apply to it.
+    fn start_run(&self, id: &SmolStr, request: &http::Request) -> Switches {
         let mut state = self.lock();
         *state.runs.entry(id.clone()).or_default() += 1;
         state.taken.push(Taken {
@@ -446,35 +449,35 @@
             headers: request.headers.clone(),
             body: request.body.clone(),
         });
-        let fail = take(&mut state.switches.fail);
+        let fail = try_consume(&mut state.switches.fail);
         let streams = request.header("x-model").is_some() && !fail;
         Switches {
-            cut_streams: u32::from(streams && take(&mut state.switches.cut_streams)),
-            pause_streams: u32::from(streams && take(&mut state.switches.pause_streams)),
+            cut_streams: u32::from(streams && try_consume(&mut state.switches.cut_streams)),
+            pause_streams: u32::from(streams && try_consume(&mut state.switches.pause_streams)),
             refuse: 0,
             fail: u32::from(fail),
-            cross: u32::from(take(&mut state.switches.cross)),
-            unsealed: u32::from(take(&mut state.switches.unsealed)),
+            cross: u32::from(try_consume(&mut state.switches.cross)),
+            unsealed: u32::from(try_consume(&mut state.switches.unsealed)),
         }
     }
 }
 
-/// Counts a request that waits for a slot.
-struct Waiting(Worker);
+/// Counts a request as waiting for a slot until it is dropped.
+struct WaitingGuard(Worker);
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.lock().waiting -= 1;
     }
 }
 
-/// Counts a request that runs, and keeps its slot.
-struct Running {
+/// Counts a request as running and holds its slot until it is dropped.
+struct RunningGuard {
     worker: Worker,
     _slot: OwnedSemaphorePermit,
 }
 
-impl Running {
+impl RunningGuard {
     fn new(worker: Worker, slot: OwnedSemaphorePermit) -> Self {
         worker.lock().running += 1;
         Self {
@@ -484,7 +487,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.worker.lock().running -= 1;
     }
@@ -506,51 +509,61 @@
     }
 
     async fn call(self: Arc<Self>, request: http::Request) -> Result<http::Answer, http::Lost> {
-        if let Some(refusal) = self.misdirected(&request) {
+        if let Some(refusal) = self.refuse_misdirected(&request) {
             return Ok(refusal);
         }
         match request.path.as_str() {
-            "/v1/report" => return Ok(http::json(StatusCode::OK, &self.report())),
+            "/v1/report" => return Ok(http::json(StatusCode::OK, &self.build_report())),
             "/v1/order" => {
                 let order = match request.json::<Order>() {
                     Ok(order) => order,
                     Err(answer) => return Ok(answer),
                 };
-                return Ok(bare(self.order(&order)));
+                return Ok(empty_answer(self.execute_order(&order)));
             }
             _ => {}
         }
         self.lock().arrivals.push(time::Instant::now());
-        let mut answer = match self.refusal(&request) {
+        let mut answer = match self.refuse_before_run(&request) {
             Some(refusal) => refusal,
-            None => self.run(&request).await.unwrap_or_else(not_run),
+            None => self.run(&request).await.unwrap_or_else(not_executed),
         };
         if let Some(limit) = self.lock().limit {
-            set(&mut answer, "server-limit", &limit.to_string());
+            set_header(&mut answer, "server-limit", &limit.to_string());
         }
         Ok(answer)
     }
 }
 
-/// Events after `after`; a cut one ends within the third.
-fn stream(after: u64, switches: Switches, step: Duration, running: Running) -> http::Answer {
-    let cut = switches.cut_streams > 0;
+/// Streams the events after the one with id `after`. With the fault `cut_streams`, the connection breaks within the
+/// third of them.
+fn stream_events(
+    after: u64,
+    faults: Switches,
+    interval: Duration,
+    running: RunningGuard,
+) -> http::Answer {
+    let is_cut = faults.cut_streams > 0;
     let (sender, parts) = mpsc::channel(1);
     tokio::spawn(async move {
         for id in after + 1..=EVENTS {
-            time::sleep(step).await;
-            if switches.pause_streams > 0 && id == after + 3 {
-                time::sleep(PAUSE).await;
+            time::sleep(interval).await;
+            if faults.pause_streams > 0 && id == after + 3 {
+                time::sleep(STREAM_PAUSE).await;
             }
             let event = format!("id: {id}\ndata: t{id}\n\n");
-            let broken = cut && id == after + 3;
-            let part = if broken { event[..5].to_owned() } else { event };
+            let breaks_here = is_cut && id == after + 3;
+            let part = if breaks_here {
+                event[..5].to_owned()
+            } else {
+                event
+            };
             if sender.send(Ok(part.into())).await.is_err() {
                 break;
             }
-            if broken {
-                time::sleep(step).await;
-                // The reader may have gone already.
+            if breaks_here {
+                time::sleep(interval).await;
+                // The client may have disconnected already.
                 let _ = sender.send(Err(http::Lost)).await;
                 break;
             }
@@ -558,19 +571,20 @@
         drop(running);
     });
     let mut answer = Response::new(http::Body::Parts(parts));
-    set(&mut answer, "content-type", "text/event-stream");
+    set_header(&mut answer, "content-type", "text/event-stream");
     answer
 }
 
-/// The refusal of a worker that is full.
-fn not_run() -> http::Answer {
-    let mut answer = bare(StatusCode::SERVICE_UNAVAILABLE);
-    set(&mut answer, "x-not-executed", "1");
+/// Returns the refusal of a request that was not executed.
+fn not_executed() -> http::Answer {
+    let mut answer = empty_answer(StatusCode::SERVICE_UNAVAILABLE);
+    set_header(&mut answer, "x-not-executed", "1");
     answer
 }
 
-fn take(count: &mut u32) -> bool {
-    let there = *count > 0;
+/// Decrements a counted switch. Returns false if it is already zero.
+fn try_consume(count: &mut u32) -> bool {
+    let available = *count > 0;
     *count = count.saturating_sub(1);
-    there
+    available
 }
--- a/crates/fireflywheel_standin/src/store.rs
+++ b/crates/fireflywheel_standin/src/store.rs
@@ -1,7 +1,8 @@
-//! Stand-in of the platform's weight store.
+//! Stand-in for the platform's weight store.
 //!
-//! Loads of models start at a limited rate and run at full speed up to a limit; beyond it each
-//! takes longer in proportion. Adapters have a limit of their own and no limit on their rate.
+//! Fetches of models start at a limited rate. Up to a limit of concurrent fetches, each runs at
+//! full speed; beyond it, each takes proportionally longer. Adapters have their own concurrency
+//! limit and no rate limit.
 
 use std::sync;
 
@@ -13,25 +14,25 @@
 
 use crate::{fault, http};
 
-/// How often a running load looks at how many others run.
-const SLICE: time::Duration = time::Duration::from_millis(5);
-/// Megabytes in a gigabyte.
+/// Interval at which a fetch adapts its speed to the number of concurrent fetches.
+const SPEED_UPDATE_INTERVAL: time::Duration = time::Duration::from_millis(5);
 const MB_PER_GB: f64 = 1000.0;
 
-/// How a store starts.
+/// Settings of a store.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Loads of models started in a second; 0 is no limit.
+    /// Maximum number of model fetches that start per second; 0 for no limit.
     pub rate: f64,
-    /// Loads of models that run at full speed together.
+    /// Number of concurrent model fetches that run at full speed.
     pub at_once: u64,
-    /// Time of one load of a model at full speed, in milliseconds.
+    /// Duration of a model fetch at full speed, without the part that depends on the size, in
+    /// milliseconds.
     pub fetch_ms: u64,
-    /// Further time for each gigabyte, in milliseconds.
+    /// Additional duration per gigabyte of a model, in milliseconds.
     pub ms_per_gb: u64,
-    /// Time of one load of an adapter at full speed, in milliseconds.
+    /// Duration of an adapter fetch at full speed, in milliseconds.
     pub adapter_ms: u64,
-    /// Loads of adapters that run at full speed together.
+    /// Number of concurrent adapter fetches that run at full speed.
     pub adapters_at_once: u64,
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// What is fetched.
+/// The kind of item that is fetched.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -62,30 +63,33 @@
 /// The body of `POST /v1/fetch`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fetch {
-    /// The name of the item.
+    /// Name of the item.
     pub item: SmolStr,
-    /// Its size in megabytes.
+    /// Size of the item in megabytes.
     #[serde(default)]
     pub mb: u64,
-    /// What it is.
+    /// Kind of the item.
     #[serde(default)]
     pub kind: Kind,
 }
 
-/// What `GET /v1/counts` answers.
+/// The answer to `GET /v1/counts`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Fetches that were started.
+    /// Number of fetches that were started.
     pub fetches: u64,
-    /// The greatest number of models that were fetched at one moment.
+    /// Peak number of concurrent model fetches.
     pub max_at_once: u64,
 }
 
 #[derive(Debug)]
 struct State {
     counts: Counts,
+    /// Number of model fetches in progress.
     models: u64,
+    /// Number of adapter fetches in progress.
     adapters: u64,
+    /// Earliest start of the next model fetch.
     next_start: time::Instant,
 }
 
@@ -99,7 +103,7 @@
 /// Serves a store until the future is dropped.
 ///
 /// # Errors
-/// When the listener fails for good.
+/// If the listener fails.
 pub async fn serve(listener: net::TcpListener, options: Options) -> anyhow::Result<()> {
     let injector = fault::Injector::new(fault::Switches {
         rate: options.rate,
@@ -121,7 +125,8 @@
 }
 
 impl State {
-    fn turn(&mut self, rate: f64) -> time::Instant {
+    /// Returns the time at which a new fetch may start, and reserves it.
+    fn reserve_start(&mut self, rate: f64) -> time::Instant {
         let now = time::Instant::now();
         let start = self.next_start.max(now);
         if rate > 0.0 {
@@ -130,16 +135,16 @@
         start
     }
 
-    fn running(&mut self, kind: Kind) -> &mut u64 {
+    fn running_mut(&mut self, kind: Kind) -> &mut u64 {
         match kind {
             Kind::Model => &mut self.models,
             Kind::Adapter => &mut self.adapters,
         }
     }
 
-    fn begin(&mut self, kind: Kind) {
+    fn start_fetch(&mut self, kind: Kind) {
         self.counts.fetches += 1;
-        *self.running(kind) += 1;
+        *self.running_mut(kind) += 1;
         self.counts.max_at_once = self.counts.max_at_once.max(self.models);
     }
 }
@@ -149,21 +154,22 @@
         self.state.lock().expect("no panic under the lock")
     }
 
-    /// How many times longer than alone a load takes now.
-    fn stretch(&self, kind: Kind) -> f64 {
+    /// The factor by which concurrent fetches slow down a fetch.
+    fn slowdown(&self, kind: Kind) -> f64 {
         let limit = match kind {
             Kind::Model => self.injector.switches().at_once,
             Kind::Adapter => self.options.adapters_at_once,
         };
-        let running = *self.lock().running(kind);
+        let running = *self.lock().running_mut(kind);
         (running as f64 / limit.max(1) as f64).max(1.0)
     }
 
-    fn full_speed(&self, fetch: &Fetch) -> time::Duration {
+    /// The duration of a fetch at full speed.
+    fn full_speed_duration(&self, fetch: &Fetch) -> time::Duration {
         let ms = match fetch.kind {
             Kind::Model => {
-                let by_size = fetch.mb as f64 / MB_PER_GB * self.options.ms_per_gb as f64;
-                self.options.fetch_ms as f64 + by_size
+                let size_ms = fetch.mb as f64 / MB_PER_GB * self.options.ms_per_gb as f64;
+                self.options.fetch_ms as f64 + size_ms
             }
             Kind::Adapter => self.options.adapter_ms as f64,
         };
@@ -172,17 +178,17 @@
 
     async fn fetch(&self, fetch: &Fetch) {
         if fetch.kind == Kind::Model {
-            let start = self.lock().turn(self.injector.switches().rate);
+            let start = self.lock().reserve_start(self.injector.switches().rate);
             time::sleep_until(start).await;
         }
-        self.lock().begin(fetch.kind);
-        let mut left = self.full_speed(fetch);
-        while !left.is_zero() {
-            let slice = left.min(SLICE);
-            time::sleep(slice.mul_f64(self.stretch(fetch.kind))).await;
-            left -= slice;
+        self.lock().start_fetch(fetch.kind);
+        let mut remaining = self.full_speed_duration(fetch);
+        while !remaining.is_zero() {
+            let step = remaining.min(SPEED_UPDATE_INTERVAL);
+            time::sleep(step.mul_f64(self.slowdown(fetch.kind))).await;
+            remaining -= step;
         }
-        *self.lock().running(fetch.kind) -= 1;
+        *self.lock().running_mut(fetch.kind) -= 1;
     }
 }
 
