--- a/crates/fireflywheel_standin/tests/engine_orders.rs
+++ b/crates/fireflywheel_standin/tests/engine_orders.rs
@@ -1,19 +1,19 @@
-//! Orders to the stand-in engine: fencing, memory, draining.
+//! Orders to the stand-in engine: fencing, memory and draining.
 
 mod support;
 
 use fireflywheel_standin::{client, engine, fault};
-use support::{Server, drain, loaded, order, quick};
+use support::{Server, loaded, order, quick, read_to_end};
 
-/// An answer's error code, or `done`.
-fn said(answer: &client::Answer) -> String {
+/// Returns the error code of an answer, or `done`.
+fn result_code(answer: &client::Answer) -> String {
     answer.code().unwrap_or("done".into()).to_string()
 }
 
 macro_rules! fencing {
     ($($name:ident: $kind:ident, old $old:literal, old after a restart $restarted:literal;)*) => {$(
-        /// A steward that was paused wakes and sends an order under an old number. Where the
-        /// engine takes it, the user finds a model loaded that nobody counts.
+        /// A suspended steward resumes and sends an order with an old fencing number. If the engine
+        /// accepts it, a model is loaded that no steward accounts for.
         #[tokio::test]
         async fn $name() {
             let engine = loaded(engine::Options {
@@ -23,28 +23,28 @@
             .await;
             engine.order(&order(engine::Kind::Query, 7)).await;
             let old = engine.order(&order(engine::Kind::Load, 6)).await;
-            assert_eq!(said(&old), $old);
+            assert_eq!(result_code(&old), $old);
             let equal = engine.order(&order(engine::Kind::Load, 7)).await;
-            assert_eq!(said(&equal), "done");
+            assert_eq!(result_code(&equal), "done");
             let boot = engine.counts().await.boot;
             engine.set(fault::Change::new().with_restart()).await;
             let counts = engine.counts().await;
             assert_ne!(counts.boot, boot);
             assert_eq!((counts.loaded.len(), counts.memory_mb), (0, 0));
             let old = engine.order(&order(engine::Kind::Load, 6)).await;
-            assert_eq!(said(&old), $restarted);
+            assert_eq!(result_code(&old), $restarted);
         }
     )*};
 }
 
 fencing! {
-    checked: Checked, old "stale_fencing", old after a restart "stale_fencing";
-    forgets: Forgets, old "stale_fencing", old after a restart "done";
-    ignored: Ignored, old "done", old after a restart "done";
+    checked_fencing_survives_restart: Checked, old "stale_fencing", old after a restart "stale_fencing";
+    fencing_number_is_lost_on_restart: Forgets, old "stale_fencing", old after a restart "done";
+    ignored_fencing_accepts_old_orders: Ignored, old "done", old after a restart "done";
 }
 
 #[tokio::test]
-async fn the_fence_floor_counts_from_the_start() {
+async fn fence_floor_applies_from_the_start() {
     let engine = Server::engine(engine::Options {
         fence_floor: 5,
         ..quick()
@@ -52,15 +52,16 @@
     .await;
     let old = engine.order(&order(engine::Kind::Load, 4)).await;
     assert_eq!(
-        (old.status.as_u16(), said(&old)),
+        (old.status.as_u16(), result_code(&old)),
         (409, "stale_fencing".into())
     );
 }
 
-/// A load hangs and a new steward takes over. Its question under a higher number must end the
-/// load, or the memory fills up after the steward has given it away.
+/// A load hangs, and a new steward takes over. The steward's query with a higher fencing number
+/// must abandon the load. Otherwise, the load takes memory that the steward has assigned to another
+/// item.
 #[tokio::test]
-async fn a_higher_number_abandons_a_running_load() {
+async fn higher_fencing_number_abandons_running_load() {
     let engine = Server::engine(engine::Options {
         load_ms: 3_600_000,
         ..quick()
@@ -68,42 +69,51 @@
     .await;
     let load = order(engine::Kind::Load, 1);
     let query = async {
-        engine.until(|counts| counts.memory_mb == 1000).await;
+        engine
+            .wait_for_counts(|counts| counts.memory_mb == 1000)
+            .await;
         engine.order(&order(engine::Kind::Query, 2)).await
     };
     let (load, query) = tokio::join!(engine.order(&load), query);
-    assert_eq!(said(&load), "stale_fencing");
+    assert_eq!(result_code(&load), "stale_fencing");
     assert_eq!(query.json::<engine::Outcome>().unwrap().loaded.len(), 0);
-    let counts = engine.until(|counts| counts.memory_mb == 0).await;
-    let held: Vec<_> = counts.history.iter().map(|change| change.loaded).collect();
-    assert_eq!(held, [true, false]);
+    let counts = engine.wait_for_counts(|counts| counts.memory_mb == 0).await;
+    let loaded: Vec<_> = counts.history.iter().map(|change| change.loaded).collect();
+    assert_eq!(loaded, [true, false]);
 }
 
 #[tokio::test]
-async fn loads_are_idempotent_and_two_items_load_together() {
+async fn loads_are_idempotent_and_items_load_concurrently() {
     let engine = loaded(quick()).await;
-    let again = order(engine::Kind::Load, 1);
+    let repeated = order(engine::Kind::Load, 1);
     let other = order(engine::Kind::Load, 1).with_item("survey@2", 500);
-    let tone = order(engine::Kind::Load, 1).with_item("quote@1:tone", 10);
+    let adapter = order(engine::Kind::Load, 1).with_item("quote@1:tone", 10);
     let missing = order(engine::Kind::Load, 1).with_item("absent@1:tone", 10);
-    let (again, other, tone, missing) = tokio::join!(
-        engine.order(&again),
+    let (repeated, other, adapter, missing) = tokio::join!(
+        engine.order(&repeated),
         engine.order(&other),
-        engine.order(&tone),
+        engine.order(&adapter),
         engine.order(&missing)
     );
-    assert_eq!([said(&again), said(&other), said(&tone)], ["done"; 3]);
-    assert_eq!(said(&missing), "model_not_loaded");
+    assert_eq!(
+        [
+            result_code(&repeated),
+            result_code(&other),
+            result_code(&adapter)
+        ],
+        ["done"; 3]
+    );
+    assert_eq!(result_code(&missing), "model_not_loaded");
     let counts = engine.counts().await;
     assert_eq!(counts.loads["quote@1"], 1);
     assert_eq!((counts.memory_mb, counts.peak_memory_mb), (1510, 1510));
     assert_eq!(counts.loaded, ["quote@1", "quote@1:tone", "survey@2"]);
 }
 
-/// An unload meets a request in progress. The request's caller must get the whole answer, and a
-/// new caller must hear that the model isn't there, rather than be cut.
+/// An unload order arrives during a request. The request must get its complete answer, and a new
+/// request must be refused as `model_not_loaded` instead of being started and then interrupted.
 #[tokio::test]
-async fn an_unload_refuses_new_requests_and_finishes_running_ones() {
+async fn unload_refuses_new_requests_and_finishes_running_ones() {
     let engine = loaded(quick()).await;
     let running = engine.chat("first", true, 400).await;
     let unload = order(engine::Kind::Unload, 2);
@@ -113,21 +123,21 @@
             if events.status != 200 {
                 return events.collect().await.unwrap();
             }
-            drain(events).await;
+            read_to_end(events).await;
         }
     };
     let (unload, refused, (events, broken)) =
-        tokio::join!(engine.order(&unload), refused, drain(running));
-    assert_eq!(said(&refused), "model_not_loaded");
-    assert_eq!((said(&unload), broken), ("done".into(), false));
+        tokio::join!(engine.order(&unload), refused, read_to_end(running));
+    assert_eq!(result_code(&refused), "model_not_loaded");
+    assert_eq!((result_code(&unload), broken), ("done".into(), false));
     assert_eq!(events.last().unwrap(), client::DONE);
     assert_eq!(engine.counts().await.memory_mb, 0);
 }
 
-/// An engine freezes with an order in its socket and the sender gives up. The order takes effect
-/// when the engine goes on, when nobody expects it any more.
+/// An engine freezes with an order in its socket, and the sender gives up. The order takes effect
+/// when the engine continues, although the sender no longer expects it.
 #[tokio::test]
-async fn a_frozen_engine_carries_out_what_it_accepted() {
+async fn frozen_engine_later_executes_accepted_orders() {
     let engine = Server::engine(quick()).await;
     engine.set(fault::Change::new().with_freeze(true)).await;
     let load = order(engine::Kind::Load, 1);
@@ -136,13 +146,15 @@
     assert!(given_up.is_err());
     assert_eq!(engine.counts().await.memory_mb, 0);
     engine.set(fault::Change::new().with_freeze(false)).await;
-    engine.until(|counts| counts.loaded == ["quote@1"]).await;
+    engine
+        .wait_for_counts(|counts| counts.loaded == ["quote@1"])
+        .await;
 }
 
-/// The network holds up a copy of an order while its repeat goes through. On an engine that
-/// takes any number the late copy loads again what was unloaded meanwhile.
+/// The network delays an order until after a later unload order. On an engine that accepts every
+/// fencing number, the delayed order loads the item again.
 #[tokio::test]
-async fn a_delayed_order_arrives_after_later_ones() {
+async fn delayed_order_takes_effect_after_later_orders() {
     let engine = Server::engine(engine::Options {
         fencing: engine::Fencing::Ignored,
         ..quick()
@@ -158,16 +170,17 @@
         while client.faults(&engine.base).await.unwrap().delay_orders == 1 {}
         engine.order(&order(engine::Kind::Unload, 2)).await
     };
-    let (held_up, later) = tokio::join!(engine.order(&load), later);
-    assert_eq!([said(&held_up), said(&later)], ["done"; 2]);
+    let (delayed, later) = tokio::join!(engine.order(&load), later);
+    assert_eq!([result_code(&delayed), result_code(&later)], ["done"; 2]);
     let loaded = |answer: client::Answer| answer.json::<engine::Outcome>().unwrap().loaded;
     assert!(loaded(later).is_empty());
-    assert_eq!(loaded(held_up), ["quote@1"]);
+    assert_eq!(loaded(delayed), ["quote@1"]);
 }
 
-/// The weight store fails, or its engine says so. The steward must hear that nothing is loaded.
+/// The weight store fails, or the engine reports a failure of the store. The steward must learn
+/// that nothing was loaded.
 #[tokio::test]
-async fn a_refused_order_and_a_store_in_outage_load_nothing() {
+async fn refused_order_and_store_outage_load_nothing() {
     let store =
         Server::start(|listener| fireflywheel_standin::store::serve(listener, Default::default()))
             .await;
@@ -181,7 +194,7 @@
     for loads in [0, 1] {
         let answer = engine.order(&order(engine::Kind::Load, 1)).await;
         assert_eq!(
-            (answer.status.as_u16(), said(&answer)),
+            (answer.status.as_u16(), result_code(&answer)),
             (502, "store_failed".into())
         );
         let counts = engine.counts().await;
@@ -191,7 +204,7 @@
 }
 
 #[test]
-fn replicas_of_all_versions_on_all_engines_count() {
+fn peak_replicas_counts_all_versions_on_all_engines() {
     let change = |us, item: &str, loaded| engine::Change {
         us,
         item: item.into(),
--- a/crates/fireflywheel_standin/tests/platform.rs
+++ b/crates/fireflywheel_standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the platform and of the plain service, and their faults.
+//! The stand-ins for the platform and for a plain service, and their faults.
 
 mod support;
 
@@ -19,8 +19,8 @@
     let answer = client::Client::new()
         .get(&url)
         .await
-        .expect("the log answers");
-    answer.json().expect("the log answers")
+        .expect("answer of the log");
+    answer.json().expect("answer of the log")
 }
 
 fn bodies(page: &log::Page) -> Vec<&str> {
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn a_waiting_read_gets_the_next_record() {
+async fn waiting_read_returns_the_next_record() {
     let log = start_log(log::Options::default()).await;
     let (page, appended) = tokio::join!(read(&log, 0, 600_000), append(&log, "a"));
     let appended: log::Appended = appended.unwrap().json().unwrap();
@@ -36,10 +36,10 @@
     assert_eq!(bodies(&page), ["a"]);
 }
 
-/// The log keeps records for a limited time. A reader that comes back late finds the first
-/// offset moved on, and must not take the rest for the whole.
+/// The log retains records for a limited time. A reader that returns late must detect by the first
+/// offset that records are missing, so that it does not take the remaining records for all of them.
 #[tokio::test]
-async fn old_records_are_dropped_and_the_first_offset_says_so() {
+async fn first_offset_shows_that_old_records_were_dropped() {
     let log = start_log(log::Options::default()).await;
     for body in ["a", "b", "c"] {
         append(&log, body).await.unwrap();
@@ -52,10 +52,10 @@
     assert_eq!(read(&log, 0, 0).await.first, 3);
 }
 
-/// An append takes effect and its answer is lost. Its sender can find out by reading only, and a
-/// plain repeat stands in the log twice.
+/// An append takes effect, but its answer is lost. The sender can learn this only by reading the
+/// log; if it just repeats the append, the log contains the record twice.
 #[tokio::test]
-async fn a_lost_answer_has_appended() {
+async fn append_with_lost_answer_took_effect() {
     let log = start_log(log::Options::default()).await;
     log.set(fault::Change::new().with_lose_answers(1)).await;
     assert_eq!(read(&log, 0, 0).await.next, 0);
@@ -64,10 +64,10 @@
     assert_eq!(bodies(&read(&log, 0, 0).await), ["a", "a"]);
 }
 
-/// The log is down, or its appends of this second are used up. Nothing is appended, and both
-/// kinds of refusal say so.
+/// The log is in an outage, or the rate limit of appends is reached. Nothing must be appended, and
+/// the error code must show the reason.
 #[tokio::test]
-async fn an_outage_and_the_rate_limit_append_nothing() {
+async fn outage_and_rate_limit_append_nothing() {
     let log = start_log(log::Options::default()).await;
     log.set(fault::Change::new().with_outage(true)).await;
     let refused = append(&log, "a").await.unwrap();
@@ -105,10 +105,10 @@
     }
 }
 
-/// An instance joins and the list still shows the time before. Whoever reads it learns of the
-/// change late.
+/// An instance joins, but the list still shows an earlier state. Its readers learn of the change
+/// late.
 #[tokio::test]
-async fn the_list_lags() {
+async fn list_of_instances_lags() {
     let options = list::Options {
         instances: vec![instance("a1")],
         ..list::Options::default()
@@ -128,10 +128,10 @@
     assert_eq!(deleted.status, 404);
 }
 
-/// Many engines load at once and the store lets only so many start in a second. The others wait,
-/// and their callers with them.
+/// Many engines load concurrently, but the store limits how many loads start per second. The other
+/// loads wait, and so do the requests that need them.
 #[tokio::test]
-async fn the_store_runs_loads_together_and_limits_their_rate() {
+async fn store_runs_loads_concurrently_and_limits_their_rate() {
     let options = store::Options {
         rate: 0.0,
         fetch_ms: 3_600_000,
@@ -146,20 +146,20 @@
         kind: store::Kind::Model,
     };
     let counts = || async { client.counts::<store::Counts>(&store.base).await.unwrap() };
-    let three = async {
-        let one = || client.post_json(&url, &fetch);
-        tokio::join!(one(), one(), one())
+    let three_fetches = async {
+        let fetch_one = || client.post_json(&url, &fetch);
+        tokio::join!(fetch_one(), fetch_one(), fetch_one())
     };
-    let together = async { while counts().await.max_at_once < 3 {} };
+    let concurrent = async { while counts().await.max_at_once < 3 {} };
     tokio::select! {
-        answers = three => panic!("answered before its time: {answers:?}"),
-        () = together => {}
+        answers = three_fetches => panic!("answered before the fetches ended: {answers:?}"),
+        () = concurrent => {}
     }
     store.set(fault::Change::new().with_rate(0.001)).await;
     let first = client.post_json(&url, &fetch);
     let started = async { while counts().await.fetches < 4 {} };
     tokio::select! {
-        answer = first => panic!("answered before its time: {answer:?}"),
+        answer = first => panic!("answered before the fetch ended: {answer:?}"),
         () = started => {}
     }
     let wait = tokio::time::Duration::from_millis(50);
@@ -168,10 +168,10 @@
     assert_eq!(counts().await.fetches, 4);
 }
 
-/// A deposit is charged and its answer is lost, crossed or cut. The count of runs shows whether
-/// a router sent it again.
+/// A deposit runs, but its answer is lost, truncated, or has a wrong request id. The number of runs
+/// shows whether a router sent the request again.
 #[tokio::test]
-async fn a_plain_service_counts_runs_through_its_faults() {
+async fn plain_service_counts_runs_despite_faults() {
     let service = Server::start(|listener| service::serve(listener, Default::default())).await;
     let faults = fault::Change::new()
         .with_lose_answers(1)
@@ -180,14 +180,18 @@
     let client = client::Client::new().with_header("x-request-id", "r1");
     let url = service.url("/deposits/7");
     client.post(&url, "deposit").await.unwrap_err();
-    let crossed: service::Outcome = client.post(&url, "deposit").await.unwrap().json().unwrap();
-    assert_eq!((&*crossed.id, crossed.run), (service::CROSSED_ID, 2));
+    let with_wrong_id: service::Outcome =
+        client.post(&url, "deposit").await.unwrap().json().unwrap();
+    assert_eq!(
+        (&*with_wrong_id.id, with_wrong_id.run),
+        (service::WRONG_REQUEST_ID, 2)
+    );
     service.set(fault::Change::new().with_cut_answers(1)).await;
     client.post(&url, "deposit").await.unwrap_err();
-    let whole = client.post(&url, "deposit").await.unwrap();
-    assert_eq!(whole.header("x-request-id"), Some("r1"));
+    let answer = client.post(&url, "deposit").await.unwrap();
+    assert_eq!(answer.header("x-request-id"), Some("r1"));
     assert_eq!(
-        whole.json::<service::Outcome>().unwrap().path,
+        answer.json::<service::Outcome>().unwrap().path,
         "/deposits/7"
     );
     let counts: service::Counts = client.counts(&service.base).await.unwrap();
@@ -198,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn an_unknown_switch_is_refused() {
+async fn unknown_switch_is_refused() {
     let log = start_log(log::Options::default()).await;
     let url = log.url("/v1/faults");
     let answer = client::Client::new().post(&url, "{\"outrage\":true}").await;
--- a/crates/fireflywheel_standin/tests/site.rs
+++ b/crates/fireflywheel_standin/tests/site.rs
@@ -1,4 +1,4 @@
-//! Workers of the users' platform.
+//! Tests of the stand-in worker of the users' platform.
 
 use std::time::Duration;
 
@@ -6,25 +6,31 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// An order for the worker that had the address before. Carried out, it would be a load that nobody counts.
+/// An order reaches a worker whose address belonged to another worker before. If the worker executed it, a model would
+/// be loaded that no steward accounts for.
 #[tokio::test]
-async fn order_for_another_worker() {
+async fn order_for_another_worker_is_refused() {
     let worker = Worker::new("w2", "llm", Duration::ZERO);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("bound address");
     tokio::spawn(worker.clone().serve(listener));
     let body = r#"{"operation":"load","model":"m1","holder":"i1","fencingToken":1}"#;
     let order = format!(
         "POST /v1/order HTTP/1.1\r\nhost: w\r\nx-expect-instance: w1\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
         body.len()
     );
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
-    stream.write_all(order.as_bytes()).await.expect("it reads");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("connection to the worker");
+    stream
+        .write_all(order.as_bytes())
+        .await
+        .expect("request is sent");
     let mut answer = String::new();
     stream
         .read_to_string(&mut answer)
         .await
-        .expect("it answers");
+        .expect("answer is received");
     assert!(answer.starts_with("HTTP/1.1 421"), "{answer}");
     assert_eq!(worker.orders(), 0);
 }
--- a/crates/fireflywheel_standin/tests/support/mod.rs
+++ b/crates/fireflywheel_standin/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! Stand-ins served inside the test process.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Stand-ins that run in the test process.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::time;
 
 use fireflywheel_standin::{client, engine, fault};
 use tokio::{net, task};
 
-/// A server that ends with the test.
+/// A server that stops when it is dropped.
 pub struct Server {
     pub base: String,
     task: task::JoinHandle<anyhow::Result<()>>,
@@ -19,7 +19,7 @@
 }
 
 impl Server {
-    /// Listens on a free port and runs what `serve` makes of the listener.
+    /// Binds a free port and runs the server that `serve` creates from the listener.
     pub async fn start<F, S>(serve: F) -> Self
     where
         F: FnOnce(net::TcpListener) -> S,
@@ -27,11 +27,8 @@
     {
         let listener = net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("the stand-in answers");
-        let base = format!(
-            "http://{}",
-            listener.local_addr().expect("the stand-in answers")
-        );
+            .expect("free port");
+        let base = format!("http://{}", listener.local_addr().expect("bound address"));
         let task = task::spawn(serve(listener));
         Self { base, task }
     }
@@ -48,24 +45,24 @@
         client::Client::new()
             .set_faults(&self.base, &change)
             .await
-            .expect("the stand-in answers");
+            .expect("answer of the stand-in");
     }
 
     pub async fn counts(&self) -> engine::Counts {
         client::Client::new()
             .counts(&self.base)
             .await
-            .expect("the stand-in answers")
+            .expect("answer of the stand-in")
     }
 
-    /// Reads the counts until they are as `wanted`.
-    pub async fn until<F>(&self, wanted: F) -> engine::Counts
+    /// Polls the counts until `condition` holds.
+    pub async fn wait_for_counts<F>(&self, condition: F) -> engine::Counts
     where
         F: Fn(&engine::Counts) -> bool,
     {
         loop {
             let counts = self.counts().await;
-            if wanted(&counts) {
+            if condition(&counts) {
                 return counts;
             }
             tokio::time::sleep(time::Duration::from_millis(2)).await;
@@ -77,14 +74,14 @@
         client::Client::new()
             .post_json(&url, order)
             .await
-            .expect("the stand-in answers")
+            .expect("answer of the stand-in")
     }
 
-    /// Opens a chat request; the echo is the request id.
+    /// Sends a chat request whose message, and so its echo, is the request id.
     pub async fn chat(&self, id: &str, stream: bool, tokens: usize) -> client::Events {
         self.try_chat(id, stream, tokens)
             .await
-            .expect("the stand-in answers")
+            .expect("answer of the stand-in")
     }
 
     pub async fn try_chat(
@@ -109,12 +106,12 @@
     }
 }
 
-/// An order about the model that the tests use.
+/// Creates an order for the model that the tests use.
 pub fn order(kind: engine::Kind, fencing: u64) -> engine::Order {
     engine::Order::new(kind, fencing).with_item("quote@1", 1000)
 }
 
-/// An engine with the model loaded, under fencing number 1.
+/// Starts an engine and loads the model with fencing number 1.
 pub async fn loaded(options: engine::Options) -> Server {
     let server = Server::engine(options).await;
     let answer = server.order(&order(engine::Kind::Load, 1)).await;
@@ -122,7 +119,7 @@
     server
 }
 
-/// Options with short times.
+/// Options with short durations.
 pub fn quick() -> engine::Options {
     engine::Options {
         load_ms: 1,
@@ -132,14 +129,14 @@
     }
 }
 
-/// Reads a stream to its end: the events, and whether the connection broke.
-pub async fn drain(mut events: client::Events) -> (Vec<String>, bool) {
-    let mut all = Vec::new();
+/// Reads a stream to its end. Returns its events, and whether the connection broke.
+pub async fn read_to_end(mut events: client::Events) -> (Vec<String>, bool) {
+    let mut received = Vec::new();
     loop {
         match events.next().await {
-            Ok(Some(event)) => all.push(event),
-            Ok(None) => return (all, false),
-            Err(_) => return (all, true),
+            Ok(Some(event)) => received.push(event),
+            Ok(None) => return (received, false),
+            Err(_) => return (received, true),
         }
     }
 }
