--- a/crates/fireflywheel_daemon/src/fleet/pool.rs
+++ b/crates/fireflywheel_daemon/src/fleet/pool.rs
@@ -118,9 +118,9 @@
 }
 
 impl Pool {
-    /// Sends a request on an idle connection or a new one, with about `limit` connections to that server at most.
-    /// Concurrent calls may exceed the limit, as each checks the count before it adds its connection. Dropping the
-    /// future closes the connection.
+    /// Sends a request on an idle connection or a new one, with at most `limit` connections to that server.
+    /// Nothing is awaited between the check of the count and its increase, so concurrent calls on a single-threaded
+    /// runtime can't exceed the limit; only calls on several threads can. Dropping the future closes the connection.
     ///
     /// # Errors
     ///
