--- a/crates/fireflywheel/benches/sized/fleet.rs
+++ b/crates/fireflywheel/benches/sized/fleet.rs
@@ -27,10 +27,9 @@
         if steward {
             writer.hand_over(0, incarnation(0));
         }
-        let me = incarnation(0);
         let node = node::Node::new(node::Options {
             address: address(0),
-            me,
+            incarnation: incarnation(0),
             failure_domain: SmolStr::new_static("fd0"),
             seeds: Vec::new(),
             max_queue: 1_000,
@@ -192,7 +191,7 @@
         dead_timeout: Duration::from_secs(3600),
         drain_delay: Duration::from_secs(5),
         drain_limit: Duration::from_secs(600),
-        gone_after: Duration::from_secs(30),
+        absence_timeout: Duration::from_secs(30),
         checkpoint_records: u64::MAX,
         checkpoint_interval: Duration::from_secs(1_000_000),
     }
--- a/crates/fireflywheel/src/bootstrap.rs
+++ b/crates/fireflywheel/src/bootstrap.rs
@@ -64,7 +64,7 @@
 
 /// Why there is no ledger yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Waiting {
+pub enum Status {
     /// Neither the log nor a peer has answered.
     NoResponse,
     /// The log is being read for checkpoints.
@@ -82,7 +82,7 @@
     },
 }
 
-impl fmt::Display for Waiting {
+impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoResponse => f.write_str("neither the log nor a peer has answered yet"),
@@ -131,14 +131,14 @@
 
     /// Why there is no ledger yet.
     #[must_use]
-    pub fn waiting(&self) -> Waiting {
+    pub fn status(&self) -> Status {
         match self.first {
-            None => Waiting::NoResponse,
-            Some(_) if self.from < self.until => Waiting::ReadingLog {
+            None => Status::NoResponse,
+            Some(_) if self.from < self.until => Status::ReadingLog {
                 from: self.from,
                 until: self.until,
             },
-            Some(first) => Waiting::NoCheckpoint { first },
+            Some(first) => Status::NoCheckpoint { first },
         }
     }
 
--- a/crates/fireflywheel/src/bucket.rs
+++ b/crates/fireflywheel/src/bucket.rs
@@ -7,7 +7,7 @@
 pub struct Bucket {
     capacity: f64,
     tokens: f64,
-    last_fill: clock::Instant,
+    last_refill: clock::Instant,
 }
 
 impl Bucket {
@@ -17,7 +17,7 @@
         Self {
             capacity,
             tokens: capacity,
-            last_fill: now,
+            last_refill: now,
         }
     }
 
@@ -42,10 +42,10 @@
         self.add(0.0);
     }
 
-    /// Adds the tokens accrued at this rate since the last fill.
-    pub fn fill(&mut self, now: clock::Instant, per_second: f64) {
-        let elapsed = now.since(self.last_fill).as_secs_f64();
-        self.last_fill = self.last_fill.max(now);
+    /// Adds the tokens accrued at this rate since the last refill.
+    pub fn refill(&mut self, now: clock::Instant, per_second: f64) {
+        let elapsed = now.since(self.last_refill).as_secs_f64();
+        self.last_refill = self.last_refill.max(now);
         self.add(elapsed * per_second);
     }
 
@@ -56,7 +56,7 @@
 
     /// Takes a token; returns `false` if none is available.
     #[must_use]
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let is_available = self.tokens >= 1.0;
         if is_available {
             self.tokens -= 1.0;
--- a/crates/fireflywheel/src/document/ini.rs
+++ b/crates/fireflywheel/src/document/ini.rs
@@ -117,8 +117,8 @@
             new_field("store_loads_per_second", self.store_loads_per_second),
             new_field("store_loads_at_once", self.store_loads_at_once),
             new_field("adapter_loads_at_once", self.adapter_loads_at_once),
-            new_field("key_memory_s", self.key_memory.as_secs()),
-            new_field("keys", self.keys),
+            new_field("key_memory_s", self.key_retention.as_secs()),
+            new_field("keys", self.max_keys),
         ]
     }
 }
--- a/crates/fireflywheel/src/document/mod.rs
+++ b/crates/fireflywheel/src/document/mod.rs
@@ -72,10 +72,10 @@
     /// `adapter_loads_at_once`: maximum number of adapter loads in flight across all backend servers.
     pub adapter_loads_at_once: u32,
     /// `key_memory_s`: how long the outcome of an idempotency key is retained after it was recorded.
-    pub key_memory: Duration,
+    pub key_retention: Duration,
     /// `keys`: maximum number of retained idempotency keys. At the limit, requests with new keys are
     /// refused without being run.
-    pub keys: usize,
+    pub max_keys: usize,
 }
 
 /// A class of requests.
@@ -196,8 +196,8 @@
             store_loads_per_second: 5.0,
             store_loads_at_once: 4,
             adapter_loads_at_once: 30,
-            key_memory: Duration::from_secs(24 * 60 * 60),
-            keys: 100_000,
+            key_retention: Duration::from_secs(24 * 60 * 60),
+            max_keys: 100_000,
         }
     }
 }
--- a/crates/fireflywheel/src/document/parse.rs
+++ b/crates/fireflywheel/src/document/parse.rs
@@ -51,14 +51,14 @@
 const SERVICE_MS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
 const MAX_PREFIX_BYTES: usize = 256;
 
-const KINDS: [field::Word<Option<Kind>>; 2] = [
+const KINDS: [field::Keyword<Option<Kind>>; 2] = [
     ("engine", Some(Kind::Engine)),
     ("service", Some(Kind::Service)),
 ];
 
 const ENGINE_KEYS: [&str; 3] = ["fencing", "pin_release", "memory_mb"];
 
-const FENCINGS: [field::Word<Fencing>; 3] = [
+const FENCINGS: [field::Keyword<Fencing>; 3] = [
     ("checked", Fencing::Checked),
     ("forgets", Fencing::Forgets),
     ("ignored", Fencing::Ignored),
@@ -69,7 +69,7 @@
 
 const PREFIX_RULE: &str = "a path such as `/bookings`: `/` and letters, digits, `-`, `_`, `.`, `~`, without empty or dot segments";
 
-const YES_OR_NO: [field::Word<bool>; 2] = [("yes", true), ("no", false)];
+const YES_OR_NO: [field::Keyword<bool>; 2] = [("yes", true), ("no", false)];
 
 const METHODS: [&str; 7] = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"];
 
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// All faults, in the order of lines; see [`fault::LIMIT`].
+    /// All faults, in the order of lines; see [`fault::MAX_FAULTS`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
         let sections = ini_text::read(text, MAX_BYTES, &mut faults)?;
@@ -139,7 +139,7 @@
 /// Returns the model's and the adapter's name.
 fn split_adapter_name(section: &str) -> Option<(SmolStr, SmolStr)> {
     let (model, name) = section.strip_prefix("adapter ")?.split_once(':')?;
-    Some((field::name(model)?, field::name(name)?))
+    Some((field::parse_name(model)?, field::parse_name(name)?))
 }
 
 /// Reads a section `[KIND NAME]` and inserts it into a map by name.
@@ -152,7 +152,7 @@
     F: FnOnce(&ini_text::Section, &mut fault::List) -> T,
 {
     let kind = section.kind();
-    let name = field::name(section.name[kind.len()..].trim_start());
+    let name = field::parse_name(section.name[kind.len()..].trim_start());
     if name.is_none() {
         let expected = format!("`[{kind} NAME]` with {}", field::NAME_RULE);
         faults.push(misnamed_section(section, &expected));
@@ -187,17 +187,17 @@
             .optional_number("store_loads_per_second", STORE_LOADS_PER_SECOND_RANGE)
             .unwrap_or(default.store_loads_per_second),
         store_loads_at_once: reader
-            .optional_whole("store_loads_at_once", STORE_LOADS_AT_ONCE_RANGE)
+            .optional_integer("store_loads_at_once", STORE_LOADS_AT_ONCE_RANGE)
             .unwrap_or(default.store_loads_at_once),
         adapter_loads_at_once: reader
-            .optional_whole("adapter_loads_at_once", ADAPTER_LOADS_AT_ONCE_RANGE)
+            .optional_integer("adapter_loads_at_once", ADAPTER_LOADS_AT_ONCE_RANGE)
             .unwrap_or(default.adapter_loads_at_once),
-        key_memory: reader
+        key_retention: reader
             .optional_seconds("key_memory_s", KEY_MEMORY_S_RANGE)
-            .unwrap_or(default.key_memory),
-        keys: reader
-            .optional_whole("keys", KEYS_RANGE)
-            .unwrap_or(default.keys),
+            .unwrap_or(default.key_retention),
+        max_keys: reader
+            .optional_integer("keys", KEYS_RANGE)
+            .unwrap_or(default.max_keys),
     };
     reader.finish();
     serving
@@ -208,9 +208,9 @@
     let default = Class::default();
     let class = Class {
         deadline: reader.optional_millis("deadline_ms", DEADLINE_MS_RANGE),
-        in_flight: reader.whole("in_flight", IN_FLIGHT_RANGE, default.in_flight),
+        in_flight: reader.integer("in_flight", IN_FLIGHT_RANGE, default.in_flight),
         queue: reader
-            .optional_whole("queue", QUEUE_RANGE)
+            .optional_integer("queue", QUEUE_RANGE)
             .unwrap_or(default.queue),
     };
     reader.finish();
@@ -221,9 +221,9 @@
     let mut reader = field::Reader::new(section, faults);
     let default = Tenant::default();
     let tenant = Tenant {
-        in_flight: reader.whole("in_flight", IN_FLIGHT_RANGE, default.in_flight),
+        in_flight: reader.integer("in_flight", IN_FLIGHT_RANGE, default.in_flight),
         share: reader
-            .optional_whole("share", SHARE_RANGE)
+            .optional_integer("share", SHARE_RANGE)
             .unwrap_or(default.share),
     };
     reader.finish();
@@ -232,11 +232,11 @@
 
 fn read_group(section: &ini_text::Section, faults: &mut fault::List) -> Group {
     let mut reader = field::Reader::new(section, faults);
-    let kind = reader.word("kind", &KINDS, None);
+    let kind = reader.keyword("kind", &KINDS, None);
     let default = Group::default();
     let mut group = Group {
         kind: kind.unwrap_or(default.kind),
-        slots: reader.whole("slots", SLOTS_RANGE, default.slots),
+        slots: reader.integer("slots", SLOTS_RANGE, default.slots),
         ..default
     };
     match kind {
@@ -258,14 +258,14 @@
 }
 
 fn read_engine_keys(group: &mut Group, reader: &mut field::Reader<'_>) {
-    group.memory_mb = reader.whole("memory_mb", MEMORY_MB_RANGE, group.memory_mb);
+    group.memory_mb = reader.integer("memory_mb", MEMORY_MB_RANGE, group.memory_mb);
     group.fencing = reader
-        .optional_word("fencing", &FENCINGS)
+        .optional_keyword("fencing", &FENCINGS)
         .unwrap_or(group.fencing);
     let expected = format!(
         "`acknowledged` or a whole number of seconds from {} to {}",
-        field::grouped(*PIN_RELEASE_S_RANGE.start()),
-        field::grouped(*PIN_RELEASE_S_RANGE.end()),
+        field::format_grouped(*PIN_RELEASE_S_RANGE.start()),
+        field::format_grouped(*PIN_RELEASE_S_RANGE.end()),
     );
     group.pin_release = reader
         .optional("pin_release", &expected, parse_pin_release)
@@ -276,7 +276,7 @@
     if text == "acknowledged" {
         return Some(PinRelease::Acknowledged);
     }
-    let seconds = field::whole(text, &PIN_RELEASE_S_RANGE)?;
+    let seconds = field::parse_integer(text, &PIN_RELEASE_S_RANGE)?;
     Some(PinRelease::After(Duration::from_secs(seconds)))
 }
 
@@ -286,10 +286,10 @@
     let model = Model {
         group: reader.name("group"),
         version: reader
-            .optional_whole("version", VERSION_RANGE)
+            .optional_integer("version", VERSION_RANGE)
             .unwrap_or(default.version),
-        memory_mb: reader.whole("memory_mb", MEMORY_MB_RANGE, default.memory_mb),
-        replicas: reader.whole("replicas", REPLICAS_RANGE, default.replicas),
+        memory_mb: reader.integer("memory_mb", MEMORY_MB_RANGE, default.memory_mb),
+        replicas: reader.integer("replicas", REPLICAS_RANGE, default.replicas),
         load: reader
             .optional_millis("load_ms", LOAD_MS_RANGE)
             .unwrap_or(default.load),
@@ -305,8 +305,8 @@
     let mut reader = field::Reader::new(section, faults);
     let default = Adapter::default();
     let adapter = Adapter {
-        memory_mb: reader.whole("memory_mb", MEMORY_MB_RANGE, default.memory_mb),
-        replicas: reader.whole("replicas", REPLICAS_RANGE, default.replicas),
+        memory_mb: reader.integer("memory_mb", MEMORY_MB_RANGE, default.memory_mb),
+        replicas: reader.integer("replicas", REPLICAS_RANGE, default.replicas),
     };
     reader.finish();
     adapter
@@ -324,7 +324,7 @@
         group: reader.name("group"),
         idempotent: read_idempotent(&mut reader).unwrap_or(default.idempotent),
         deduplicates: reader
-            .optional_word("deduplicates", &YES_OR_NO)
+            .optional_keyword("deduplicates", &YES_OR_NO)
             .unwrap_or(default.deduplicates),
         class: reader.name("class"),
     };
--- a/crates/fireflywheel/src/document/warning.rs
+++ b/crates/fireflywheel/src/document/warning.rs
@@ -83,7 +83,7 @@
 /// Returns the warnings for the change from `old` to `new`, in the order of sections.
 #[must_use]
 pub fn warnings(old: &Document, new: &Document) -> Vec<Warning> {
-    let mut warnings = key_memory_warnings(old, new);
+    let mut warnings = key_retention_warnings(old, new);
     warnings.extend(removed_sections(&old.classes, &new.classes, Section::Class));
     warnings.extend(removed_sections(
         &old.tenants,
@@ -106,9 +106,9 @@
     warnings
 }
 
-fn key_memory_warnings(old: &Document, new: &Document) -> Vec<Warning> {
-    let from = old.serving.key_memory;
-    let to = new.serving.key_memory;
+fn key_retention_warnings(old: &Document, new: &Document) -> Vec<Warning> {
+    let from = old.serving.key_retention;
+    let to = new.serving.key_retention;
     if to < from {
         vec![Warning::KeyMemoryShortened { from, to }]
     } else {
--- a/crates/fireflywheel/src/fault.rs
+++ b/crates/fireflywheel/src/fault.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of reported faults. A longer list does not help, and a malicious text must not exhaust
 /// the memory.
-pub const LIMIT: usize = 1000;
+pub const MAX_FAULTS: usize = 1000;
 
 /// Maximum number of faults with a suggestion. Each suggestion compares the text with every known name, and
 /// a text crafted to be slow to reject must not delay an instance.
@@ -104,9 +104,9 @@
 }
 
 impl List {
-    /// Adds a fault; beyond [`LIMIT`] faults are only counted.
+    /// Adds a fault; beyond [`MAX_FAULTS`] faults are only counted.
     pub fn push(&mut self, fault: Fault) {
-        if self.faults.len() < LIMIT {
+        if self.faults.len() < MAX_FAULTS {
             self.faults.push(fault);
         } else {
             self.omitted += 1;
--- a/crates/fireflywheel/src/field.rs
+++ b/crates/fireflywheel/src/field.rs
@@ -18,7 +18,7 @@
 /// Maximum length of a URL, in characters.
 pub const MAX_URL_CHARS: usize = 512;
 
-/// Description of the URLs that [`url`] accepts, for fault messages.
+/// Description of the URLs that [`parse_url`] accepts, for fault messages.
 pub const URL_RULE: &str =
     "an address such as `http://10.0.0.5:7000`, without user, query or fragment";
 
@@ -26,7 +26,7 @@
 pub const HTTPS_RULE: &str = "an `http://` address: https is not supported yet";
 
 /// A keyword that a key accepts, with its value.
-pub type Word<T> = (&'static str, T);
+pub type Keyword<T> = (&'static str, T);
 
 /// Reader of the keys of one section.
 pub struct Reader<'a> {
@@ -78,21 +78,25 @@
     }
 
     /// Reads an optional whole number.
-    pub fn optional_whole<T>(&mut self, key: &'static str, range: RangeInclusive<u64>) -> Option<T>
+    pub fn optional_integer<T>(
+        &mut self,
+        key: &'static str,
+        range: RangeInclusive<u64>,
+    ) -> Option<T>
     where
         T: TryFrom<u64>,
     {
-        let expected = whole_number_rule(&range);
-        self.optional(key, &expected, |text| whole(text, &range))
+        let expected = integer_rule(&range);
+        self.optional(key, &expected, |text| parse_integer(text, &range))
     }
 
     /// Reads a required whole number.
-    pub fn whole<T>(&mut self, key: &'static str, range: RangeInclusive<u64>, fallback: T) -> T
+    pub fn integer<T>(&mut self, key: &'static str, range: RangeInclusive<u64>, fallback: T) -> T
     where
         T: TryFrom<u64>,
     {
-        let expected = whole_number_rule(&range);
-        self.required(key, &expected, fallback, |text| whole(text, &range))
+        let expected = integer_rule(&range);
+        self.required(key, &expected, fallback, |text| parse_integer(text, &range))
     }
 
     /// Reads an optional duration in milliseconds.
@@ -101,7 +105,7 @@
         key: &'static str,
         range: RangeInclusive<u64>,
     ) -> Option<Duration> {
-        self.optional_whole(key, range).map(Duration::from_millis)
+        self.optional_integer(key, range).map(Duration::from_millis)
     }
 
     /// Reads an optional duration in seconds.
@@ -110,7 +114,7 @@
         key: &'static str,
         range: RangeInclusive<u64>,
     ) -> Option<Duration> {
-        self.optional_whole(key, range).map(Duration::from_secs)
+        self.optional_integer(key, range).map(Duration::from_secs)
     }
 
     /// Reads an optional number, which may have a fraction.
@@ -127,31 +131,33 @@
     }
 
     /// Reads an optional keyword.
-    pub fn optional_word<T>(&mut self, key: &'static str, words: &[Word<T>]) -> Option<T>
+    pub fn optional_keyword<T>(&mut self, key: &'static str, keywords: &[Keyword<T>]) -> Option<T>
     where
         T: Copy,
     {
-        let expected = word_rule(words);
-        self.optional(key, &expected, |text| parse_word(text, words))
+        let expected = keyword_rule(keywords);
+        self.optional(key, &expected, |text| parse_keyword(text, keywords))
     }
 
     /// Reads a required keyword.
-    pub fn word<T>(&mut self, key: &'static str, words: &[Word<T>], fallback: T) -> T
+    pub fn keyword<T>(&mut self, key: &'static str, keywords: &[Keyword<T>], fallback: T) -> T
     where
         T: Copy,
     {
-        let expected = word_rule(words);
-        self.required(key, &expected, fallback, |text| parse_word(text, words))
+        let expected = keyword_rule(keywords);
+        self.required(key, &expected, fallback, |text| {
+            parse_keyword(text, keywords)
+        })
     }
 
     /// Reads a required name; returns an empty name after a fault.
     pub fn name(&mut self, key: &'static str) -> SmolStr {
-        self.required(key, NAME_RULE, SmolStr::default(), name)
+        self.required(key, NAME_RULE, SmolStr::default(), parse_name)
     }
 
     /// Reads an optional address `IP:PORT`.
     pub fn optional_address(&mut self, key: &'static str) -> Option<SocketAddr> {
-        self.optional(key, "an address `IP:PORT`", parsed)
+        self.optional(key, "an address `IP:PORT`", parse)
     }
 
     /// Reads an optional list of values separated by commas, each with `read`. An empty value is an empty
@@ -235,7 +241,7 @@
 
 /// Parses a name that follows [`NAME_RULE`].
 #[must_use]
-pub fn name(text: &str) -> Option<SmolStr> {
+pub fn parse_name(text: &str) -> Option<SmolStr> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let is_valid = !text.is_empty() && text.len() <= MAX_NAME_CHARS && text.chars().all(allowed);
     is_valid.then(|| SmolStr::new(text))
@@ -243,7 +249,7 @@
 
 /// Parses the URL of a service, and removes a trailing `/`; see [`URL_RULE`].
 #[must_use]
-pub fn url(text: &str) -> Option<SmolStr> {
+pub fn parse_url(text: &str) -> Option<SmolStr> {
     let url = text.trim_end_matches('/');
     let rest = url.strip_prefix("http://")?;
     let authority = rest.split('/').next()?;
@@ -259,7 +265,7 @@
 
 /// Parses a value with [`FromStr`].
 #[must_use]
-pub fn parsed<T>(text: &str) -> Option<T>
+pub fn parse<T>(text: &str) -> Option<T>
 where
     T: FromStr,
 {
@@ -268,7 +274,7 @@
 
 /// Formats a number with commas between thousands.
 #[must_use]
-pub fn grouped(number: u64) -> String {
+pub fn format_grouped(number: u64) -> String {
     let digits = number.to_string();
     let mut text = String::new();
     for (index, digit) in digits.chars().enumerate() {
@@ -282,7 +288,7 @@
 
 /// Parses a whole number in decimal digits within the range.
 #[must_use]
-pub fn whole<T>(text: &str, range: &RangeInclusive<u64>) -> Option<T>
+pub fn parse_integer<T>(text: &str, range: &RangeInclusive<u64>) -> Option<T>
 where
     T: TryFrom<u64>,
 {
@@ -297,23 +303,26 @@
     T::try_from(number).ok()
 }
 
-fn whole_number_rule(range: &RangeInclusive<u64>) -> String {
-    let from = grouped(*range.start());
-    let to = grouped(*range.end());
+fn integer_rule(range: &RangeInclusive<u64>) -> String {
+    let from = format_grouped(*range.start());
+    let to = format_grouped(*range.end());
     format!("a whole number from {from} to {to}")
 }
 
-fn parse_word<T>(text: &str, words: &[Word<T>]) -> Option<T>
+fn parse_keyword<T>(text: &str, keywords: &[Keyword<T>]) -> Option<T>
 where
     T: Copy,
 {
-    words
+    keywords
         .iter()
-        .find(|(word, _)| *word == text)
+        .find(|(keyword, _)| *keyword == text)
         .map(|(_, value)| *value)
 }
 
-fn word_rule<T>(words: &[Word<T>]) -> String {
-    let quoted: Vec<String> = words.iter().map(|(word, _)| format!("`{word}`")).collect();
+fn keyword_rule<T>(keywords: &[Keyword<T>]) -> String {
+    let quoted: Vec<String> = keywords
+        .iter()
+        .map(|(keyword, _)| format!("`{keyword}`"))
+        .collect();
     format!("one of {}", quoted.join(", "))
 }
--- a/crates/fireflywheel/src/fleet/limit/pacer.rs
+++ b/crates/fireflywheel/src/fleet/limit/pacer.rs
@@ -60,7 +60,7 @@
     }
 
     fn fill(&mut self, now: clock::Instant) {
-        self.bucket.fill(now, self.rate());
+        self.bucket.refill(now, self.rate());
         self.queue.retain(|waiter| now < waiter.deadline);
     }
 
@@ -119,7 +119,7 @@
         };
         account.fill(now);
         account.queue.retain(|waiter| waiter.requester != requester);
-        if account.queue.is_empty() && account.bucket.take() {
+        if account.queue.is_empty() && account.bucket.try_take() {
             return Outcome::Granted;
         }
         let wait = account.wait(account.queue.len());
@@ -142,7 +142,7 @@
         let mut granted = Vec::new();
         for (server, account) in &mut self.accounts {
             account.fill(now);
-            while !account.queue.is_empty() && account.bucket.take() {
+            while !account.queue.is_empty() && account.bucket.try_take() {
                 let waiter = account.queue.pop_front().expect("the queue is not empty");
                 let reply = Reply {
                     server: server.clone(),
--- a/crates/fireflywheel/src/fleet/load.rs
+++ b/crates/fireflywheel/src/fleet/load.rs
@@ -181,7 +181,7 @@
     if prompt.shared_tokens < MIN_CACHED_PREFIX_TOKENS || servers.len() < 2 {
         return None;
     }
-    rendezvous::first(parts, servers)
+    rendezvous::select(parts, servers)
 }
 
 /// Returns the most loaded engines, at most `count`, by id. Engines with negligible load are left out.
--- a/crates/fireflywheel/src/fleet/rate.rs
+++ b/crates/fireflywheel/src/fleet/rate.rs
@@ -25,8 +25,8 @@
     /// Uses one unit of the allowance; returns `false` if none is left.
     #[must_use]
     pub fn try_acquire(&mut self, now: clock::Instant) -> bool {
-        self.bucket.fill(now, self.per_second);
-        self.bucket.take()
+        self.bucket.refill(now, self.per_second);
+        self.bucket.try_take()
     }
 }
 
--- a/crates/fireflywheel/src/fleet/settings.rs
+++ b/crates/fireflywheel/src/fleet/settings.rs
@@ -35,13 +35,13 @@
     "log",
 ];
 
-const LEVEL_WORDS: [field::Word<log::LevelFilter>; 4] = [
+const LEVEL_WORDS: [field::Keyword<log::LevelFilter>; 4] = [
     ("error", log::LevelFilter::Error),
     ("warn", log::LevelFilter::Warn),
     ("info", log::LevelFilter::Info),
     ("debug", log::LevelFilter::Debug),
 ];
-const BOOLEAN_WORDS: [field::Word<bool>; 4] = [
+const BOOLEAN_WORDS: [field::Keyword<bool>; 4] = [
     ("true", true),
     ("yes", true),
     ("false", false),
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault, in the order of lines; see [`fault::LIMIT`].
+    /// Returns every fault, in the order of lines; see [`fault::MAX_FAULTS`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
         let sections = ini_text::read(text, MAX_FILE_BYTES, &mut faults)?;
@@ -217,15 +217,15 @@
 ) -> ([SocketAddr; 3], SocketAddr) {
     let mut reader = field::Reader::new(section, faults);
     let addresses = ["callers", "ready", "peers"]
-        .map(|key| reader.required(key, ADDRESS_RULE, PLACEHOLDER_ADDRESS, field::parsed));
-    let advertised = reader.optional("peers_advertised", ADDRESS_RULE, field::parsed);
+        .map(|key| reader.required(key, ADDRESS_RULE, PLACEHOLDER_ADDRESS, field::parse));
+    let advertised = reader.optional("peers_advertised", ADDRESS_RULE, field::parse);
     reader.finish();
     (addresses, advertised.unwrap_or(addresses[2]))
 }
 
 fn read_platform(section: &ini_text::Section, faults: &mut fault::List) -> (SocketAddr, Duration) {
     let mut reader = field::Reader::new(section, faults);
-    let store = reader.required("store", ADDRESS_RULE, PLACEHOLDER_ADDRESS, field::parsed);
+    let store = reader.required("store", ADDRESS_RULE, PLACEHOLDER_ADDRESS, field::parse);
     let config_deadline = reader.optional_millis("apply_ms", OBEY_MS_RANGE);
     reader.finish();
     (store, config_deadline.unwrap_or(Duration::from_secs(2)))
@@ -243,10 +243,10 @@
 fn read_steward(section: &ini_text::Section, faults: &mut fault::List) -> Steward {
     let mut reader = field::Reader::new(section, faults);
     let term = reader.optional_millis("lease_ms", LEASE_MS_RANGE);
-    let fenced = reader.optional_word("fenced", &BOOLEAN_WORDS);
-    let first_start = reader.optional_word("first_start", &BOOLEAN_WORDS);
-    let all_engines_limit = reader.optional_whole("tell_all", TELL_ALL_RANGE);
-    let config_broadcast_limit = reader.optional_whole("config_bytes", CONFIG_BYTES_RANGE);
+    let fenced = reader.optional_keyword("fenced", &BOOLEAN_WORDS);
+    let first_start = reader.optional_keyword("first_start", &BOOLEAN_WORDS);
+    let all_engines_limit = reader.optional_integer("tell_all", TELL_ALL_RANGE);
+    let config_broadcast_limit = reader.optional_integer("config_bytes", CONFIG_BYTES_RANGE);
     reader.finish();
     let term = term.unwrap_or(Duration::from_secs(3));
     let all_engines_limit = all_engines_limit.and_then(|limit: u64| usize::try_from(limit).ok());
@@ -276,7 +276,7 @@
 
 fn read_connections(section: &ini_text::Section, faults: &mut fault::List) -> usize {
     let mut reader = field::Reader::new(section, faults);
-    let descriptors = reader.optional_whole("descriptors", DESCRIPTORS_RANGE);
+    let descriptors = reader.optional_integer("descriptors", DESCRIPTORS_RANGE);
     reader.finish();
     let descriptors: u64 = descriptors.unwrap_or(1024);
     // Each request needs a connection to the caller and one to the backend server.
@@ -288,8 +288,8 @@
 
 fn read_log(section: &ini_text::Section, faults: &mut fault::List) -> Log {
     let mut reader = field::Reader::new(section, faults);
-    let level = reader.optional_word("level", &LEVEL_WORDS);
-    let lines_per_second = reader.optional_whole("lines_per_second", LINES_PER_SECOND_RANGE);
+    let level = reader.optional_keyword("level", &LEVEL_WORDS);
+    let lines_per_second = reader.optional_integer("lines_per_second", LINES_PER_SECOND_RANGE);
     reader.finish();
     Log {
         level: level.unwrap_or(log::LevelFilter::Info),
@@ -300,7 +300,7 @@
 fn read_quotas(section: &ini_text::Section, faults: &mut fault::List) -> Quotas {
     let mut reader = field::Reader::new(section, faults);
     let window = reader.optional_millis("window_ms", WINDOW_MS_RANGE);
-    let shared = reader.optional_word("shared", &BOOLEAN_WORDS);
+    let shared = reader.optional_keyword("shared", &BOOLEAN_WORDS);
     reader.finish();
     Quotas {
         window: window.unwrap_or(Duration::from_secs(8)),
--- a/crates/fireflywheel/src/ledger/claims.rs
+++ b/crates/fireflywheel/src/ledger/claims.rs
@@ -142,7 +142,7 @@
 
 impl Ledger {
     pub(super) fn expire_claims(&mut self) {
-        let retention_ms = self.document.serving.key_memory.as_millis();
+        let retention_ms = self.document.serving.key_retention.as_millis();
         let retention_ms = u64::try_from(retention_ms).unwrap_or(u64::MAX);
         if let Some(until_ms) = self.time_ms.checked_sub(retention_ms) {
             self.claims.expire(until_ms);
@@ -158,7 +158,7 @@
         if self.claims.all.contains_key(key) {
             return Err(Reason::Claim);
         }
-        if self.claims.len() >= self.document.serving.keys {
+        if self.claims.len() >= self.document.serving.max_keys {
             return Err(Reason::Full);
         }
         let claim = claim::Claim {
--- a/crates/fireflywheel/src/lib.rs
+++ b/crates/fireflywheel/src/lib.rs
@@ -14,13 +14,13 @@
 //!     dead_timeout: Duration::from_secs(10),
 //!     drain_delay: Duration::from_secs(5),
 //!     drain_limit: Duration::from_secs(600),
-//!     gone_after: Duration::from_secs(30),
+//!     absence_timeout: Duration::from_secs(30),
 //!     checkpoint_records: 5000,
 //!     checkpoint_interval: Duration::from_secs(60),
 //! };
-//! let me = record::Incarnation { instance: "a1".into(), number: 1_700_000_000_000 };
+//! let incarnation = record::Incarnation { instance: "a1".into(), number: 1_700_000_000_000 };
 //! let options = node::Options {
-//!     me,
+//!     incarnation,
 //!     address: "10.20.1.11:8081".into(),
 //!     failure_domain: "fd1".into(),
 //!     seeds: Vec::new(),
--- a/crates/fireflywheel/src/node/admission.rs
+++ b/crates/fireflywheel/src/node/admission.rs
@@ -237,7 +237,9 @@
         let share = self.tenant_share(tenant);
         let queue = &self.queues[queue];
         let slots = replicas.saturating_mul(self.slots_per_server(&queue.group));
-        let ahead = queue.waiting.turns_before(tenant, share, request.deadline);
+        let ahead = queue
+            .waiting
+            .requests_before(tenant, share, request.deadline);
         let service = if queue.waiting.is_empty() && queue.running < slots {
             queue.service_time.mean()
         } else if cold {
--- a/crates/fireflywheel/src/node/checkpoints.rs
+++ b/crates/fireflywheel/src/node/checkpoints.rs
@@ -79,7 +79,9 @@
             return;
         }
         let alive = self.membership.alive().map(SmolStr::as_str);
-        if rendezvous::first("checkpoint", alive) != Some(self.options.me.instance.as_str()) {
+        if rendezvous::select("checkpoint", alive)
+            != Some(self.options.incarnation.instance.as_str())
+        {
             return;
         }
         let parts = ledger.checkpoint();
--- a/crates/fireflywheel/src/node/claims.rs
+++ b/crates/fireflywheel/src/node/claims.rs
@@ -205,7 +205,7 @@
             }
         }
         let is_own = match self.claim_status(key) {
-            Status::Open(claim) => claim.by == self.options.me,
+            Status::Open(claim) => claim.by == self.options.incarnation,
             Status::Free | Status::Closed(..) => false,
         };
         if let Some(outcome) = outcome.filter(|_| held && is_own) {
@@ -347,7 +347,7 @@
         let keys: Vec<claim::Key> = self.claims.keys().cloned().collect();
         for key in keys {
             match self.claim_status(&key) {
-                Status::Open(claim) if claim.by == self.options.me => {
+                Status::Open(claim) if claim.by == self.options.incarnation => {
                     let claimant = self.claims.get_mut(&key).and_then(|w| w.claimant.take());
                     if claimant.is_some() {
                         self.run_claimed(now, &key, claimant, out);
--- a/crates/fireflywheel/src/node/limits.rs
+++ b/crates/fireflywheel/src/node/limits.rs
@@ -233,7 +233,7 @@
 
     fn home(&self, name: &Name) -> Option<SmolStr> {
         let alive = self.membership.alive().map(SmolStr::as_str);
-        rendezvous::first(&name.to_text(), alive).map(SmolStr::new)
+        rendezvous::select(&name.to_text(), alive).map(SmolStr::new)
     }
 
     /// Requests credits from the limit's home for the requests in progress and waiting, with some headroom.
@@ -306,7 +306,7 @@
         let Some(name) = Name::parse(limit) else {
             return;
         };
-        if self.home(&name).as_ref() != Some(&self.options.me.instance) {
+        if self.home(&name).as_ref() != Some(&self.options.incarnation.instance) {
             return;
         }
         let amount = self.split(&name).lent;
@@ -399,7 +399,7 @@
     pub(super) fn remove_moved_lenders(&mut self) {
         let homes: Vec<Name> = self.limits.lenders.keys().cloned().collect();
         for name in homes {
-            if self.home(&name).as_ref() != Some(&self.options.me.instance) {
+            if self.home(&name).as_ref() != Some(&self.options.incarnation.instance) {
                 self.limits.lenders.remove(&name);
             }
         }
--- a/crates/fireflywheel/src/node/mod.rs
+++ b/crates/fireflywheel/src/node/mod.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The instance name and incarnation of this process.
-    pub me: record::Incarnation,
+    pub incarnation: record::Incarnation,
     /// The address at which peers reach this instance.
     pub address: SmolStr,
     /// The failure domain of this instance.
@@ -86,7 +86,7 @@
     /// Time after which a planned stop ends even if requests are still in progress.
     pub drain_limit: Duration,
     /// Time for which a backend server has to be absent from the platform's list until it counts as gone.
-    pub gone_after: Duration,
+    pub absence_timeout: Duration,
     /// Number of records between checkpoints.
     pub checkpoint_records: u64,
     /// Maximum time between checkpoints.
@@ -98,13 +98,13 @@
     #[must_use]
     pub fn new(
         settings: &settings::Settings,
-        me: record::Incarnation,
+        incarnation: record::Incarnation,
         address: SmolStr,
         seed: u64,
     ) -> Self {
         let timing = &settings.timing;
         Self {
-            me,
+            incarnation,
             address,
             failure_domain: settings.instance.failure_domain.clone(),
             seeds: settings
@@ -120,7 +120,7 @@
                 dead_timeout: timing.dead_timeout,
                 drain_delay: timing.drain_delay,
                 drain_limit: timing.drain_limit,
-                gone_after: timing.gone_after,
+                absence_timeout: timing.absence_timeout,
                 checkpoint_records: timing.checkpoint_records,
                 checkpoint_interval: timing.checkpoint_interval,
             },
@@ -192,14 +192,14 @@
             ..membership::Options::default()
         };
         let membership = membership::Membership::new(
-            options.me.clone(),
+            options.incarnation.clone(),
             options.address.clone(),
             options.failure_domain.clone(),
             membership_options,
         );
         Self {
             random_state: options.seed,
-            log: platform::Log::new(options.me.clone()),
+            log: platform::Log::new(options.incarnation.clone()),
             config: Config::default(),
             membership,
             peers: BTreeMap::new(),
@@ -350,13 +350,13 @@
         let stewards = ledger.into_iter().flat_map(ledger::Ledger::stewards);
         let rights = ledger.into_iter().flat_map(ledger::Ledger::rights);
         status::Status {
-            instance: self.options.me.instance.clone(),
-            incarnation: self.options.me.number,
+            instance: self.options.incarnation.instance.clone(),
+            incarnation: self.options.incarnation.number,
             ready: ready.is_ok(),
             reason: ready.err().unwrap_or_default(),
             version: self.config.version,
             log: status::Log {
-                reading: self.log.readable,
+                readable: self.log.readable,
                 next: self.log.next(),
             },
             stewards: stewards
--- a/crates/fireflywheel/src/node/peers.rs
+++ b/crates/fireflywheel/src/node/peers.rs
@@ -94,7 +94,7 @@
         let stewards = used.into_iter().filter_map(|group| ledger?.steward(group));
         let stewards = stewards.map(|steward| steward.by.instance.clone());
         let homes = self.homes_in_use();
-        let me = &self.options.me.instance;
+        let me = &self.options.incarnation.instance;
         let wanted: BTreeSet<SmolStr> = stewards.chain(homes).filter(|name| name != me).collect();
         if wanted != self.wanted_links {
             self.membership.set_wanted_links(wanted.iter().cloned());
@@ -410,8 +410,8 @@
     /// Returns whether a process is considered dead or was replaced by a later process of the same
     /// instance.
     pub(super) fn has_ended(&self, by: &record::Incarnation) -> bool {
-        if by.instance == self.options.me.instance {
-            return by.number != self.options.me.number;
+        if by.instance == self.options.incarnation.instance {
+            return by.number != self.options.incarnation.number;
         }
         let mut members = self.membership.members();
         let Some(member) = members.find(|member| member.by.instance == by.instance) else {
--- a/crates/fireflywheel/src/node/platform.rs
+++ b/crates/fireflywheel/src/node/platform.rs
@@ -78,7 +78,7 @@
 
     /// Describes what the bootstrap of the ledger waits for, in a sentence.
     pub fn waiting_for(&self) -> String {
-        self.bootstrap.waiting().to_string()
+        self.bootstrap.status().to_string()
     }
 }
 
@@ -219,7 +219,7 @@
         decision: &ledger::Decision,
         out: &mut Vec<effect::Effect>,
     ) {
-        let is_own = folded.id.by == self.options.me;
+        let is_own = folded.id.by == self.options.incarnation;
         match entry {
             record::Entry::Steward { group, .. } => {
                 self.handle_steward_decision(now, group, is_own, decision, out);
--- a/crates/fireflywheel/src/node/servers.rs
+++ b/crates/fireflywheel/src/node/servers.rs
@@ -97,7 +97,7 @@
                 .iter()
                 .filter(|(address, server)| {
                     let absent = server.absent_since.map(|since| now.since(since));
-                    absent.is_some_and(|absent| absent >= 2 * self.options.timing.gone_after)
+                    absent.is_some_and(|absent| absent >= 2 * self.options.timing.absence_timeout)
                         && !has_rights(address)
                 })
                 .map(|(address, _)| address.clone())
--- a/crates/fireflywheel/src/node/stewards.rs
+++ b/crates/fireflywheel/src/node/stewards.rs
@@ -36,7 +36,7 @@
 struct SentOrder {
     group: SmolStr,
     epoch: u64,
-    sending: u32,
+    attempt: u32,
 }
 
 impl Stewards {
@@ -128,8 +128,8 @@
     fn epoch_to_claim(&mut self, now: clock::Instant, group: &SmolStr) -> Option<u64> {
         let alive = self.membership.alive().map(SmolStr::as_str);
         let candidates = alive.filter(|name| !self.has_lost_log(now, name));
-        let first = rendezvous::first(group, candidates)?;
-        if first != self.options.me.instance.as_str() {
+        let first = rendezvous::select(group, candidates)?;
+        if first != self.options.incarnation.instance.as_str() {
             return None;
         }
         let ledger = self.log.ledger.as_ref()?;
@@ -137,7 +137,7 @@
             return Some(1);
         };
         let epoch = holder.epoch + 1;
-        if holder.by == self.options.me {
+        if holder.by == self.options.incarnation {
             return None;
         }
         let is_free = self.has_ended(&holder.by)
@@ -182,7 +182,7 @@
         let Some(holder) = ledger.steward(group) else {
             return;
         };
-        if holder.by == self.options.me {
+        if holder.by == self.options.incarnation {
             let steward = steward::Steward::new(now, group.clone(), holder.epoch);
             self.stewards.active.insert(group.clone(), steward);
         }
@@ -194,7 +194,7 @@
         let Some(ledger) = &self.log.ledger else {
             return;
         };
-        let me = &self.options.me;
+        let me = &self.options.incarnation;
         let lost: Vec<SmolStr> = self
             .stewards
             .active
@@ -211,7 +211,7 @@
             };
             let retired = steward.into_retired();
             let acknowledgement = retired.acknowledgement();
-            if !retired.is_over() {
+            if !retired.is_answered() {
                 self.stewards.retired.push(retired);
             }
             self.append_entry(acknowledgement, out);
@@ -252,7 +252,7 @@
             ledger,
             servers: &servers.servers,
             log_readable: self.log.is_usable(now),
-            gone_after: self.options.timing.gone_after,
+            absence_timeout: self.options.timing.absence_timeout,
         };
         let mut actions = Vec::new();
         act(steward, &view, &mut actions);
@@ -272,10 +272,10 @@
                     self.append_entry(entry, out);
                 }
                 steward::Action::SendOrder {
-                    sending,
+                    attempt,
                     server,
                     command,
-                } => self.send_order(group, sending, server, command, out),
+                } => self.send_order(group, attempt, server, command, out),
                 steward::Action::SendFrame { to, frame } => self.send_frame(now, to, frame, out),
             }
         }
@@ -284,7 +284,7 @@
     fn send_order(
         &mut self,
         group: &SmolStr,
-        sending: u32,
+        attempt: u32,
         server: SmolStr,
         command: order::Command,
         out: &mut Vec<effect::Effect>,
@@ -299,7 +299,7 @@
         let sent = SentOrder {
             group: group.clone(),
             epoch,
-            sending,
+            attempt,
         };
         self.stewards.order_attempts.insert(attempt_id, sent);
         out.push(effect::Effect::Order {
@@ -317,11 +317,11 @@
         frame: wire::Frame,
         out: &mut Vec<effect::Effect>,
     ) {
-        if to != self.options.me.instance {
+        if to != self.options.incarnation.instance {
             out.push(effect::Effect::Send { to, frame });
             return;
         }
-        let me = self.options.me.clone();
+        let me = self.options.incarnation.clone();
         self.handle_frame(now, &me, frame, out);
     }
 
@@ -341,7 +341,7 @@
             return self.handle_late_order_answer(&sent, answer, out);
         }
         self.with_steward(now, &sent.group, out, |steward, view, actions| {
-            steward.answered(view, sent.sending, answer, actions);
+            steward.handle_answer(view, sent.attempt, answer, actions);
         });
         self.append_next_batch(now, out);
     }
@@ -356,11 +356,13 @@
         let epoch =
             retired.find(|retired| retired.group == sent.group && retired.epoch == sent.epoch);
         let Some(epoch) = epoch else { return };
-        if epoch.answered(sent.sending, answer) {
+        if epoch.handle_answer(sent.attempt, answer) {
             let acknowledgement = epoch.acknowledgement();
             self.append_entry(acknowledgement, out);
         }
-        self.stewards.retired.retain(|retired| !retired.is_over());
+        self.stewards
+            .retired
+            .retain(|retired| !retired.is_answered());
     }
 
     /// Handles an instance's request for replicas if this instance is the steward of the group.
--- a/crates/fireflywheel/src/node/stop.rs
+++ b/crates/fireflywheel/src/node/stop.rs
@@ -84,7 +84,7 @@
         let others = self
             .membership
             .alive()
-            .any(|name| *name != self.options.me.instance);
+            .any(|name| *name != self.options.incarnation.instance);
         let groups_free = !self.stewards.holds_any() || !others;
         groups_free && self.log.is_written()
     }
--- a/crates/fireflywheel/src/placement/mod.rs
+++ b/crates/fireflywheel/src/placement/mod.rs
@@ -66,7 +66,7 @@
     /// The memory that the replica uses, in MB.
     pub memory_mb: u64,
     /// The time that it would take to load the replica again.
-    pub load: Duration,
+    pub load_time: Duration,
     /// The request rate of the replica's item.
     pub rate: Rate,
     /// Since when the replica has had no request in progress or waiting; `None` while it has one.
@@ -81,7 +81,7 @@
     /// The memory that no right holds, in MB.
     pub free_mb: u64,
     /// Whether the server already holds the item, or was ordered to load it.
-    pub holds: bool,
+    pub has_item: bool,
     /// The nearest checkpoint of the item for this server.
     pub source: Source,
     /// The number of loads in progress on the server.
@@ -122,7 +122,7 @@
     /// The number of waiting callers.
     pub waiting: u32,
     /// The expected load time.
-    pub load: Duration,
+    pub load_time: Duration,
 }
 
 /// A placement policy with its settings.
@@ -198,7 +198,7 @@
         if let Rule::OnDemand(idle) = self.rule {
             return now.since(since) >= idle;
         }
-        let Some(break_even_time) = self.break_even_time(replica.load) else {
+        let Some(break_even_time) = self.break_even_time(replica.load_time) else {
             return false;
         };
         let break_even_time = break_even_time.as_secs_f64();
@@ -221,7 +221,7 @@
         }
         let gigabytes = replica.memory_mb.max(1) as f64 / MB_PER_GB;
         let arrivals = replica.rate.expected_per_second(now) * SECONDS_PER_HOUR;
-        arrivals * replica.load.as_secs_f64() / gigabytes
+        arrivals * replica.load_time.as_secs_f64() / gigabytes
     }
 
     /// Returns the idle replicas in the order of their eviction: the one that saves least goes first.
@@ -252,7 +252,7 @@
     {
         candidates
             .iter()
-            .filter(|candidate| !candidate.holds && candidate.free_mb >= memory_mb)
+            .filter(|candidate| !candidate.has_item && candidate.free_mb >= memory_mb)
             .min_by_key(|candidate| {
                 (
                     candidate.source,
@@ -287,7 +287,7 @@
     /// Returns the cost of a load that takes `load` and requires an eviction with this `loss`. The server with the
     /// smallest cost is the best one. The baselines ignore where checkpoints are stored once they must make room.
     #[must_use]
-    pub fn cost(&self, load: Duration, waiting: u32, loss: f64) -> f64 {
+    pub fn load_cost(&self, load: Duration, waiting: u32, loss: f64) -> f64 {
         match self.rule {
             Rule::CostAware => load.as_secs_f64() * f64::from(waiting.max(1)) + loss,
             Rule::LeastRecentlyUsed | Rule::OnDemand(_) => loss,
@@ -307,10 +307,10 @@
         let mut order: Vec<_> = items
             .iter()
             .map(|item| {
-                let is_late = now.after(item.load) > item.deadline;
+                let is_late = now.after(item.load_time) > item.deadline;
                 let latest_start = item
                     .deadline
-                    .since(clock::Instant::default().after(item.load));
+                    .since(clock::Instant::default().after(item.load_time));
                 let bucket = latest_start.as_millis() / DEADLINE_BUCKET.as_millis();
                 (is_late, bucket, Reverse(item.waiting), item.key)
             })
@@ -364,7 +364,7 @@
         let losses = victims.iter().map(|replica| match self.rule {
             Rule::CostAware => {
                 let uses = replica.rate.expected_per_second(now) * LOSS_HORIZON_SECONDS;
-                replica.load.as_secs_f64() * uses
+                replica.load_time.as_secs_f64() * uses
             }
             Rule::LeastRecentlyUsed | Rule::OnDemand(_) => self.savings(now, replica),
         });
--- a/crates/fireflywheel/src/queue/mod.rs
+++ b/crates/fireflywheel/src/queue/mod.rs
@@ -185,7 +185,7 @@
 
     /// Returns how many waiting requests, of all tenants, have an earlier deadline.
     #[must_use]
-    pub fn ahead_of(&self, deadline: clock::Instant) -> usize {
+    pub fn count_ahead(&self, deadline: clock::Instant) -> usize {
         self.deadlines.count_below(deadline.0)
     }
 
@@ -196,7 +196,7 @@
     /// Counting all waiting requests instead would refuse one tenant because of another tenant's burst, although
     /// fair queueing serves the tenant alongside the burst. Takes time linear in the number of waiting tenants.
     #[must_use]
-    pub fn turns_before(&self, tenant: &str, share: u32, deadline: clock::Instant) -> usize {
+    pub fn requests_before(&self, tenant: &str, share: u32, deadline: clock::Instant) -> usize {
         let own = self.tenants.get(tenant);
         let own = own.map_or(0, |queue| queue.deadlines.count_below(deadline.0 + 1));
         let rounds = own as u64 + 1;
--- a/crates/fireflywheel/src/rendezvous.rs
+++ b/crates/fireflywheel/src/rendezvous.rs
@@ -15,7 +15,7 @@
 
 /// Returns the member that wins `key`; among equal weights the first by name wins.
 #[must_use]
-pub fn first<'a, I>(key: &str, members: I) -> Option<&'a str>
+pub fn select<'a, I>(key: &str, members: I) -> Option<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
 {
--- a/crates/fireflywheel/src/retry_budget.rs
+++ b/crates/fireflywheel/src/retry_budget.rs
@@ -65,11 +65,11 @@
     #[must_use]
     pub fn try_retry(&mut self, now: clock::Instant) -> bool {
         self.refill(now);
-        self.bucket.take()
+        self.bucket.try_take()
     }
 
     fn refill(&mut self, now: clock::Instant) {
         let floor = self.options.floor_per_second / self.instances as f64;
-        self.bucket.fill(now, floor);
+        self.bucket.refill(now, floor);
     }
 }
--- a/crates/fireflywheel/src/routing/backend.rs
+++ b/crates/fireflywheel/src/routing/backend.rs
@@ -26,7 +26,7 @@
     /// The newest report of the server.
     pub report: Option<Report>,
     /// Whether the server itself or the platform's list of servers announced that it is leaving.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// The number of requests that the server runs at once.
     pub(super) slots: u32,
     /// The number of other routers' requests, according to the newest report.
@@ -52,7 +52,7 @@
             failure_domain,
             in_flight: 0,
             report: None,
-            leaving: false,
+            is_leaving: false,
             slots,
             external_requests: 0,
             history: VecDeque::new(),
@@ -65,7 +65,7 @@
     /// Returns whether the server may get another request.
     pub(super) fn has_capacity(&self, now: clock::Instant, options: &Options) -> bool {
         let is_backed_off = self.failures > 0 && now < self.available_from;
-        if self.leaving || is_backed_off {
+        if self.is_leaving || is_backed_off {
             return false;
         }
         // The reported load decays to zero here and not to the mean: if all servers reported that they are full
--- a/crates/fireflywheel/src/routing/mod.rs
+++ b/crates/fireflywheel/src/routing/mod.rs
@@ -184,9 +184,9 @@
     }
 
     /// Sets or clears the mark that a server is leaving.
-    pub fn set_leaving(&mut self, key: server::Key, leaving: bool) {
+    pub fn set_leaving(&mut self, key: server::Key, is_leaving: bool) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.leaving = leaving;
+            server.is_leaving = is_leaving;
         }
     }
 
--- a/crates/fireflywheel/src/settings/mod.rs
+++ b/crates/fireflywheel/src/settings/mod.rs
@@ -126,7 +126,7 @@
     pub checkpoint_interval: Duration,
     /// `gone_after_s`: time after which a backend server that is missing from the list is considered gone
     /// permanently.
-    pub gone_after: Duration,
+    pub absence_timeout: Duration,
 }
 
 /// Settings of the log output.
@@ -244,7 +244,7 @@
             log_wait: Duration::from_secs(2),
             checkpoint_records: 5000,
             checkpoint_interval: Duration::from_secs(60),
-            gone_after: Duration::from_secs(30),
+            absence_timeout: Duration::from_secs(30),
         }
     }
 }
--- a/crates/fireflywheel/src/settings/parse.rs
+++ b/crates/fireflywheel/src/settings/parse.rs
@@ -28,7 +28,7 @@
 
 const PATH_RULE: &str = "the path of a file";
 
-const LEVELS: [field::Word<log::LevelFilter>; 5] = [
+const LEVELS: [field::Keyword<log::LevelFilter>; 5] = [
     ("error", log::LevelFilter::Error),
     ("warn", log::LevelFilter::Warn),
     ("info", log::LevelFilter::Info),
@@ -36,7 +36,7 @@
     ("trace", log::LevelFilter::Trace),
 ];
 
-const FORMATS: [field::Word<Format>; 2] = [("text", Format::Text), ("json", Format::Json)];
+const FORMATS: [field::Keyword<Format>; 2] = [("text", Format::Text), ("json", Format::Json)];
 
 const SECTIONS: [&str; 7] = [
     "instance", "listen", "platform", "peers", "limits", "timing", "log",
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// All faults, in the order of lines; see [`fault::LIMIT`].
+    /// All faults, in the order of lines; see [`fault::MAX_FAULTS`].
     pub fn parse(text: &str) -> Result<Self, Vec<fault::Fault>> {
         let mut faults = fault::List::default();
         let sections = ini_text::read(text, MAX_BYTES, &mut faults)?;
@@ -85,7 +85,7 @@
         name: reader.name("name"),
         failure_domain: reader.name("failure_domain"),
         region: reader
-            .optional("region", field::NAME_RULE, field::name)
+            .optional("region", field::NAME_RULE, field::parse_name)
             .unwrap_or(SmolStr::new_static("default")),
     };
     reader.finish();
@@ -145,7 +145,7 @@
     let peers = Peers {
         key_file: reader.required("key_file", PATH_RULE, PathBuf::new(), parse_path),
         seeds: reader
-            .optional_list("seeds", "addresses `IP:PORT` between commas", field::parsed)
+            .optional_list("seeds", "addresses `IP:PORT` between commas", field::parse)
             .unwrap_or_default(),
     };
     reader.finish();
@@ -157,22 +157,22 @@
     let default = Limits::default();
     let limits = Limits {
         connections: reader
-            .optional_whole("connections", CONNECTIONS_RANGE)
+            .optional_integer("connections", CONNECTIONS_RANGE)
             .unwrap_or(default.connections),
         header_bytes: reader
-            .optional_whole("header_bytes", HEADER_BYTES_RANGE)
+            .optional_integer("header_bytes", HEADER_BYTES_RANGE)
             .unwrap_or(default.header_bytes),
         body_bytes: reader
-            .optional_whole("body_bytes", BODY_BYTES_RANGE)
+            .optional_integer("body_bytes", BODY_BYTES_RANGE)
             .unwrap_or(default.body_bytes),
         idle: reader
             .optional_millis("idle_ms", INTERVAL_MS_RANGE)
             .unwrap_or(default.idle),
         stream_buffer_bytes: reader
-            .optional_whole("stream_buffer_bytes", STREAM_BUFFER_BYTES_RANGE)
+            .optional_integer("stream_buffer_bytes", STREAM_BUFFER_BYTES_RANGE)
             .unwrap_or(default.stream_buffer_bytes),
         queue: reader
-            .optional_whole("queue", QUEUE_RANGE)
+            .optional_integer("queue", QUEUE_RANGE)
             .unwrap_or(default.queue),
     };
     reader.finish();
@@ -195,14 +195,14 @@
         ..default
     };
     timing.checkpoint_records = reader
-        .optional_whole("checkpoint_records", CHECKPOINT_RECORDS_RANGE)
+        .optional_integer("checkpoint_records", CHECKPOINT_RECORDS_RANGE)
         .unwrap_or(default.checkpoint_records);
     timing.checkpoint_interval = reader
         .optional_seconds("checkpoint_s", CHECKPOINT_S_RANGE)
         .unwrap_or(default.checkpoint_interval);
-    timing.gone_after = reader
+    timing.absence_timeout = reader
         .optional_seconds("gone_after_s", GONE_AFTER_S_RANGE)
-        .unwrap_or(default.gone_after);
+        .unwrap_or(default.absence_timeout);
     check_timing(&timing, &mut reader);
     reader.finish();
     timing
@@ -225,10 +225,10 @@
     let default = Log::default();
     let log = Log {
         level: reader
-            .optional_word("level", &LEVELS)
+            .optional_keyword("level", &LEVELS)
             .unwrap_or(default.level),
         format: reader
-            .optional_word("format", &FORMATS)
+            .optional_keyword("format", &FORMATS)
             .unwrap_or(default.format),
         file: reader.optional("file", PATH_RULE, parse_path),
     };
@@ -248,5 +248,5 @@
     {
         return reader.required(key, field::HTTPS_RULE, SmolStr::default(), |_| None);
     }
-    reader.required(key, field::URL_RULE, SmolStr::default(), field::url)
+    reader.required(key, field::URL_RULE, SmolStr::default(), field::parse_url)
 }
--- a/crates/fireflywheel/src/status.rs
+++ b/crates/fireflywheel/src/status.rs
@@ -39,7 +39,8 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Log {
     /// Whether the last read of the log succeeded.
-    pub reading: bool,
+    #[serde(rename = "reading")]
+    pub readable: bool,
     /// The first offset that the instance has not folded.
     pub next: u64,
 }
--- a/crates/fireflywheel/src/steward/in_flight.rs
+++ b/crates/fireflywheel/src/steward/in_flight.rs
@@ -57,11 +57,11 @@
 
 impl Retired {
     /// Handles a late answer to an order, and returns whether it resolves a doubt about that order.
-    pub fn answered(&mut self, sending: u32, answer: &order::Answer) -> bool {
+    pub fn handle_answer(&mut self, attempt: u32, answer: &order::Answer) -> bool {
         let Some(index) = self
             .awaiting_answer
             .iter()
-            .position(|(attempt, _)| *attempt == sending)
+            .position(|(sent, _)| *sent == attempt)
         else {
             return false;
         };
@@ -75,7 +75,7 @@
 
     /// Whether no order awaits an answer any more.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_answered(&self) -> bool {
         self.awaiting_answer.is_empty()
     }
 
@@ -184,22 +184,22 @@
             fencing: (self.epoch << 32) | u64::from(self.attempt),
         };
         out.push(Action::SendOrder {
-            sending: self.attempt,
+            attempt: self.attempt,
             server: order.placement.server.clone(),
             command,
         });
     }
 
     /// Handles the answer to an attempt to send an order.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         view: &View<'_>,
-        sending: u32,
+        attempt: u32,
         answer: &order::Answer,
         out: &mut Vec<Action>,
     ) {
         let mut orders = self.in_flight.iter();
-        let found = orders.find(|(_, order)| order.state == State::Sent(sending));
+        let found = orders.find(|(_, order)| order.state == State::Sent(attempt));
         let Some((&id, _)) = found else { return };
         match answer {
             order::Answer::Done(loaded) => self.close(view, id, Some(loaded), out),
--- a/crates/fireflywheel/src/steward/mod.rs
+++ b/crates/fireflywheel/src/steward/mod.rs
@@ -41,7 +41,7 @@
 impl Server {
     /// Whether new replicas may be placed on the server.
     #[must_use]
-    pub fn takes_replicas(&self) -> bool {
+    pub fn accepts_replicas(&self) -> bool {
         !self.leaving && self.absent_since.is_none()
     }
 }
@@ -58,7 +58,7 @@
     /// Whether the log can be read at present; without it, no new intent can come into force.
     pub log_readable: bool,
     /// How long a backend server must be absent from the list before it counts as gone.
-    pub gone_after: std::time::Duration,
+    pub absence_timeout: std::time::Duration,
 }
 
 impl View<'_> {
@@ -91,7 +91,7 @@
     /// Send this order, and report its answer under the same attempt number.
     SendOrder {
         /// The attempt number: the low half of the fencing number.
-        sending: u32,
+        attempt: u32,
         /// The engine's address.
         server: SmolStr,
         /// The order.
--- a/crates/fireflywheel/src/steward/plan/mod.rs
+++ b/crates/fireflywheel/src/steward/plan/mod.rs
@@ -82,7 +82,7 @@
                 key: index,
                 deadline: want.deadline,
                 waiting: want.callers,
-                load: model.map_or(Duration::ZERO, |model| model.load),
+                load_time: model.map_or(Duration::ZERO, |model| model.load),
             }
         });
         let cold_items: Vec<_> = cold_items.collect();
@@ -178,7 +178,7 @@
         placement::Replica {
             key,
             memory_mb: right.memory_mb,
-            load: model
+            load_time: model
                 .map_or(Duration::ZERO, |model| model.load)
                 .mul_f64(self.source(view, &key.server, &key.item).load_time_ratio()),
             rate: usage
@@ -318,13 +318,13 @@
         }
         let servers = view.servers.iter();
         let available =
-            servers.filter(|(address, server)| server.takes_replicas() && !holds(address));
+            servers.filter(|(address, server)| server.accepts_replicas() && !holds(address));
         available.map(|(address, _)| address.clone()).collect()
     }
 
     pub(super) fn is_usable(&self, view: &View<'_>, key: &right::Key) -> bool {
         let server = view.servers.get(&key.server);
-        server.is_some_and(Server::takes_replicas)
+        server.is_some_and(Server::accepts_replicas)
     }
 
     /// The memory of a backend server, in MB, that no right and no proposed load takes.
--- a/crates/fireflywheel/src/steward/plan/server_choice.rs
+++ b/crates/fireflywheel/src/steward/plan/server_choice.rs
@@ -85,7 +85,7 @@
             .load
             .mul_f64(candidates.first()?.source.load_time_ratio());
         if let Some(server) = policy.choose_server(memory_mb, candidates) {
-            let cost = policy.cost(load, want.callers, 0.0);
+            let cost = policy.load_cost(load, want.callers, 0.0);
             return Some((cost, Step::Load(server.clone())));
         }
         let servers: Vec<_> = candidates
@@ -93,7 +93,7 @@
             .map(|candidate| self.server_replicas(view, &want.item, candidate.key))
             .collect();
         let eviction = policy.plan_eviction(view.now, memory_mb, &servers)?;
-        let cost = policy.cost(load, want.callers, eviction.loss);
+        let cost = policy.load_cost(load, want.callers, eviction.loss);
         if eviction.victims.is_empty() {
             return Some((cost, Step::NoAction));
         }
@@ -117,7 +117,7 @@
         placement::Candidate {
             key: server,
             free_mb: self.free_mb(view, server),
-            holds: false,
+            has_item: false,
             source: self.source(view, server, wanted),
             loading: u32::try_from(loading.count()).unwrap_or(u32::MAX),
             running: report.map_or(0, |(_, report)| report.running),
--- a/crates/fireflywheel/src/steward/surplus.rs
+++ b/crates/fireflywheel/src/steward/surplus.rs
@@ -191,7 +191,7 @@
     }
 
     /// Releases the replicas of backend servers that have been absent from the platform's list for
-    /// [`View::gone_after`]. Rights that changed after the server was last listed are kept at first, since they
+    /// [`View::absence_timeout`]. Rights that changed after the server was last listed are kept at first, since they
     /// may be about a new process at the address; they are released when the server has been absent for the
     /// same time again.
     pub(super) fn release_gone_servers(&mut self, view: &View<'_>, out: &mut Vec<Action>) {
@@ -202,7 +202,7 @@
             };
             let last = self.released_servers.get(address).copied();
             let (since, seen) = last.unwrap_or((absent_since, server.absent_offset));
-            if view.now.since(since) < view.gone_after || self.awaits_answer(address) {
+            if view.now.since(since) < view.absence_timeout || self.awaits_answer(address) {
                 // An order that is still on its way might reach the next process at the address after the right
                 // was removed.
                 continue;
--- a/crates/fireflywheel/tests/admission.rs
+++ b/crates/fireflywheel/tests/admission.rs
@@ -164,7 +164,7 @@
                     .iter()
                     .filter(|(other, _)| *other < deadline)
                     .count();
-                assert_eq!(fixture.queue.ahead_of(clock::Instant(deadline)), ahead);
+                assert_eq!(fixture.queue.count_ahead(clock::Instant(deadline)), ahead);
                 assert_eq!(fixture.queue.len(), expected.len());
             }
             Ok(())
--- a/crates/fireflywheel/tests/document.rs
+++ b/crates/fireflywheel/tests/document.rs
@@ -235,7 +235,7 @@
 fn excess_faults_are_counted() {
     let text = format!("{BASE}{}", "x\n".repeat(5000));
     let faults = document::Document::parse(&text).unwrap_err();
-    assert_eq!(faults.len(), fault::LIMIT + 1);
+    assert_eq!(faults.len(), fault::MAX_FAULTS + 1);
     let last = faults.last().unwrap().to_string();
     assert!(last.ends_with("4000 more faults are not shown"), "{last}");
 }
@@ -361,7 +361,7 @@
 
 fn check_faults(text: &str, faults: &[fault::Fault], seed: u64) {
     let last = text.lines().count().max(1);
-    assert!(!faults.is_empty() && faults.len() <= fault::LIMIT + 1);
+    assert!(!faults.is_empty() && faults.len() <= fault::MAX_FAULTS + 1);
     for fault in faults {
         assert!(
             (1..=last).contains(&fault.line),
--- a/crates/fireflywheel/tests/ledger/checkpoints.rs
+++ b/crates/fireflywheel/tests/ledger/checkpoints.rs
@@ -176,8 +176,8 @@
             let Some(mut ledger) = ledger else {
                 let first = first as u64;
                 assert_eq!(
-                    bootstrap.waiting(),
-                    bootstrap::Waiting::NoCheckpoint { first }
+                    bootstrap.status(),
+                    bootstrap::Status::NoCheckpoint { first }
                 );
                 waiting += 1;
                 continue;
@@ -235,7 +235,7 @@
 fn bootstrap_from_a_peer_needs_no_log() {
     let ledger = large_ledger();
     let mut bootstrap = bootstrap::Bootstrap::new();
-    assert_eq!(bootstrap.waiting(), bootstrap::Waiting::NoResponse);
+    assert_eq!(bootstrap.status(), bootstrap::Status::NoResponse);
     for part in ledger.checkpoint() {
         assert_eq!(bootstrap.build_ledger(), Ok(None));
         bootstrap.add_part(part);
--- a/crates/fireflywheel/tests/placement.rs
+++ b/crates/fireflywheel/tests/placement.rs
@@ -26,7 +26,7 @@
     placement::Replica {
         key,
         memory_mb: 10_000,
-        load: LOAD_TIME,
+        load_time: LOAD_TIME,
         rate,
         idle_since: Some(at(idle_since)),
     }
@@ -94,7 +94,7 @@
     let mut large = replica(3, rate([0, 100, 200]), 200);
     large.memory_mb *= 4;
     let mut slow = replica(4, rate([0, 100, 200]), 200);
-    slow.load *= 4;
+    slow.load_time *= 4;
     assert_eq!(
         policy.eviction_order(at(201), &[frequent, infrequent, large, slow]),
         [3, 2, 4, 1]
@@ -141,7 +141,7 @@
     let candidate = |key, source, loading, free_mb| placement::Candidate {
         key,
         free_mb,
-        holds: false,
+        has_item: false,
         source,
         loading,
         running: 0,
@@ -152,7 +152,7 @@
     let tight = candidate(4, placement::Source::Memory, 0, 20_000);
     let full = candidate(5, placement::Source::Memory, 0, 9_999);
     let mut server_with_item = candidate(6, placement::Source::Memory, 0, 20_000);
-    server_with_item.holds = true;
+    server_with_item.has_item = true;
     let all = [disk, busy, wide, tight, full, server_with_item];
     assert_eq!(policy.choose_server(10_000, &all), Some(4));
     assert_eq!(policy.choose_server(10_000, &all[..3]), Some(3));
@@ -169,7 +169,7 @@
         key,
         deadline: at(deadline),
         waiting,
-        load: LOAD_TIME,
+        load_time: LOAD_TIME,
     };
     let items = [
         item(1, 60, 1),
--- a/crates/fireflywheel/tests/policy/fleet.rs
+++ b/crates/fireflywheel/tests/policy/fleet.rs
@@ -390,13 +390,13 @@
         match event {
             Event::Arrive(call) => self.handle_arrival(call),
             Event::Fold(sequence, by, entries) => self.handle_read_back(sequence, by, entries),
-            Event::Order(epoch, sending, server, command) => {
-                self.handle_order(epoch, sending, server, &command);
+            Event::Order(epoch, attempt, server, command) => {
+                self.handle_order(epoch, attempt, server, &command);
             }
-            Event::WorkDone(epoch, sending, server, work) => {
-                self.handle_done(epoch, sending, server, work);
+            Event::WorkDone(epoch, attempt, server, work) => {
+                self.handle_done(epoch, attempt, server, work);
             }
-            Event::Answer(epoch, sending, answer) => self.handle_answer(epoch, sending, &answer),
+            Event::Answer(epoch, attempt, answer) => self.handle_answer(epoch, attempt, &answer),
             Event::SendWant(item, router) => self.send_want(&item, router),
             Event::DispatchWaiting(item) => self.dispatch_waiting(&item),
             Event::Served { call, server, boot } => self.handle_served(call, &server, boot),
@@ -419,7 +419,7 @@
             ledger: &self.ledger,
             servers: &self.servers,
             log_readable: true,
-            gone_after: GONE_TIMEOUT,
+            absence_timeout: GONE_TIMEOUT,
         };
         let mut actions = Vec::new();
         update(steward, &view, &mut actions);
@@ -437,12 +437,12 @@
             match action {
                 steward::Action::Append(entry) => entries.push(entry),
                 steward::Action::SendOrder {
-                    sending,
+                    attempt,
                     server,
                     command,
                 } => self.schedule(
                     NETWORK_DELAY_MS,
-                    Event::Order(epoch, sending, server, command),
+                    Event::Order(epoch, attempt, server, command),
                 ),
                 steward::Action::SendFrame { frame, .. } => self.handle_frame(frame),
             }
@@ -642,7 +642,7 @@
     fn handle_order(
         &mut self,
         epoch: u64,
-        sending: u32,
+        attempt: u32,
         server: SmolStr,
         command: &order::Command,
     ) {
@@ -651,7 +651,7 @@
         let Some(engine) = self.engines.get_mut(&server).filter(|_| !is_absent) else {
             return self.schedule(
                 NETWORK_DELAY_MS,
-                Event::Answer(epoch, sending, order::Answer::Unsent),
+                Event::Answer(epoch, attempt, order::Answer::Unsent),
             );
         };
         if engine.begins_load(command) {
@@ -660,33 +660,33 @@
         }
         match engine.take(command, 1.0) {
             engine::Taken::Now(answer) => {
-                self.schedule(NETWORK_DELAY_MS, Event::Answer(epoch, sending, answer));
+                self.schedule(NETWORK_DELAY_MS, Event::Answer(epoch, attempt, answer));
             }
             engine::Taken::Work { work, wait_ms } => {
-                self.schedule(wait_ms, Event::WorkDone(epoch, sending, server, work));
+                self.schedule(wait_ms, Event::WorkDone(epoch, attempt, server, work));
             }
         }
     }
 
-    fn handle_done(&mut self, epoch: u64, sending: u32, server: SmolStr, work: u64) {
+    fn handle_done(&mut self, epoch: u64, attempt: u32, server: SmolStr, work: u64) {
         let Some(engine) = self.engines.get_mut(&server) else {
             return;
         };
         match engine.finish(work) {
             engine::Finish::Answer(answer) => {
-                self.schedule(NETWORK_DELAY_MS, Event::Answer(epoch, sending, answer));
+                self.schedule(NETWORK_DELAY_MS, Event::Answer(epoch, attempt, answer));
             }
             engine::Finish::Later => {
-                self.schedule(20, Event::WorkDone(epoch, sending, server, work));
+                self.schedule(20, Event::WorkDone(epoch, attempt, server, work));
             }
         }
     }
 
-    fn handle_answer(&mut self, epoch: u64, sending: u32, answer: &order::Answer) {
+    fn handle_answer(&mut self, epoch: u64, attempt: u32, answer: &order::Answer) {
         let current = self.steward.as_ref();
         if current.is_some_and(|steward| steward.epoch() == epoch) {
             self.with_steward(|steward, view, actions| {
-                steward.answered(view, sending, answer, actions);
+                steward.handle_answer(view, attempt, answer, actions);
             });
         }
     }
--- a/crates/fireflywheel/tests/routing.rs
+++ b/crates/fireflywheel/tests/routing.rs
@@ -306,11 +306,11 @@
         let key = key.to_string();
         let ranked = rendezvous::ranked(&key, all(), 20);
         let highest_weight = all().max_by_key(|name| rendezvous::weight(&key, name));
-        assert_eq!(rendezvous::first(&key, all()), highest_weight);
-        assert_eq!(rendezvous::first(&key, all()), Some(ranked[0]));
+        assert_eq!(rendezvous::select(&key, all()), highest_weight);
+        assert_eq!(rendezvous::select(&key, all()), Some(ranked[0]));
         assert_eq!(rendezvous::ranked(&key, all(), 3), ranked[..3]);
         let without = |removed: &'static str| all().filter(move |name| *name != removed);
-        let target = rendezvous::first(&key, without("a3"));
+        let target = rendezvous::select(&key, without("a3"));
         assert_eq!(
             target,
             Some(if ranked[0] == "a3" {
@@ -320,5 +320,5 @@
             })
         );
     }
-    assert_eq!(rendezvous::first("key", []), None);
+    assert_eq!(rendezvous::select("key", []), None);
 }
--- a/crates/fireflywheel/tests/world/mod.rs
+++ b/crates/fireflywheel/tests/world/mod.rs
@@ -145,7 +145,7 @@
         dead_timeout: Duration::from_millis(300),
         drain_delay: Duration::from_millis(100),
         drain_limit: Duration::from_secs(20),
-        gone_after: Duration::from_secs(2),
+        absence_timeout: Duration::from_secs(2),
         checkpoint_records: 200,
         checkpoint_interval: Duration::from_secs(20),
     }
@@ -249,7 +249,7 @@
             number: 1_700_000_000_000 + self.now,
         };
         let options = node::Options {
-            me: by,
+            incarnation: by,
             address: address(&seat.name),
             failure_domain: SmolStr::new_static("fd1"),
             seeds,
--- a/crates/fireflywheel_cli/src/command.rs
+++ b/crates/fireflywheel_cli/src/command.rs
@@ -163,7 +163,7 @@
     if text.starts_with("https:") {
         return Err(format!("it is not {}", field::HTTPS_RULE));
     }
-    field::url(text).ok_or_else(|| format!("it is not {}", field::URL_RULE))
+    field::parse_url(text).ok_or_else(|| format!("it is not {}", field::URL_RULE))
 }
 
 // ---- Conversion of arguments to options ----
--- a/crates/fireflywheel_cli/src/drain.rs
+++ b/crates/fireflywheel_cli/src/drain.rs
@@ -30,7 +30,7 @@
 ///
 /// Returns an error if the daemon does not answer or refuses.
 pub async fn run(operator: &SmolStr, json: bool) -> anyhow::Result<Report> {
-    let request = client::bare(Method::POST, &format!("{operator}/v1/drain"))?;
+    let request = client::request_without_body(Method::POST, &format!("{operator}/v1/drain"))?;
     let answer = client::Client::new()
         .call(request, MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
         .await;
--- a/crates/fireflywheel_cli/src/publish/mod.rs
+++ b/crates/fireflywheel_cli/src/publish/mod.rs
@@ -92,7 +92,7 @@
     /// The log did not answer in time or refused every append.
     NoResponse,
     /// The records read from the log do not determine a state yet.
-    NoState(bootstrap::Waiting),
+    NoState(bootstrap::Status),
     /// The log contains records with rules of a newer version than this build supports.
     UnsupportedRules(u32),
     /// The record of the document would exceed the size limit; its length in bytes.
--- a/crates/fireflywheel_cli/src/publish/reader.rs
+++ b/crates/fireflywheel_cli/src/publish/reader.rs
@@ -129,8 +129,8 @@
     }
 
     fn cause(&self) -> Cause {
-        match (&self.ledger, self.bootstrap.waiting()) {
-            (Some(_), _) | (None, bootstrap::Waiting::NoResponse) => Cause::NoResponse,
+        match (&self.ledger, self.bootstrap.status()) {
+            (Some(_), _) | (None, bootstrap::Status::NoResponse) => Cause::NoResponse,
             (None, waiting) => Cause::NoState(waiting),
         }
     }
--- a/crates/fireflywheel_cli/src/status.rs
+++ b/crates/fireflywheel_cli/src/status.rs
@@ -62,7 +62,7 @@
 }
 
 async fn fetch(client: &client::Client, operator: &SmolStr) -> Result<status::Status, SmolStr> {
-    let request = client::bare(Method::GET, &format!("{operator}/v1/status"))
+    let request = client::request_without_body(Method::GET, &format!("{operator}/v1/status"))
         .map_err(|error| SmolStr::from(error.to_string()))?;
     let answer = client
         .call(request, MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
@@ -108,7 +108,7 @@
         (false, "") => "not ready".to_owned(),
         (false, reason) => format!("not ready ({reason})"),
     };
-    let log = match status.log.reading {
+    let log = match status.log.readable {
         true => format!("log read up to {}", status.log.next),
         false => format!("log out of reach since {}", status.log.next),
     };
--- a/crates/fireflywheel_daemon/src/backend/mod.rs
+++ b/crates/fireflywheel_daemon/src/backend/mod.rs
@@ -134,11 +134,11 @@
     }
 }
 
-impl From<client::Fault> for Failure {
-    fn from(error: client::Fault) -> Self {
+impl From<client::Error> for Failure {
+    fn from(error: client::Error) -> Self {
         match error {
-            client::Fault::Unsent => Self::not_run(request::Cause::Connect),
-            client::Fault::Lost => Self::may_have_run(request::Cause::Disconnected),
+            client::Error::Unsent => Self::not_run(request::Cause::Connect),
+            client::Error::Lost => Self::may_have_run(request::Cause::Disconnected),
         }
     }
 }
@@ -208,7 +208,7 @@
         let url = format!("http://{server}/v1/streams/{}", self.id);
         let client = client.clone();
         async move {
-            if let Ok(request) = client::bare(Method::DELETE, &url) {
+            if let Ok(request) = client::request_without_body(Method::DELETE, &url) {
                 // The result is ignored: without a cancellation, the engine's own time limit ends the stream.
                 let _ = client
                     .call(request, MAX_CANCEL_ANSWER_BYTES, CANCEL_TIMEOUT)
@@ -225,7 +225,7 @@
             .ok()?;
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        headers.insert(errors::REQUEST_ID, self.id.parse().ok()?);
+        headers.insert(errors::REQUEST_ID_HEADER, self.id.parse().ok()?);
         if let Some(from) = resume {
             headers.insert(RESUME_FROM_HEADER, from.into());
         }
@@ -234,7 +234,7 @@
 
     // An error answer to another request says nothing about this one.
     fn check_request_id(&self, headers: &HeaderMap) -> Result<(), Failure> {
-        match headers.get(errors::REQUEST_ID) {
+        match headers.get(errors::REQUEST_ID_HEADER) {
             Some(id) if id.as_bytes() != self.id.as_bytes() => {
                 Err(answer::Flaw::WrongRequest.into())
             }
@@ -258,7 +258,7 @@
         let answer = collected?;
         Ok(FullAnswer {
             status,
-            headers: passed_on(&answer.headers),
+            headers: end_to_end_headers(&answer.headers),
             body: answer.body,
         })
     }
@@ -267,14 +267,14 @@
         let (head, mut body) = answer.into_parts();
         let mut checker = answer::BodyChecker::new(self.id.clone(), MAX_ANSWER_BYTES);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| Failure::from(client::Fault::Lost))?;
+            let frame = frame.map_err(|_| Failure::from(client::Error::Lost))?;
             if let Ok(bytes) = frame.into_data() {
                 checker.push(&bytes)?;
             }
         }
         Ok(FullAnswer {
             status: head.status,
-            headers: passed_on(&head.headers),
+            headers: end_to_end_headers(&head.headers),
             body: checker.end()?.into(),
         })
     }
@@ -283,7 +283,7 @@
     // framed, too: a body that lasts until the connection closes would look complete when it is truncated.
     async fn read_service_answer(&self, answer: Response<Incoming>) -> Result<FullAnswer, Failure> {
         let headers = answer.headers();
-        let is_named = headers.contains_key(errors::REQUEST_ID);
+        let is_named = headers.contains_key(errors::REQUEST_ID_HEADER);
         let is_bounded = headers.contains_key(CONTENT_LENGTH)
             || headers.contains_key(TRANSFER_ENCODING)
             || self.method == Method::HEAD
@@ -297,7 +297,7 @@
         let answer = client::collect(answer, MAX_ANSWER_BYTES).await?;
         Ok(FullAnswer {
             status: answer.status,
-            headers: passed_on(&answer.headers),
+            headers: end_to_end_headers(&answer.headers),
             body: answer.body,
         })
     }
@@ -315,7 +315,7 @@
 
 /// Returns the end-to-end headers, which are forwarded.
 #[must_use]
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_headers: Vec<HeaderName> = connection_options(headers);
     let mut forwarded = headers.clone();
     for name in HOP_BY_HOP.iter().chain(&connection_headers) {
--- a/crates/fireflywheel_daemon/src/backend/stream.rs
+++ b/crates/fireflywheel_daemon/src/backend/stream.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Response};
 use tokio::time;
 
-use super::{Failure, passed_on};
+use super::{Failure, end_to_end_headers};
 use crate::client;
 
 /// The time within which a stream must end after its end marker.
@@ -30,7 +30,7 @@
     pub(super) fn new(answer: Response<Incoming>, id: &str, resume: Option<u64>) -> Self {
         let (head, body) = answer.into_parts();
         Self {
-            headers: passed_on(&head.headers),
+            headers: end_to_end_headers(&head.headers),
             body,
             checker: answer::StreamChecker::new(id).with_resume(resume.unwrap_or_default()),
             checked: VecDeque::new(),
@@ -68,7 +68,7 @@
     async fn read(&mut self) -> Result<Bytes, Failure> {
         match self.body.frame().await {
             Some(Ok(frame)) => Ok(frame.into_data().unwrap_or_default()),
-            Some(Err(_)) => Err(client::Fault::Lost.into()),
+            Some(Err(_)) => Err(client::Error::Lost.into()),
             None => {
                 // The stream ended without its end marker; otherwise `next` would have returned the marker.
                 self.checker.end()?;
--- a/crates/fireflywheel_daemon/src/callers/delivery.rs
+++ b/crates/fireflywheel_daemon/src/callers/delivery.rs
@@ -106,7 +106,7 @@
             Reply::Streaming(sender) => match ending {
                 Ending::Streamed => {}
                 Ending::Refused(problem) => sender.finish(problem.event()),
-                Ending::Full(_) | Ending::Replayed(_) | Ending::CallerGone => sender.cut(),
+                Ending::Full(_) | Ending::Replayed(_) | Ending::CallerGone => sender.abort(),
             },
             Reply::Closed => {}
         }
@@ -138,7 +138,7 @@
         });
         let since = self.core.clock().now().since(self.arrived);
         self.core.metrics().observe_first_token(&self.labels, since);
-        self.stream = Some(self.core.metrics().stream());
+        self.stream = Some(self.core.metrics().count_stream());
         let (sender, body) = door::Body::stream(self.limits.stream_buffer_bytes);
         let mut answer = Response::new(body);
         *answer.headers_mut() = headers.clone();
@@ -162,7 +162,7 @@
             return Ok(());
         }
         if let Reply::Streaming(sender) = std::mem::replace(&mut self.reply, Reply::Closed) {
-            sender.cut();
+            sender.abort();
         }
         Err(backend::Failure::may_have_run(request::Cause::CallerGone))
     }
--- a/crates/fireflywheel_daemon/src/callers/ending.rs
+++ b/crates/fireflywheel_daemon/src/callers/ending.rs
@@ -64,7 +64,7 @@
 }
 
 fn to_response(full: backend::FullAnswer) -> Response<door::Body> {
-    let mut answer = Response::new(door::Body::whole(full.body));
+    let mut answer = Response::new(door::Body::full(full.body));
     *answer.status_mut() = full.status;
     *answer.headers_mut() = full.headers;
     answer
@@ -77,7 +77,7 @@
             content_type,
             body: Some(body),
         } => {
-            let mut answer = Response::new(door::Body::whole(body));
+            let mut answer = Response::new(door::Body::full(body));
             *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
             if let Ok(value) = HeaderValue::from_str(&content_type) {
                 answer.headers_mut().insert(CONTENT_TYPE, value);
--- a/crates/fireflywheel_daemon/src/callers/head.rs
+++ b/crates/fireflywheel_daemon/src/callers/head.rs
@@ -63,7 +63,7 @@
 ///
 /// Returns the [`errors::Problem`] to answer with when the caller's request id is invalid.
 pub fn request_id(headers: &HeaderMap) -> Result<SmolStr, errors::Problem> {
-    match single_value(headers, errors::REQUEST_ID)? {
+    match single_value(headers, errors::REQUEST_ID_HEADER)? {
         // The id becomes a segment of the path that cancels a stream.
         Some(id) if is_token(id) => Ok(SmolStr::new(id)),
         Some(_) => Err(errors::Problem::bad_request(
--- a/crates/fireflywheel_daemon/src/callers/intake.rs
+++ b/crates/fireflywheel_daemon/src/callers/incoming.rs
@@ -85,7 +85,7 @@
     body: Bytes,
     is_chat: bool,
 ) -> backend::OutgoingRequest {
-    let mut headers = backend::passed_on(&parts.headers);
+    let mut headers = backend::end_to_end_headers(&parts.headers);
     headers.remove(RESUME_FROM_HEADER);
     if is_chat {
         headers = only_content_type(&headers);
--- a/crates/fireflywheel_daemon/src/callers/mod.rs
+++ b/crates/fireflywheel_daemon/src/callers/mod.rs
@@ -5,7 +5,7 @@
 mod ending;
 mod exchange;
 mod head;
-pub(crate) mod intake;
+pub(crate) mod incoming;
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -102,13 +102,13 @@
         let head = head::Head::parse(&parts.headers)?;
         head::check_path(&parts.method, &parts.uri)?;
         let guard = self.ids.reserve(id)?;
-        let body = intake::read(body, &self.limits).await?;
-        let fingerprint = intake::fingerprint(&parts.method, &parts.uri, &body);
+        let body = incoming::read(body, &self.limits).await?;
+        let fingerprint = incoming::fingerprint(&parts.method, &parts.uri, &body);
         let is_chat = parts.method == Method::POST && parts.uri.path() == CHAT_PATH;
         let chat = if is_chat {
             chat::Chat::parse(&body)?
         } else {
-            intake::service_request(&parts)
+            incoming::service_request(&parts)
         };
         let arrival = request::Arrival {
             id: id.clone(),
@@ -123,7 +123,7 @@
         };
         Ok(Accepted {
             arrival,
-            outgoing: intake::outgoing_request(id.clone(), parts, body, is_chat),
+            outgoing: incoming::outgoing_request(id.clone(), parts, body, is_chat),
             id: guard,
         })
     }
@@ -160,7 +160,7 @@
     ) -> Response<door::Body> {
         let headers = answer.headers_mut();
         if let Ok(id) = HeaderValue::from_str(id) {
-            headers.insert(errors::REQUEST_ID, id);
+            headers.insert(errors::REQUEST_ID_HEADER, id);
         }
         // The connection is closed, so that the caller does not send its next request to an instance that is
         // stopping.
--- a/crates/fireflywheel_daemon/src/client.rs
+++ b/crates/fireflywheel_daemon/src/client.rs
@@ -31,7 +31,7 @@
 
 /// The reason why a call has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum Error {
     /// No byte of the request was sent.
     Unsent,
     /// The request may have arrived.
@@ -86,29 +86,29 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] when there is no answer.
-    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
+    /// Returns an [`Error`] when there is no answer.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Error> {
         self.inner
             .request(request)
             .await
-            .map_err(|error| fault_of(&error))
+            .map_err(|error| to_error(&error))
     }
 
     /// Sends a request once and reads an answer of at most `max_bytes` within `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] when there is no complete answer.
+    /// Returns an [`Error`] when there is no complete answer.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
         max_bytes: usize,
         timeout: Duration,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, Error> {
         let answer = async { collect(self.send(request).await?, max_bytes).await };
         time::timeout(timeout, answer)
             .await
-            .unwrap_or(Err(Fault::Lost))
+            .unwrap_or(Err(Error::Lost))
     }
 }
 
@@ -122,11 +122,11 @@
 ///
 /// # Errors
 ///
-/// Returns [`Fault::Lost`] when the body is truncated or larger than `max_bytes`.
-pub async fn collect(answer: Response<Incoming>, max_bytes: usize) -> Result<Answer, Fault> {
+/// Returns [`Error::Lost`] when the body is truncated or larger than `max_bytes`.
+pub async fn collect(answer: Response<Incoming>, max_bytes: usize) -> Result<Answer, Error> {
     let (head, body) = answer.into_parts();
     let collected = Limited::new(body, max_bytes).collect().await;
-    let body = collected.map_err(|_| Fault::Lost)?.to_bytes();
+    let body = collected.map_err(|_| Error::Lost)?.to_bytes();
     Ok(Answer {
         status: head.status,
         headers: head.headers,
@@ -158,7 +158,7 @@
 /// # Errors
 ///
 /// Returns [`Malformed`] when `url` is not a valid URL.
-pub fn bare(method: Method, url: &str) -> Result<Request<Full<Bytes>>, Malformed> {
+pub fn request_without_body(method: Method, url: &str) -> Result<Request<Full<Bytes>>, Malformed> {
     Request::builder()
         .method(method)
         .uri(url)
@@ -170,7 +170,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
 
-impl From<Malformed> for Fault {
+impl From<Malformed> for Error {
     fn from(_: Malformed) -> Self {
         Self::Unsent
     }
@@ -188,14 +188,14 @@
 // library then reports the unsent request as canceled. This and a connection that was never opened are the
 // only two cases in which no byte can have been sent. Every other error may have occurred after the request
 // was written.
-fn fault_of(error: &legacy::Error) -> Fault {
+fn to_error(error: &legacy::Error) -> Error {
     let canceled = error
         .source()
         .and_then(|source| source.downcast_ref::<hyper::Error>())
         .is_some_and(hyper::Error::is_canceled);
     if error.is_connect() || canceled {
-        Fault::Unsent
+        Error::Unsent
     } else {
-        Fault::Lost
+        Error::Lost
     }
 }
--- a/crates/fireflywheel_daemon/src/core.rs
+++ b/crates/fireflywheel_daemon/src/core.rs
@@ -108,7 +108,7 @@
         channels: EffectChannels,
         metrics: Arc<metrics::Metrics>,
     ) -> Self {
-        let instance = options.me.instance.clone();
+        let instance = options.incarnation.instance.clone();
         let inner = Inner {
             node: node::Node::new(options),
             instructions: HashMap::new(),
--- a/crates/fireflywheel_daemon/src/daemon.rs
+++ b/crates/fireflywheel_daemon/src/daemon.rs
@@ -135,7 +135,7 @@
 
     /// Waits until a planned stop has finished: everything in progress is answered and handed over.
     pub async fn finished(mut self) {
-        door::stopped(&mut self.exit).await;
+        door::wait_for_stop(&mut self.exit).await;
         self.close.send_replace(true);
         // The node has nothing in progress any more, but the last bytes of answers may not have been sent yet.
         let doors = async { while self.doors.join_next().await.is_some() {} };
--- a/crates/fireflywheel_daemon/src/door/body.rs
+++ b/crates/fireflywheel_daemon/src/door/body.rs
@@ -21,24 +21,24 @@
 
 #[derive(Debug)]
 enum Content {
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     Stream(mpsc::UnboundedReceiver<Part>),
 }
 
 #[derive(Debug)]
 struct Part {
-    bytes: Result<Bytes, Cut>,
+    bytes: Result<Bytes, Aborted>,
     /// The space that the part takes in the buffer, released when the part is read.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The error of a stream that was cut off on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Cut;
+pub struct Aborted;
 
 /// The error of a send to a body that was dropped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Gone;
+pub struct BodyDropped;
 
 /// The sending half of a streamed body. The stream ends when the sender is dropped.
 #[derive(Debug)]
@@ -51,9 +51,9 @@
 impl Body {
     /// Creates a full body.
     #[must_use]
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self {
-            content: Content::Whole(Some(bytes.into())),
+            content: Content::Full(Some(bytes.into())),
             _drop_signal: None,
         }
     }
@@ -88,20 +88,20 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Gone`] when the body was dropped.
-    pub async fn send(&self, bytes: Bytes) -> Result<(), Gone> {
+    /// Returns [`BodyDropped`] when the body was dropped.
+    pub async fn send(&self, bytes: Bytes) -> Result<(), BodyDropped> {
         let size = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
         // A part larger than the buffer takes the whole buffer; otherwise it would wait for ever.
         let size = size.min(self.capacity);
         let permit = tokio::select! {
-            permit = Arc::clone(&self.free_space).acquire_many_owned(size) => permit.map_err(|_| Gone)?,
-            () = self.parts.closed() => return Err(Gone),
+            permit = Arc::clone(&self.free_space).acquire_many_owned(size) => permit.map_err(|_| BodyDropped)?,
+            () = self.parts.closed() => return Err(BodyDropped),
         };
         self.push(Ok(bytes), Some(permit))
     }
 
     /// Waits until the body is dropped.
-    pub async fn gone(&self) {
+    pub async fn closed(&self) {
         self.parts.closed().await;
     }
 
@@ -111,45 +111,45 @@
     }
 
     /// Ends the stream with an error, so that the client sees that it is incomplete.
-    pub fn cut(self) {
-        let _ = self.push(Err(Cut), None);
+    pub fn abort(self) {
+        let _ = self.push(Err(Aborted), None);
     }
 
     fn push(
         &self,
-        bytes: Result<Bytes, Cut>,
+        bytes: Result<Bytes, Aborted>,
         permit: Option<OwnedSemaphorePermit>,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), BodyDropped> {
         let part = Part {
             bytes,
             _permit: permit,
         };
-        self.parts.send(part).map_err(|_| Gone)
+        self.parts.send(part).map_err(|_| BodyDropped)
     }
 }
 
 impl body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Aborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<body::Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<body::Frame<Bytes>, Aborted>>> {
         let bytes = match &mut self.content {
-            Content::Whole(bytes) => bytes.take().map(Ok),
+            Content::Full(bytes) => bytes.take().map(Ok),
             Content::Stream(parts) => ready!(parts.poll_recv(context)).map(|part| part.bytes),
         };
         Poll::Ready(bytes.map(|bytes| bytes.map(body::Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.content, Content::Whole(None))
+        matches!(self.content, Content::Full(None))
     }
 
     fn size_hint(&self) -> body::SizeHint {
         match &self.content {
-            Content::Whole(bytes) => {
+            Content::Full(bytes) => {
                 body::SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Content::Stream(_) => body::SizeHint::default(),
@@ -178,12 +178,12 @@
 
 impl body::Body for Tracked {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Aborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<body::Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<body::Frame<Bytes>, Aborted>>> {
         Pin::new(&mut self.inner).poll_frame(context)
     }
 
@@ -196,10 +196,10 @@
     }
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for Aborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the stream was cut off before its end")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Aborted {}
--- a/crates/fireflywheel_daemon/src/door/mod.rs
+++ b/crates/fireflywheel_daemon/src/door/mod.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-pub use body::{Body, Cut, Gone, Sender};
+pub use body::{Aborted, Body, BodyDropped, Sender};
 pub use gate::Violation;
 
 use crate::errors;
@@ -80,7 +80,7 @@
         loop {
             let accepted = tokio::select! {
                 accepted = self.listener.accept() => accepted,
-                () = stopped(&mut self.stop) => break,
+                () = wait_for_stop(&mut self.stop) => break,
             };
             while connections.try_join_next().is_some() {}
             let Ok((stream, _)) = accepted else {
@@ -109,7 +109,7 @@
 }
 
 /// Waits until `stop` is true or its sender is dropped.
-pub async fn stopped(stop: &mut watch::Receiver<bool>) {
+pub async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     // An error means that the sender was dropped, which counts as a stop.
     let _ = stop.wait_for(|stop| *stop).await;
 }
@@ -153,7 +153,7 @@
         tokio::select! {
             // An error means that the client disconnected or exceeded a limit, which the gate records.
             _ = future::poll_fn(|context| connection.poll_without_shutdown(context)) => break,
-            () = stopped(&mut stop), if !stopping => {
+            () = wait_for_stop(&mut stop), if !stopping => {
                 stopping = true;
                 pin::Pin::new(&mut connection).graceful_shutdown();
             }
--- a/crates/fireflywheel_daemon/src/errors.rs
+++ b/crates/fireflywheel_daemon/src/errors.rs
@@ -13,11 +13,11 @@
 use crate::door;
 
 /// The header with the request id, in requests and answers.
-pub const REQUEST_ID: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// The header of an error answer that tells whether the request may have run.
-pub const VERDICT: &str = "x-verdict";
+pub const VERDICT_HEADER: &str = "x-verdict";
 /// The header that repeats `retry-after` in milliseconds.
-pub const RETRY_AFTER_MS: &str = "retry-after-ms";
+pub const RETRY_AFTER_MS_HEADER: &str = "retry-after-ms";
 
 /// The number of random bytes in a generated request id.
 const GENERATED_ID_BYTES: usize = 16;
@@ -133,14 +133,17 @@
     /// Returns the answer. The caller of this function adds the request id.
     #[must_use]
     pub fn answer(&self) -> Response<door::Body> {
-        let mut answer = Response::new(door::Body::whole(self.body()));
+        let mut answer = Response::new(door::Body::full(self.body()));
         *answer.status_mut() = self.status;
         let headers = answer.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(VERDICT, HeaderValue::from_static(self.verdict.as_str()));
+        headers.insert(
+            VERDICT_HEADER,
+            HeaderValue::from_static(self.verdict.as_str()),
+        );
         if let Some(wait) = self.retry_after {
             headers.insert(RETRY_AFTER, seconds_rounded_up(wait).into());
-            headers.insert(RETRY_AFTER_MS, millis_rounded_up(wait).into());
+            headers.insert(RETRY_AFTER_MS_HEADER, millis_rounded_up(wait).into());
         }
         if self.closes {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
@@ -157,11 +160,11 @@
         let wait = self.retry_after.map(|wait| {
             let seconds = seconds_rounded_up(wait);
             let millis = millis_rounded_up(wait);
-            format!("retry-after: {seconds}\r\n{RETRY_AFTER_MS}: {millis}\r\n")
+            format!("retry-after: {seconds}\r\n{RETRY_AFTER_MS_HEADER}: {millis}\r\n")
         });
         format!(
             "HTTP/1.1 {status} {reason}\r\ncontent-type: application/json\r\ncontent-length: {length}\r\n\
-             connection: close\r\n{REQUEST_ID}: {id}\r\n{VERDICT}: {verdict}\r\n{wait}\r\n{body}",
+             connection: close\r\n{REQUEST_ID_HEADER}: {id}\r\n{VERDICT_HEADER}: {verdict}\r\n{wait}\r\n{body}",
             status = self.status.as_u16(),
             length = body.len(),
             id = generate_id(),
--- a/crates/fireflywheel_daemon/src/fleet/health.rs
+++ b/crates/fireflywheel_daemon/src/fleet/health.rs
@@ -39,7 +39,7 @@
         if path == METRICS_PATH {
             return metrics_response(&self.node);
         }
-        let mut response = Response::new(door::Body::whole(""));
+        let mut response = Response::new(door::Body::full(""));
         *response.status_mut() = if path != self.node.platform.ready_path() {
             StatusCode::NOT_FOUND
         } else if self.node.is_ready() {
@@ -60,7 +60,7 @@
         .set_era(node.platform.era().unwrap_or_default());
     match node.metrics.encode() {
         Ok(text) => {
-            let mut response = Response::new(door::Body::whole(text));
+            let mut response = Response::new(door::Body::full(text));
             response
                 .headers_mut()
                 .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
@@ -68,7 +68,7 @@
         }
         Err(error) => {
             log::warn!(error = error.to_string().as_str(); "failed to encode metrics");
-            let mut response = Response::new(door::Body::whole(""));
+            let mut response = Response::new(door::Body::full(""));
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             response
         }
--- a/crates/fireflywheel_daemon/src/fleet/metrics.rs
+++ b/crates/fireflywheel_daemon/src/fleet/metrics.rs
@@ -80,14 +80,14 @@
                 "Calls to the platform's store",
                 &["call", "result"],
             )?,
-            quota_charges: builder.amount(
+            quota_charges: builder.float_counter(
                 "fleet_quota_total",
                 "What requests count against quotas, by organisation and outcome",
                 &["organisation", "outcome"],
             )?,
             labelled_organisations: Arc::default(),
             config_version: builder.gauge("fleet_config_version", "The configuration in force")?,
-            config_age: builder.real_gauge(
+            config_age: builder.float_gauge(
                 "fleet_config_age_seconds",
                 "Since the store was last read for the configuration in force, by this instance or the steward",
             )?,
--- a/crates/fireflywheel_daemon/src/fleet/relay.rs
+++ b/crates/fireflywheel_daemon/src/fleet/relay.rs
@@ -23,7 +23,7 @@
 use super::node;
 use super::platform;
 use super::stream;
-use crate::callers::intake;
+use crate::callers::incoming;
 use crate::{backend, door, errors};
 
 /// Retry delay for a caller whose group has no server. A server that restarts takes about as long.
@@ -110,12 +110,12 @@
             ));
         };
         let organisation = self.identify_organisation(&config, route, call)?;
-        let body = intake::read(body, &body_limits(&config.limits)).await?;
+        let body = incoming::read(body, &body_limits(&config.limits)).await?;
         let queue = queue_key(&config, route, call);
         if let Some(model) = &queue.model {
             self.node.count_arrival(&queue.group, model);
         }
-        let mut headers = backend::passed_on(&head.headers);
+        let mut headers = backend::end_to_end_headers(&head.headers);
         headers.remove(HOST);
         if config.organisations.is_some() {
             headers.remove(AUTHORIZATION);
@@ -257,9 +257,9 @@
             return Err(attempt::Outcome::Lost("failed by the server"));
         }
         self.record_answer(job, status, &server);
-        let mut response = Response::new(door::Body::whole(body));
+        let mut response = Response::new(door::Body::full(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = backend::passed_on(&head.headers);
+        *response.headers_mut() = backend::end_to_end_headers(&head.headers);
         Ok(response)
     }
 
--- a/crates/fireflywheel_daemon/src/fleet/stream.rs
+++ b/crates/fireflywheel_daemon/src/fleet/stream.rs
@@ -45,7 +45,7 @@
     let (sender, body) = door::Body::stream(SEND_BUFFER_BYTES);
     let mut response = Response::new(body);
     *response.status_mut() = upstream.head.status;
-    *response.headers_mut() = backend::passed_on(&upstream.head.headers);
+    *response.headers_mut() = backend::end_to_end_headers(&upstream.head.headers);
     let resumable = job.route.kind == config::Kind::Resumable;
     let forwarder = Forwarder {
         node: Arc::clone(node),
@@ -182,7 +182,7 @@
         self.node
             .metrics
             .count_failed_attempt(&self.job.route.name, why);
-        self.sender.cut();
+        self.sender.abort();
     }
 
     /// Forwards the response of the current run until it ends.
@@ -199,7 +199,7 @@
                 .map_or(left, |_| idle_timeout(&self.job));
             let frame = tokio::select! {
                 frame = self.source.body.frame() => frame,
-                () = self.sender.gone() => return End::CallerGone,
+                () = self.sender.closed() => return End::CallerGone,
                 () = time::sleep(left.min(idle_timeout)) => {
                     if idle_timeout < left {
                         return End::Idle;
@@ -295,7 +295,7 @@
     async fn wait_for_server(&self) -> Option<node::Chosen> {
         let chosen = tokio::select! {
             found = relay::wait_for_server(&self.node, &self.job, &self.tried) => found.ok()?,
-            () = self.sender.gone() => return None,
+            () = self.sender.closed() => return None,
         };
         self.node.try_retry(&self.job.queue.group).then_some(chosen)
     }
@@ -312,7 +312,7 @@
             );
             let outcome = tokio::select! {
                 outcome = attempt::send(&self.node, &self.job, &chosen, last, attempt::OnTimeout::KeepWaiting) => outcome,
-                () = self.sender.gone() => return None,
+                () = self.sender.closed() => return None,
             };
             match outcome {
                 attempt::Outcome::Response(upstream) if upstream.head.status.is_success() => {
--- a/crates/fireflywheel_daemon/src/metrics/builder.rs
+++ b/crates/fireflywheel_daemon/src/metrics/builder.rs
@@ -51,7 +51,7 @@
     }
 
     /// Registers a counter of fractional amounts.
-    pub(crate) fn amount(
+    pub(crate) fn float_counter(
         &self,
         name: &str,
         help: &str,
@@ -68,7 +68,7 @@
         Ok(metric)
     }
 
-    pub(crate) fn real_gauge(&self, name: &str, help: &str) -> prometheus::Result<Gauge> {
+    pub(crate) fn float_gauge(&self, name: &str, help: &str) -> prometheus::Result<Gauge> {
         let metric = Gauge::new(name, help)?;
         self.registry.register(Box::new(metric.clone()))?;
         Ok(metric)
--- a/crates/fireflywheel_daemon/src/metrics/mod.rs
+++ b/crates/fireflywheel_daemon/src/metrics/mod.rs
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// Returns an error if the metrics can't be encoded.
-    pub fn text(&self, status: &status::Status, in_progress: usize) -> anyhow::Result<Vec<u8>> {
+    pub fn encode(&self, status: &status::Status, in_progress: usize) -> anyhow::Result<Vec<u8>> {
         self.version.set(to_i64(status.version));
         self.ledger_next.set(to_i64(status.log.next));
         self.ready.set(i64::from(status.ready));
@@ -216,7 +216,7 @@
 
     /// Counts a stream as in progress until the returned guard is dropped.
     #[must_use]
-    pub fn stream(&self) -> StreamGuard {
+    pub fn count_stream(&self) -> StreamGuard {
         self.streams.inc();
         StreamGuard(self.streams.clone())
     }
--- a/crates/fireflywheel_daemon/src/operator.rs
+++ b/crates/fireflywheel_daemon/src/operator.rs
@@ -35,7 +35,7 @@
 
     fn metrics(&self) -> Response<door::Body> {
         let (status, in_progress) = self.core.status();
-        match self.core.metrics().text(&status, in_progress) {
+        match self.core.metrics().encode(&status, in_progress) {
             Ok(text) => answer(StatusCode::OK, METRICS_TYPE, text),
             Err(error) => errors::Problem::new(
                 StatusCode::INTERNAL_SERVER_ERROR,
@@ -73,7 +73,7 @@
     content_type: &'static str,
     body: impl Into<bytes::Bytes>,
 ) -> Response<door::Body> {
-    let mut answer = Response::new(door::Body::whole(body));
+    let mut answer = Response::new(door::Body::full(body));
     *answer.status_mut() = status;
     let content_type = HeaderValue::from_static(content_type);
     answer.headers_mut().insert(CONTENT_TYPE, content_type);
--- a/crates/fireflywheel_daemon/src/orders.rs
+++ b/crates/fireflywheel_daemon/src/orders.rs
@@ -57,8 +57,8 @@
     };
     match client.call(request, MAX_ANSWER_BYTES, ORDER_TIMEOUT).await {
         Ok(answer) => classify(&answer),
-        Err(client::Fault::Unsent) => order::Answer::Unsent,
-        Err(client::Fault::Lost) => order::Answer::Lost,
+        Err(client::Error::Unsent) => order::Answer::Unsent,
+        Err(client::Error::Lost) => order::Answer::Lost,
     }
 }
 
--- a/crates/fireflywheel_daemon/src/platform/list.rs
+++ b/crates/fireflywheel_daemon/src/platform/list.rs
@@ -52,7 +52,8 @@
 
 impl List for Http {
     async fn read(&self) -> Result<Vec<report::ListEntry>, Unavailable> {
-        let request = client::bare(Method::GET, &self.url).map_err(|_| Unavailable)?;
+        let request =
+            client::request_without_body(Method::GET, &self.url).map_err(|_| Unavailable)?;
         let answer = self
             .client
             .call(request, MAX_LIST_BYTES, READ_TIMEOUT)
--- a/crates/fireflywheel_daemon/src/platform/log.rs
+++ b/crates/fireflywheel_daemon/src/platform/log.rs
@@ -95,21 +95,21 @@
         }
     }
 
-    async fn read_page(&self, from: u64, max: u64, wait: Duration) -> Result<Page, client::Fault> {
+    async fn read_page(&self, from: u64, max: u64, wait: Duration) -> Result<Page, client::Error> {
         let wait_ms = wait.as_millis();
         let url = format!(
             "{}/v1/read?from={from}&max={max}&wait_ms={wait_ms}",
             self.base
         );
-        let request = client::bare(Method::GET, &url)?;
+        let request = client::request_without_body(Method::GET, &url)?;
         let answer = self
             .client
             .call(request, MAX_READ_ANSWER_BYTES, wait + READ_TIMEOUT)
             .await?;
         if answer.status != StatusCode::OK {
-            return Err(client::Fault::Lost);
+            return Err(client::Error::Lost);
         }
-        parse_page(&answer.body).ok_or(client::Fault::Lost)
+        parse_page(&answer.body).ok_or(client::Error::Lost)
     }
 }
 
@@ -146,8 +146,8 @@
             .await
         {
             Ok(answer) => parse_append_answer(&answer),
-            Err(client::Fault::Unsent) => writer::Answer::Refused,
-            Err(client::Fault::Lost) => writer::Answer::Lost,
+            Err(client::Error::Unsent) => writer::Answer::Refused,
+            Err(client::Error::Lost) => writer::Answer::Lost,
         }
     }
 
--- a/crates/fireflywheel_daemon/src/reports.rs
+++ b/crates/fireflywheel_daemon/src/reports.rs
@@ -76,7 +76,7 @@
 
     async fn fetch_report(&self, server: &SmolStr) -> Option<report::Report> {
         let url = format!("http://{server}/v1/load");
-        let request = client::bare(Method::GET, &url).ok()?;
+        let request = client::request_without_body(Method::GET, &url).ok()?;
         let answer = self
             .client
             .call(request, MAX_REPORT_BYTES, REPORT_TIMEOUT)
--- a/crates/fireflywheel_daemon/tests/faults_capacity.rs
+++ b/crates/fireflywheel_daemon/tests/faults_capacity.rs
@@ -42,7 +42,7 @@
             }
             let loads = site.loads("m0").await?;
             assert!((1..=$cap).contains(&loads), "{loads} loads");
-            site.hold($cap).await
+            site.check_limits($cap).await
         }
     )*};
 }
@@ -74,7 +74,7 @@
             for model in ["m0", "m1", "m2"] {
                 ask_until_served(&site, &others, model).await;
             }
-            site.hold(1).await
+            site.check_limits(1).await
         }
     )*};
 }
@@ -122,7 +122,7 @@
             for model in ["m4", "m0", "m5"] {
                 ask_until_served(&site, &all, model).await;
             }
-            site.hold(1).await
+            site.check_limits(1).await
         }
     )*};
 }
@@ -154,7 +154,7 @@
                     site.set_faults(engine, &lost).await?;
                 }
                 ask_until_served(&site, &[0, 1, 2], model).await;
-                site.hold(1).await?;
+                site.check_limits(1).await?;
             }
             Ok(())
         }
@@ -209,7 +209,7 @@
     for daemon in 0..4 {
         assert_eq!(site.status(daemon).await?.version, version);
     }
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 /// The cap is lowered below the number of loaded replicas under load. Replicas are unloaded without cutting
@@ -257,7 +257,7 @@
         loads,
         "a replica was loaded after the cap was lowered"
     );
-    site.hold(3).await
+    site.check_limits(3).await
 }
 
 /// The weight store's answer with a checkpoint is lost on its way to the engine. As far as any process can
@@ -276,7 +276,7 @@
             .await?;
         ask_until_served(&site, &[0, 1, 2], model).await;
     }
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 /// Callers request two adapters at three daemons while neither the adapters nor their model are loaded. The
@@ -311,7 +311,7 @@
         (loads("m0@1"), loads("m0@1:tone"), loads("m0@1:style")),
         (1, 1, 1)
     );
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 /// Operators publish a new version of a model with a cap of one under load. The old version finishes its
@@ -353,5 +353,5 @@
             .any(|counts| counts.loaded.iter().any(|item| item == "m0@2"))
     })
     .await;
-    site.hold(1).await
+    site.check_limits(1).await
 }
--- a/crates/fireflywheel_daemon/tests/faults_configuration.rs
+++ b/crates/fireflywheel_daemon/tests/faults_configuration.rs
@@ -100,24 +100,26 @@
     })
     .await?;
     let base = site.status(0).await?.version;
-    site.relays[&1].set_cut(true);
+    site.relays[&1].set_disconnected(true);
     site.wait_for("the instance to lose the log", || async {
-        site.status(1).await.is_ok_and(|status| !status.log.reading)
+        site.status(1)
+            .await
+            .is_ok_and(|status| !status.log.readable)
     })
     .await;
     let next = site.publish(base, &site.plan.document(2)).await?;
     wait_in_force(&site, next).await;
     assert!(
-        !site.status(1).await?.log.reading,
+        !site.status(1).await?.log.readable,
         "the instance read the log"
     );
     assert_eq!(
         site.ask(1, "m0", "cold, at the one that is cut off").await,
         Ok(())
     );
-    site.relays[&1].set_cut(false);
+    site.relays[&1].set_disconnected(false);
     site.wait_for("the instance to read the log", || async {
-        site.status(1).await.is_ok_and(|status| status.log.reading)
+        site.status(1).await.is_ok_and(|status| status.log.readable)
     })
     .await;
     let last = site.publish(next, &site.plan.document(1)).await?;
@@ -246,7 +248,7 @@
         );
     }
     assert_eq!(site.ask(0, "m0", "after all").await, Ok(()));
-    site.hold(2).await
+    site.check_limits(2).await
 }
 
 /// A document with faults and a document based on an old version are stored in the log, as another tool could
--- a/crates/fireflywheel_daemon/tests/faults_requests.rs
+++ b/crates/fireflywheel_daemon/tests/faults_requests.rs
@@ -8,7 +8,7 @@
 use fireflywheel_standin::{client, fault, process};
 use futures_util::future;
 use serde_json::json;
-use site::{Plan, Refused, Site};
+use site::{Plan, RequestFailure, Site};
 
 /// Sends a booking through a daemon. The body identifies it in the service's counts.
 async fn book(
@@ -16,14 +16,14 @@
     daemon: usize,
     key: Option<&str>,
     body: &str,
-) -> Result<(u16, String), Refused> {
+) -> Result<(u16, String), RequestFailure> {
     let mut client = client::Client::new().with_header("x-tenant", "t");
     if let Some(key) = key {
         client = client.with_header("idempotency-key", key);
     }
     let url = format!("{}/bookings", site.caller(daemon));
     let answer = client.post(&url, body.to_owned()).await;
-    let answer = answer.map_err(|_| Refused {
+    let answer = answer.map_err(|_| RequestFailure {
         status: 0,
         code: String::from("cut"),
         verdict: String::new(),
@@ -32,7 +32,7 @@
     if answer.status == 200 {
         return Ok((200, answer.text()));
     }
-    Err(Refused::of(&answer))
+    Err(RequestFailure::of(&answer))
 }
 
 /// Returns how often a booking ran, over all services.
@@ -49,7 +49,12 @@
 }
 
 /// Sends a request with a deadline of `ms`.
-async fn ask_within(site: &Site, daemon: usize, model: &str, ms: u64) -> Result<(), Refused> {
+async fn ask_within(
+    site: &Site,
+    daemon: usize,
+    model: &str,
+    ms: u64,
+) -> Result<(), RequestFailure> {
     let client = client::Client::new()
         .with_header("x-tenant", "t")
         .with_header("x-deadline-ms", &ms.to_string());
@@ -63,7 +68,7 @@
     if answer.status == 200 {
         return Ok(());
     }
-    Err(Refused::of(&answer))
+    Err(RequestFailure::of(&answer))
 }
 
 /// Reads the events of a stream up to its end. The flag is `true` if the stream ended with its end marker.
@@ -135,7 +140,7 @@
         ask_within(&site, 1, "m0", 300).await.is_ok()
     })
     .await;
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 /// The engines have accepted requests and are frozen, and further callers wait in the queue. Each caller learns
@@ -190,7 +195,7 @@
         site.ask(others[0], "m0", "later").await.is_ok()
     })
     .await;
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 /// The service runs a booking, and its answer is lost. Sending the booking again would book twice, so the
@@ -524,7 +529,7 @@
                 assert!(complete && is_in_order(&events), "stream cut off: {:?}", events.last());
             }
             for daemon in &stopped {
-                let code = tokio::time::timeout(site::GUARD, site.daemons[*daemon].wait()).await??;
+                let code = tokio::time::timeout(site::WAIT_TIMEOUT, site.daemons[*daemon].wait()).await??;
                 assert_eq!(code, Some(0), "{}", site.daemons[*daemon].stderr());
             }
             if $outage {
@@ -536,7 +541,7 @@
                 })
                 .await;
             }
-            site.hold(2).await
+            site.check_limits(2).await
         }
     )*};
 }
@@ -568,7 +573,7 @@
     let answers = future::join_all(calls).await;
     let served = answers.iter().filter(|answer| answer.is_ok()).count();
     let refusals = answers.iter().filter_map(|answer| answer.as_ref().err());
-    let may_have_run: Vec<&Refused> = refusals
+    let may_have_run: Vec<&RequestFailure> = refusals
         .filter(|refused| refused.verdict != "not-run")
         .collect();
     assert!(served >= 60, "only {served} of 1800 served");
@@ -688,5 +693,5 @@
     })
     .await;
     assert_eq!(site.ask(1, "m0", "again, elsewhere").await, Ok(()));
-    site.hold(1).await
+    site.check_limits(1).await
 }
--- a/crates/fireflywheel_daemon/tests/measures.rs
+++ b/crates/fireflywheel_daemon/tests/measures.rs
@@ -131,7 +131,7 @@
     let count = choose_count(40, 300);
     let (median, p99) = quantiles(publication_times(&site, &indices, count).await?);
     println!("in force at 16, {count} publications: median {median:.1} ms, p99 {p99:.1} ms");
-    site.relays[&15].set_cut(true);
+    site.relays[&15].set_disconnected(true);
     let count = choose_count(20, 100);
     let (median, p99) = quantiles(publication_times(&site, &indices, count).await?);
     println!(
@@ -221,7 +221,7 @@
     println!(
         "first answer of a model after the kill: median {median:.0} ms, maximum {longest:.0} ms"
     );
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 async fn epoch(site: &Site, index: usize) -> u64 {
--- a/crates/fireflywheel_daemon/tests/site/mod.rs
+++ b/crates/fireflywheel_daemon/tests/site/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 /// Time limit for a condition that must become true. Only a failing test waits this long.
-pub const GUARD: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -278,7 +278,7 @@
             .await;
     }
 
-    /// Polls a condition until it is true. Panics with the state and the logs of the daemons after [`GUARD`].
+    /// Polls a condition until it is true. Panics with the state and the logs of the daemons after [`WAIT_TIMEOUT`].
     pub async fn wait_for<F, R>(&self, what: &str, mut holds: F)
     where
         F: FnMut() -> R,
@@ -289,7 +289,7 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(GUARD, wait).await.is_err() {
+        if tokio::time::timeout(WAIT_TIMEOUT, wait).await.is_err() {
             let mut logs = String::new();
             for index in 0..self.daemons.len() {
                 let status = tokio::time::timeout(Duration::from_secs(1), self.status(index)).await;
@@ -326,20 +326,20 @@
     }
 
     /// Sends a chat request. Returns `Ok` if the answer is complete and belongs to this request.
-    pub async fn ask(&self, index: usize, model: &str, text: &str) -> Result<(), Refused> {
+    pub async fn ask(&self, index: usize, model: &str, text: &str) -> Result<(), RequestFailure> {
         let url = format!("{}/v1/chat/completions", self.caller(index));
         let body = json!({
             "model": model, "max_tokens": 8,
             "messages": [{"role": "user", "content": text}],
         });
         let answer = self.client.post(&url, body.to_string()).await;
-        let answer = answer.map_err(|error| Refused::broken(&error.to_string()))?;
+        let answer = answer.map_err(|error| RequestFailure::broken(&error.to_string()))?;
         if answer.status != 200 {
-            return Err(Refused::of(&answer));
+            return Err(RequestFailure::of(&answer));
         }
         let value: serde_json::Value = answer
             .json()
-            .map_err(|error| Refused::broken(&error.to_string()))?;
+            .map_err(|error| RequestFailure::broken(&error.to_string()))?;
         let content = value["choices"][0]["message"]["content"]
             .as_str()
             .unwrap_or_default();
@@ -349,7 +349,7 @@
         if has_own_id && content == engine::content(text, 8) {
             return Ok(());
         }
-        Err(Refused::broken(&format!(
+        Err(RequestFailure::broken(&format!(
             "answer of another request or truncated answer: {value}"
         )))
     }
@@ -397,7 +397,7 @@
 
     /// Checks in the histories of the engines that no model ever exceeded `cap` replicas and no engine its
     /// memory.
-    pub async fn hold(&self, cap: usize) -> anyhow::Result<()> {
+    pub async fn check_limits(&self, cap: usize) -> anyhow::Result<()> {
         for model in 0..self.plan.models {
             let (replicas, memory) = self.peaks(&format!("m{model}")).await?;
             anyhow::ensure!(
@@ -420,14 +420,14 @@
 
 /// The result of a request that did not get a complete answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Refused {
+pub struct RequestFailure {
     pub status: u16,
     pub code: String,
     pub verdict: String,
     pub message: String,
 }
 
-impl Refused {
+impl RequestFailure {
     fn broken(message: &str) -> Self {
         Self {
             status: 0,
--- a/crates/fireflywheel_daemon/tests/site/relay.rs
+++ b/crates/fireflywheel_daemon/tests/site/relay.rs
@@ -23,7 +23,7 @@
 
     /// If `cut` is true, closes all connections, and new ones as soon as they are accepted. Otherwise relays
     /// new connections again.
-    pub fn set_cut(&self, cut: bool) {
+    pub fn set_disconnected(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 }
--- a/crates/fireflywheel_daemon/tests/whole_path.rs
+++ b/crates/fireflywheel_daemon/tests/whole_path.rs
@@ -28,7 +28,7 @@
     for model in ["m0", "m1", "m2", "m3"] {
         assert_eq!(site.loads(model).await?, 1, "{model}");
     }
-    site.hold(1).await
+    site.check_limits(1).await
 }
 
 /// A plain service answers through every daemon.
