--- a/crates/fireflywheel/src/node/limits.rs
+++ b/crates/fireflywheel/src/node/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of tenants and classes that apply across instances.
 //!
 //! Half of a limit is divided equally: each instance may use its part without asking, so that it can always
-//! admit some requests while the limit's home changes. The other half is lent by the limit's home, an
+//! admit some requests while the limit's lender changes. The other half is lent by the limit's lender, an
 //! instance selected by rendezvous hashing; see [`credit`]. This gives an instance with a burst far more
 //! than an equal part.
 
@@ -12,7 +12,7 @@
 use super::{Node, admission::State};
 use crate::{clock, credit, document, effect, rendezvous, request, wire};
 
-/// Time for which a request waits for credits from the limit's home.
+/// Time for which a request waits for credits from the limit's lender.
 const CREDIT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Maximum interval between two requests for credits while a limit is in use. It is well within the lease.
@@ -23,7 +23,7 @@
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Divisor that gives the requested headroom from the credits needed, so that most requests don't have to
-/// wait for the home's answer.
+/// wait for the lender's answer.
 const HEADROOM_DIVISOR: u32 = 4;
 
 /// Number of instances that is assumed until the platform's list was read.
@@ -231,14 +231,16 @@
         }
     }
 
-    fn home(&self, name: &Name) -> Option<SmolStr> {
+    fn lender(&self, name: &Name) -> Option<SmolStr> {
         let alive = self.membership.alive().map(SmolStr::as_str);
         rendezvous::select(&name.to_text(), alive).map(SmolStr::new)
     }
 
-    /// Requests credits from the limit's home for the requests in progress and waiting, with some headroom.
+    /// Requests credits from the limit's lender for the requests in progress and waiting, with some headroom.
     fn request_credits(&mut self, now: clock::Instant, name: &Name, out: &mut Vec<effect::Effect>) {
-        let Some(home) = self.home(name) else { return };
+        let Some(lender) = self.lender(name) else {
+            return;
+        };
         let Some(local) = self.limits.local_uses.get_mut(name) else {
             return;
         };
@@ -260,7 +262,7 @@
             hold: need.hold,
             number: need.number,
         });
-        self.send_frame(now, home, frame, out);
+        self.send_frame(now, lender, frame, out);
     }
 
     /// Handles a frame about credits.
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Answers a request for credits if this instance considers itself the limit's home.
+    /// Answers a request for credits if this instance considers itself the limit's lender.
     fn handle_need(
         &mut self,
         now: clock::Instant,
@@ -306,7 +308,7 @@
         let Some(name) = Name::parse(limit) else {
             return;
         };
-        if self.home(&name).as_ref() != Some(&self.options.incarnation.instance) {
+        if self.lender(&name).as_ref() != Some(&self.options.incarnation.instance) {
             return;
         }
         let amount = self.split(&name).lent;
@@ -328,7 +330,7 @@
         self.send_frame(now, from.instance.clone(), frame, out);
     }
 
-    /// Handles the answer of the limit's home: waiting requests continue, or are refused if the limit is
+    /// Handles the answer of the limit's lender: waiting requests continue, or are refused if the limit is
     /// reached.
     fn handle_lend(
         &mut self,
@@ -354,8 +356,8 @@
     }
 
     /// Retries the admission of a request that waited for credits. If there are still none, it is refused
-    /// when the home granted less than was requested. Otherwise more requests have arrived since, and the
-    /// home is asked again.
+    /// when the lender granted less than was requested. Otherwise more requests have arrived since, and the
+    /// lender is asked again.
     fn retry_admission(
         &mut self,
         now: clock::Instant,
@@ -378,11 +380,11 @@
         }
     }
 
-    /// Returns the homes of the limits from which this instance borrows credits.
-    pub(super) fn homes_in_use(&self) -> Vec<SmolStr> {
+    /// Returns the lenders of the limits from which this instance borrows credits.
+    pub(super) fn lenders_in_use(&self) -> Vec<SmolStr> {
         let local_uses = self.limits.local_uses.iter();
         let borrowed = local_uses.filter(|(_, local)| local.requested_at.is_some());
-        borrowed.filter_map(|(name, _)| self.home(name)).collect()
+        borrowed.filter_map(|(name, _)| self.lender(name)).collect()
     }
 
     /// Renews the credits in use, and refuses requests that waited too long for credits.
@@ -395,11 +397,11 @@
         }
     }
 
-    /// Removes the lenders of limits whose home is another instance now.
+    /// Removes the credit state of limits whose lender is another instance now.
     pub(super) fn remove_moved_lenders(&mut self) {
-        let homes: Vec<Name> = self.limits.lenders.keys().cloned().collect();
-        for name in homes {
-            if self.home(&name).as_ref() != Some(&self.options.incarnation.instance) {
+        let names: Vec<Name> = self.limits.lenders.keys().cloned().collect();
+        for name in names {
+            if self.lender(&name).as_ref() != Some(&self.options.incarnation.instance) {
                 self.limits.lenders.remove(&name);
             }
         }
--- a/crates/fireflywheel/src/node/mod.rs
+++ b/crates/fireflywheel/src/node/mod.rs
@@ -113,7 +113,7 @@
                 .iter()
                 .map(|seed| SmolStr::new(seed.to_string()))
                 .collect(),
-            max_queue: settings.limits.queue,
+            max_queue: settings.limits.max_queue,
             timing: Timing {
                 ping_interval: timing.ping_interval,
                 suspect_timeout: timing.suspect_timeout,
--- a/crates/fireflywheel/src/node/peers.rs
+++ b/crates/fireflywheel/src/node/peers.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Requests links to the stewards of the groups that this instance uses and to the homes of the limits
+    /// Requests links to the stewards of the groups that this instance uses and to the lenders of the limits
     /// from which it borrows, in addition to the ring neighbours.
     pub(super) fn update_wanted_links(&mut self) {
         let ledger = self.log.ledger.as_ref();
@@ -93,9 +93,9 @@
         let used: BTreeSet<&SmolStr> = used.collect();
         let stewards = used.into_iter().filter_map(|group| ledger?.steward(group));
         let stewards = stewards.map(|steward| steward.by.instance.clone());
-        let homes = self.homes_in_use();
+        let lenders = self.lenders_in_use();
         let me = &self.options.incarnation.instance;
-        let wanted: BTreeSet<SmolStr> = stewards.chain(homes).filter(|name| name != me).collect();
+        let wanted: BTreeSet<SmolStr> = stewards.chain(lenders).filter(|name| name != me).collect();
         if wanted != self.wanted_links {
             self.membership.set_wanted_links(wanted.iter().cloned());
             self.wanted_links = wanted;
--- a/crates/fireflywheel/src/settings/mod.rs
+++ b/crates/fireflywheel/src/settings/mod.rs
@@ -86,18 +86,18 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// `connections`: maximum number of concurrent caller connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// `header_bytes`: maximum size of a request's headers.
     pub header_bytes: usize,
     /// `body_bytes`: maximum size of a request's body.
     pub body_bytes: usize,
     /// `idle_ms`: maximum time without data in the middle of a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// `stream_buffer_bytes`: maximum size of the buffered part of an answer that its caller has not read
     /// yet.
     pub stream_buffer_bytes: usize,
     /// `queue`: maximum number of requests that wait at this instance for one model, adapter or route.
-    pub queue: usize,
+    pub max_queue: usize,
 }
 
 /// Intervals and timeouts.
@@ -221,12 +221,12 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connections: 1024,
+            max_connections: 1024,
             header_bytes: 16 << 10,
             body_bytes: 1 << 20,
-            idle: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(10),
             stream_buffer_bytes: 64 << 10,
-            queue: 1024,
+            max_queue: 1024,
         }
     }
 }
--- a/crates/fireflywheel/src/settings/parse.rs
+++ b/crates/fireflywheel/src/settings/parse.rs
@@ -156,24 +156,24 @@
     let mut reader = field::Reader::new(section, faults);
     let default = Limits::default();
     let limits = Limits {
-        connections: reader
+        max_connections: reader
             .optional_integer("connections", CONNECTIONS_RANGE)
-            .unwrap_or(default.connections),
+            .unwrap_or(default.max_connections),
         header_bytes: reader
             .optional_integer("header_bytes", HEADER_BYTES_RANGE)
             .unwrap_or(default.header_bytes),
         body_bytes: reader
             .optional_integer("body_bytes", BODY_BYTES_RANGE)
             .unwrap_or(default.body_bytes),
-        idle: reader
+        idle_timeout: reader
             .optional_millis("idle_ms", INTERVAL_MS_RANGE)
-            .unwrap_or(default.idle),
+            .unwrap_or(default.idle_timeout),
         stream_buffer_bytes: reader
             .optional_integer("stream_buffer_bytes", STREAM_BUFFER_BYTES_RANGE)
             .unwrap_or(default.stream_buffer_bytes),
-        queue: reader
+        max_queue: reader
             .optional_integer("queue", QUEUE_RANGE)
-            .unwrap_or(default.queue),
+            .unwrap_or(default.max_queue),
     };
     reader.finish();
     limits
--- a/crates/fireflywheel/tests/deadlines.rs
+++ b/crates/fireflywheel/tests/deadlines.rs
@@ -33,7 +33,7 @@
 #[test]
 fn call_is_refused_at_once_if_load_exceeds_deadline() {
     let mut world = world(16, 2_000);
-    let call = world.ask(0, "m0", 500);
+    let call = world.request_model(0, "m0", 500);
     let refusal = refusal_on_arrival(&world, call).expect("the call should be refused on arrival");
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
     assert!(
@@ -50,9 +50,11 @@
 #[test]
 fn call_is_refused_at_once_if_queue_exceeds_deadline() {
     let mut world = world(16, 100);
-    world.ask(0, "m0", 5_000);
+    world.request_model(0, "m0", 5_000);
     world.run(1_000, |_| {});
-    let calls: Vec<usize> = (0..200).map(|_| world.ask(0, "m0", 600)).collect();
+    let calls: Vec<usize> = (0..200)
+        .map(|_| world.request_model(0, "m0", 600))
+        .collect();
     let at_once = calls
         .iter()
         .filter(|call| refusal_on_arrival(&world, **call).is_some())
--- a/crates/fireflywheel/tests/limits.rs
+++ b/crates/fireflywheel/tests/limits.rs
@@ -21,7 +21,7 @@
     world.service_ms = 300;
     world.publish(0, &document());
     world.start_serving();
-    world.ask(0, "m0", 5_000);
+    world.request_model(0, "m0", 5_000);
     world.run(6_000, |_| {});
     world
 }
@@ -34,8 +34,8 @@
         .sum()
 }
 
-fn ask_as(world: &mut World, node: usize, tenant: &str) -> usize {
-    ask_within(world, node, tenant, 5_000)
+fn request_as(world: &mut World, node: usize, tenant: &str) -> usize {
+    request_within(world, node, tenant, 5_000)
 }
 
 /// A tenant sends bursts to one instance or to all. If each instance counted only its own requests, four
@@ -49,7 +49,7 @@
         for round in 0..20 {
             for call in 0..60 {
                 let node = if round < 10 { 0 } else { call % 4 };
-                ask_as(&mut world, node, "t");
+                request_as(&mut world, node, "t");
             }
             world.run(700, |world| {
                 assert!(
@@ -67,7 +67,7 @@
         world.run(6_000, |_| {});
         for round in 0..3 {
             for _ in 0..60 {
-                ask_as(&mut world, 0, "t");
+                request_as(&mut world, 0, "t");
             }
             world.run(100 + round, |_| {});
             most_at_one = most_at_one.max(requests_running(&world));
@@ -88,10 +88,10 @@
     let mut calls_of_u = Vec::new();
     for _ in 0..30 {
         for call in 0..80 {
-            ask_as(&mut world, call % 4, "t");
+            request_as(&mut world, call % 4, "t");
         }
         for node in 0..4 {
-            calls_of_u.push(ask_as(&mut world, node, "u"));
+            calls_of_u.push(request_as(&mut world, node, "u"));
         }
         world.run(400, |_| {});
     }
@@ -102,15 +102,15 @@
     assert_eq!(served.count(), calls_of_u.len());
 }
 
-/// An instance dies while it holds credits, and another becomes the home of the limit. The credits that the
-/// old home lent may still be in use, so the new one must not lend them again.
+/// An instance dies while it holds credits, and another becomes the lender of the limit. The credits that the
+/// old lender lent may still be in use, so the new one must not lend them again.
 #[test]
 fn limit_holds_while_its_home_moves() {
     for seed in 0..8 {
         let mut world = world(seed);
         for round in 0..16 {
             for call in 0..60 {
-                ask_as(&mut world, call % 4, "t");
+                request_as(&mut world, call % 4, "t");
             }
             if round == 3 {
                 world.kill(seed as usize % 4);
@@ -145,7 +145,7 @@
     );
     world.start_serving();
     for _ in 0..30 {
-        ask_as(&mut world, 0, "t");
+        request_as(&mut world, 0, "t");
     }
     world.run(6_000, |_| {});
     let queue_full = world.calls.iter().filter(|call| {
@@ -154,7 +154,7 @@
     });
     assert_eq!(queue_full.count(), 20);
     for _ in 0..10 {
-        ask_as(&mut world, 0, "t");
+        request_as(&mut world, 0, "t");
     }
     world.run(6_000, |_| {});
     let served = world
@@ -180,16 +180,16 @@
         .replace("slots = 64", "slots = 16");
     world.publish(0, &text);
     world.start_serving();
-    ask_within(&mut world, 0, "u", 5_000);
+    request_within(&mut world, 0, "u", 5_000);
     world.run(6_000, |_| {});
     // 16 slots of 100 ms serve 160 requests per second.
     let mut modest = Vec::new();
     for step in 0..400 {
         for call in 0..8 {
-            ask_within(&mut world, call % 2, "t", 1_000);
+            request_within(&mut world, call % 2, "t", 1_000);
         }
         if step % 5 < 2 {
-            modest.push(ask_within(&mut world, step % 2, "u", 1_000));
+            modest.push(request_within(&mut world, step % 2, "u", 1_000));
         }
         world.run(10, |_| {});
     }
@@ -205,7 +205,7 @@
     );
 }
 
-fn ask_within(world: &mut World, node: usize, tenant: &str, deadline_ms: u64) -> usize {
+fn request_within(world: &mut World, node: usize, tenant: &str, deadline_ms: u64) -> usize {
     let id = smol_str::format_smolstr!("r{}", world.calls.len());
     let target = fireflywheel::request::Target::Model {
         model: SmolStr::new_static("m0"),
--- a/crates/fireflywheel/tests/policy/fleet.rs
+++ b/crates/fireflywheel/tests/policy/fleet.rs
@@ -659,10 +659,10 @@
             self.outcome.loads += u64::from(command.item.adapter.is_none());
         }
         match engine.take(command, 1.0) {
-            engine::Taken::Now(answer) => {
+            engine::OrderResult::Now(answer) => {
                 self.schedule(NETWORK_DELAY_MS, Event::Answer(epoch, attempt, answer));
             }
-            engine::Taken::Work { work, wait_ms } => {
+            engine::OrderResult::InProgress { work, wait_ms } => {
                 self.schedule(wait_ms, Event::WorkDone(epoch, attempt, server, work));
             }
         }
--- a/crates/fireflywheel/tests/settings.rs
+++ b/crates/fireflywheel/tests/settings.rs
@@ -112,8 +112,8 @@
     let settings = settings::Settings::parse(&format!("{BASE}{more}")).unwrap();
     assert_eq!(settings.listen.caller.to_string(), "[::1]:0");
     assert_eq!(settings.listen.advertise.unwrap().port(), 9);
-    assert_eq!(settings.limits.queue, 7);
-    assert_eq!(settings.limits.idle.as_millis(), 20);
+    assert_eq!(settings.limits.max_queue, 7);
+    assert_eq!(settings.limits.idle_timeout.as_millis(), 20);
     assert_eq!(settings.timing.dead_timeout.as_millis(), 52);
     assert_eq!(settings.timing.checkpoint_interval.as_secs(), 3);
     assert_eq!(settings.log.format, settings::Format::Json);
--- a/crates/fireflywheel/tests/slopes.rs
+++ b/crates/fireflywheel/tests/slopes.rs
@@ -439,7 +439,7 @@
     world.start_serving();
     let steward = world.steward("g").expect("the group has a steward");
     let other = (steward + 1) % 4;
-    world.ask(other, "m0", 4_000);
+    world.request_model(other, "m0", 4_000);
     let loading = world.run_until(3_000, |world| world.loads > 0, |_| {});
     assert!(loading, "{:?}", world.notices);
     world.run(seed % LOAD_MS, |_| {});
@@ -449,10 +449,13 @@
     let mut pinned = Pinned::default();
     for step in 0..RUN_MS / STEP_MS {
         if asked && step % 10 == 0 {
-            world.ask(other, "m0", 3_000);
+            world.request_model(other, "m0", 3_000);
         }
         world.run(STEP_MS, |_| {});
-        let node = world.seats[other].node.as_ref().expect("the instance runs");
+        let node = world.instances[other]
+            .node
+            .as_ref()
+            .expect("the instance runs");
         let seconds = STEP_MS as f64 / 1_000.0;
         for right in node.status().rights.iter().filter(|right| right.pins > 0) {
             pinned.all += right.memory_mb as f64 * seconds;
--- a/crates/fireflywheel/tests/stewards.rs
+++ b/crates/fireflywheel/tests/stewards.rs
@@ -75,7 +75,7 @@
             let mut world = start_world(1, 15, 4, cap, $fenced);
             for index in 0..15 {
                 for _ in 0..4 {
-                    world.ask(index, "m0", 4_000);
+                    world.request_model(index, "m0", 4_000);
                 }
             }
             world.run(5_000, |world| assert_limits(world, cap as usize));
@@ -100,9 +100,9 @@
     use rand::Rng;
     let end = world.now + ms;
     while world.now < end {
-        let index = world.rng.random_range(0..world.seats.len());
+        let index = world.rng.random_range(0..world.instances.len());
         let model = format!("m{}", world.rng.random_range(0..models));
-        world.ask(index, &model, 3_000);
+        world.request_model(index, &model, 3_000);
         world.run(25, |world| assert_limits(world, cap));
     }
 }
@@ -127,7 +127,7 @@
             let mut world = start_world(seed, 4, 3, cap, fenced);
             let steward = world.steward("g").expect("a steward");
             let requested = (steward + 1) % 4;
-            world.ask(requested, "m0", 5_000);
+            world.request_model(requested, "m0", 5_000);
             // The whole cold start takes about 310 ms; most of it is the load.
             world.run(seed % 12, |world| assert_limits(world, cap as usize));
             world.kill(steward);
@@ -152,10 +152,10 @@
         for seed in 0..40 {
             let mut world = start_world(seed, 4, 2, 1, fenced);
             let steward = world.steward("g").expect("a steward");
-            world.seats[steward].pause_at_order = true;
+            world.instances[steward].pause_at_order = true;
             let requested = (steward + 1) % 4;
-            world.ask(requested, "m0", 5_000);
-            let paused = world.run_until(1_000, |world| world.seats[steward].paused, |_| {});
+            world.request_model(requested, "m0", 5_000);
+            let paused = world.run_until(1_000, |world| world.instances[steward].paused, |_| {});
             assert!(paused, "no order was sent");
             let has_successor = world.run_until(
                 8_000,
@@ -185,8 +185,8 @@
                 run_traffic_for(&mut world, 600, 1, 10);
                 let index = world.rng.random_range(0..4);
                 match world.rng.random_range(0..7) {
-                    0 if world.seats[index].node.is_some() => world.kill(index),
-                    1 if world.seats[index].node.is_none() => world.start_node(index),
+                    0 if world.instances[index].node.is_some() => world.kill(index),
+                    1 if world.instances[index].node.is_none() => world.start_node(index),
                     2 => world.pause(index),
                     3 => world.resume(index),
                     4 => world.log.answers_to_lose = 1,
@@ -195,15 +195,15 @@
                         let engine = world.engines.values_mut().nth(engine).expect("an engine");
                         engine.restart();
                     }
-                    _ => world.log.out = !world.log.out,
+                    _ => world.log.is_down = !world.log.is_down,
                 }
             }
-            world.log.out = false;
+            world.log.is_down = false;
             world.delay_orders = (0.0, 0);
             world.lose_order_answers = 0.0;
             for index in 0..4 {
                 world.resume(index);
-                if world.seats[index].node.is_none() {
+                if world.instances[index].node.is_none() {
                     world.start_node(index);
                 }
             }
@@ -227,22 +227,22 @@
     for seed in 0..10 {
         let mut world = start_world(seed, 4, 3, 1, true);
         for index in 0..4 {
-            world.ask(index, "m0", 3_000);
+            world.request_model(index, "m0", 3_000);
         }
         world.run(1_000, |world| assert_limits(world, 1));
         let steward = world.steward("g").expect("a steward");
         let version = world.version(0);
         let lagging = (steward + 2) % 4;
-        world.cut(lagging, false, true);
+        world.disconnect(lagging, false, true);
         world.publish(version, &document(2, "checked"));
         world.run(1_000, |world| assert_limits(world, 2));
-        world.log.out = true;
+        world.log.is_down = true;
         world.run(3_000, |world| assert_limits(world, 2));
         world.kill(steward);
         let served_before = count_served(&world);
         for _ in 0..30 {
             let index = (steward + 1) % 4;
-            world.ask(index, "m0", 1_000);
+            world.request_model(index, "m0", 1_000);
             world.run(100, |world| assert_limits(world, 2));
         }
         assert_eq!(
@@ -250,7 +250,7 @@
             served_before + 30,
             "a loaded model must serve through the outage"
         );
-        world.log.out = false;
+        world.log.is_down = false;
         // The surviving instances write a checkpoint after a number of records; then the log drops the old records.
         world.run(25_000, |world| assert_limits(world, 2));
         let keep = world.log.records.len() / 2;
@@ -260,7 +260,7 @@
             newest > version,
             "an instance that is disconnected from the log must follow its peers"
         );
-        world.cut(lagging, false, false);
+        world.disconnect(lagging, false, false);
         world.start_node(steward);
         world.run(4_000, |world| assert_limits(world, 2));
         assert!(world.ready(), "{:?}", world.notices);
@@ -279,7 +279,7 @@
     world.service_ms = 300;
     for _ in 0..400 {
         let index = world.now as usize % 3;
-        world.ask(index, "m0", 6_000);
+        world.request_model(index, "m0", 6_000);
         world.run(4, |world| assert_limits(world, 3));
     }
     world.run(2_000, |world| assert_limits(world, 3));
@@ -291,7 +291,7 @@
     let mut least = before;
     for _ in 0..300 {
         let index = world.now as usize % 3;
-        world.ask(index, "m0", 3_000);
+        world.request_model(index, "m0", 3_000);
         world.run(10, |world| {
             let now = world.replicas("m0");
             assert!(
@@ -318,9 +318,9 @@
     for seed in 0..10 {
         let mut world = start_world(seed, 4, 3, 1, true);
         let steward = world.steward("g").expect("a steward");
-        world.cut(steward, false, true);
-        let call = world.ask((steward + 1) % 4, "m0", 5_000);
-        let call_at_steward = world.ask(steward, "m0", 5_000);
+        world.disconnect(steward, false, true);
+        let call = world.request_model((steward + 1) % 4, "m0", 5_000);
+        let call_at_steward = world.request_model(steward, "m0", 5_000);
         world.run(5_000, |world| assert_limits(world, 1));
         for call in [call, call_at_steward] {
             let ended = &world.calls[call].ended;
@@ -353,8 +353,8 @@
     world.start();
     let mut halfway = false;
     let ready = world.run_until(5_000, World::ready, |world| {
-        for seat in &world.seats {
-            let Some(node) = &seat.node else { continue };
+        for instance in &world.instances {
+            let Some(node) = &instance.node else { continue };
             halfway |= node.version() > 0 && node.version() < version;
             let ready = node.check_ready().is_ok();
             assert!(
@@ -376,7 +376,7 @@
     for round in 0..6 {
         for index in 0..15 {
             for _ in 0..2 {
-                world.ask(index, "m0", 20_000);
+                world.request_model(index, "m0", 20_000);
             }
         }
         world.run(250 + round, |world| assert_limits(world, 2));
@@ -402,7 +402,7 @@
         let version = world.version(0);
         world.publish(version, &text);
         world.run(50, |_| {});
-        world.ask(0, "m0", 5_000);
+        world.request_model(0, "m0", 5_000);
         world.run(5 + seed * 17, |world| assert_limits(world, 1));
         let holding = world
             .engines
@@ -416,7 +416,7 @@
         world.run(1, |world| assert_limits(world, 1));
         world.engines.remove(&address);
         world.run(14_000, |world| assert_limits(world, 1));
-        let call = world.ask(1, "m0", 5_000);
+        let call = world.request_model(1, "m0", 5_000);
         world.run(5_000, |world| assert_limits(world, 1));
         let ended = &world.calls[call].ended;
         assert!(
@@ -439,7 +439,7 @@
     world.start_serving();
     let started_at = world.now;
     for model in 0..8 {
-        world.ask(model % 3, &format!("m{model}"), 20_000);
+        world.request_model(model % 3, &format!("m{model}"), 20_000);
     }
     world.run(12_000, |world| {
         assert_limits(world, 1);
--- a/crates/fireflywheel/tests/world/engine.rs
+++ b/crates/fireflywheel/tests/world/engine.rs
@@ -37,9 +37,9 @@
     pub usable: bool,
 }
 
-pub enum Taken {
+pub enum OrderResult {
     Now(order::Answer),
-    Work { work: u64, wait_ms: u64 },
+    InProgress { work: u64, wait_ms: u64 },
 }
 
 pub enum Finish {
@@ -68,16 +68,16 @@
         self.running.clear();
     }
 
-    pub fn take(&mut self, command: &order::Command, slowness: f64) -> Taken {
+    pub fn take(&mut self, command: &order::Command, slowness: f64) -> OrderResult {
         if self.fenced && command.fencing < self.highest_fencing {
-            return Taken::Now(order::Answer::Stale);
+            return OrderResult::Now(order::Answer::Stale);
         }
         if self.fenced && command.fencing > self.highest_fencing {
             self.highest_fencing = command.fencing;
             self.cancel(&command.item);
         }
         match command.kind {
-            order::Kind::Query => Taken::Now(self.done_answer()),
+            order::Kind::Query => OrderResult::Now(self.done_answer()),
             order::Kind::Load => self.start_load(command, slowness),
             order::Kind::Unload => self.start_unload(command),
         }
@@ -89,10 +89,10 @@
         command.kind == order::Kind::Load && !is_stale && !self.loaded.contains_key(&command.item)
     }
 
-    fn start_load(&mut self, command: &order::Command, slowness: f64) -> Taken {
+    fn start_load(&mut self, command: &order::Command, slowness: f64) -> OrderResult {
         if let Some(replica) = self.loaded.get_mut(&command.item) {
             if replica.usable {
-                return Taken::Now(self.done_answer());
+                return OrderResult::Now(self.done_answer());
             }
         } else {
             let replica = Replica {
@@ -105,9 +105,9 @@
         self.start_work(command, wait_ms)
     }
 
-    fn start_unload(&mut self, command: &order::Command) -> Taken {
+    fn start_unload(&mut self, command: &order::Command) -> OrderResult {
         match self.loaded.get_mut(&command.item) {
-            None => Taken::Now(self.done_answer()),
+            None => OrderResult::Now(self.done_answer()),
             Some(replica) => {
                 replica.usable = false;
                 self.start_work(command, 1)
@@ -115,11 +115,11 @@
         }
     }
 
-    fn start_work(&mut self, command: &order::Command, wait_ms: u64) -> Taken {
+    fn start_work(&mut self, command: &order::Command, wait_ms: u64) -> OrderResult {
         self.started_count += 1;
         let work = (command.clone(), self.boot);
         self.in_progress.insert(self.started_count, work);
-        Taken::Work {
+        OrderResult::InProgress {
             work: self.started_count,
             wait_ms,
         }
--- a/crates/fireflywheel/tests/world/log.rs
+++ b/crates/fireflywheel/tests/world/log.rs
@@ -9,7 +9,7 @@
     pub records: VecDeque<record::Stored>,
     pub next: u64,
     /// Whether the log is unreachable: appends are refused, and reads fail.
-    pub out: bool,
+    pub is_down: bool,
     /// Maximum number of records that one read returns.
     pub page: Option<usize>,
     /// The number of next appends whose answers are lost.
--- a/crates/fireflywheel/tests/world/mod.rs
+++ b/crates/fireflywheel/tests/world/mod.rs
@@ -64,7 +64,7 @@
 }
 
 /// One instance, whose process may be replaced by another.
-pub struct Seat {
+pub struct Instance {
     pub name: SmolStr,
     pub node: Option<node::Node>,
     /// Rises with each start and each end of a process.
@@ -111,7 +111,7 @@
 
 pub struct World {
     pub now: u64,
-    pub seats: Vec<Seat>,
+    pub instances: Vec<Instance>,
     pub log: log::Log,
     pub engines: BTreeMap<SmolStr, engine::Engine>,
     pub calls: Vec<Call>,
@@ -155,7 +155,7 @@
     pub fn new(seed: u64, nodes: usize) -> Self {
         let mut world = Self {
             now: 1_000,
-            seats: Vec::new(),
+            instances: Vec::new(),
             log: log::Log::default(),
             engines: BTreeMap::new(),
             calls: Vec::new(),
@@ -174,7 +174,7 @@
             timing: timing(),
         };
         for index in 0..nodes {
-            world.seats.push(Seat {
+            world.instances.push(Instance {
                 name: format_smolstr!("i{index:02}"),
                 node: None,
                 incarnation: 0,
@@ -221,7 +221,7 @@
 
     /// Starts every instance.
     pub fn start(&mut self) {
-        for index in 0..self.seats.len() {
+        for index in 0..self.instances.len() {
             self.start_node(index);
         }
     }
@@ -237,20 +237,20 @@
     /// Starts a process for an instance that has none.
     pub fn start_node(&mut self, index: usize) {
         let seeds = self
-            .seats
+            .instances
             .iter()
             .take(2)
-            .map(|seat| address(&seat.name))
+            .map(|instance| address(&instance.name))
             .collect();
-        let seat = &mut self.seats[index];
-        seat.incarnation += 1;
+        let instance = &mut self.instances[index];
+        instance.incarnation += 1;
         let by = record::Incarnation {
-            instance: seat.name.clone(),
+            instance: instance.name.clone(),
             number: 1_700_000_000_000 + self.now,
         };
         let options = node::Options {
             incarnation: by,
-            address: address(&seat.name),
+            address: address(&instance.name),
             failure_domain: SmolStr::new_static("fd1"),
             seeds,
             max_queue: 1000,
@@ -260,28 +260,28 @@
         let mut node = node::Node::new(options);
         let mut out = Vec::new();
         node.start(clock::Instant(self.now), &mut out);
-        seat.node = Some(node);
-        seat.paused = false;
-        seat.exited = false;
-        seat.links.clear();
-        seat.inbox.clear();
-        seat.held_effects.clear();
-        seat.read_position = None;
-        seat.is_polling = false;
-        let incarnation = seat.incarnation;
+        instance.node = Some(node);
+        instance.paused = false;
+        instance.exited = false;
+        instance.links.clear();
+        instance.inbox.clear();
+        instance.held_effects.clear();
+        instance.read_position = None;
+        instance.is_polling = false;
+        let incarnation = instance.incarnation;
         self.apply_effects(index, out);
         self.schedule(TICK_INTERVAL_MS, Step::Tick(index, incarnation));
     }
 
     /// Kills a process: its links end, and its requests get no answer.
     pub fn kill(&mut self, index: usize) {
-        let seat = &mut self.seats[index];
-        seat.node = None;
-        seat.incarnation += 1;
-        seat.held_effects.clear();
-        seat.inbox.clear();
-        let open_requests = std::mem::take(&mut seat.open_requests);
-        let links = std::mem::take(&mut seat.links);
+        let instance = &mut self.instances[index];
+        instance.node = None;
+        instance.incarnation += 1;
+        instance.held_effects.clear();
+        instance.inbox.clear();
+        let open_requests = std::mem::take(&mut instance.open_requests);
+        let links = std::mem::take(&mut instance.links);
         for (call, _) in open_requests.into_values() {
             self.calls[call].ended = Some((self.now, End::Lost));
         }
@@ -291,17 +291,17 @@
     }
 
     pub fn pause(&mut self, index: usize) {
-        self.seats[index].paused = true;
+        self.instances[index].paused = true;
     }
 
     /// Resumes a paused process: its held effects are applied first, then its waiting events are delivered.
     pub fn resume(&mut self, index: usize) {
-        let seat = &mut self.seats[index];
-        seat.paused = false;
-        seat.pause_at_order = false;
-        let held_effects = std::mem::take(&mut seat.held_effects);
-        let inbox = std::mem::take(&mut seat.inbox);
-        let incarnation = seat.incarnation;
+        let instance = &mut self.instances[index];
+        instance.paused = false;
+        instance.pause_at_order = false;
+        let held_effects = std::mem::take(&mut instance.held_effects);
+        let inbox = std::mem::take(&mut instance.inbox);
+        let incarnation = instance.incarnation;
         self.apply_effects(index, held_effects);
         for event in inbox {
             self.deliver(index, incarnation, event);
@@ -309,7 +309,7 @@
     }
 
     pub fn stop(&mut self, index: usize) {
-        let incarnation = self.seats[index].incarnation;
+        let incarnation = self.instances[index].incarnation;
         self.deliver(index, incarnation, event::Event::Stop);
     }
 
@@ -326,20 +326,20 @@
         });
         let id = arrival.id.clone();
         let now = clock::Instant(self.now);
-        let seat = &mut self.seats[index];
-        let Some(node) = seat.node.as_mut().filter(|_| !seat.paused) else {
+        let instance = &mut self.instances[index];
+        let Some(node) = instance.node.as_mut().filter(|_| !instance.paused) else {
             self.calls[call].ended = Some((self.now, End::Lost));
             return call;
         };
         let mut out = Vec::new();
         let admitted = node.handle_arrival(now, arrival, &mut out);
-        seat.open_requests.insert(admitted.key, (call, id));
+        instance.open_requests.insert(admitted.key, (call, id));
         self.apply_effects(index, out);
         call
     }
 
     /// Sends a request for a model, or for an adapter written as `MODEL:ADAPTER`.
-    pub fn ask(&mut self, index: usize, model: &str, deadline_ms: u64) -> usize {
+    pub fn request_model(&mut self, index: usize, model: &str, deadline_ms: u64) -> usize {
         let id = format_smolstr!("r{}", self.calls.len());
         let (model, adapter) = match model.split_once(':') {
             Some((model, adapter)) => (model, Some(SmolStr::new(adapter))),
@@ -422,7 +422,10 @@
 
     /// The index of the instance that is the steward of a group, by the ledger that covers most of the log.
     pub fn steward(&self, group: &str) -> Option<usize> {
-        let nodes = self.seats.iter().filter_map(|seat| seat.node.as_ref());
+        let nodes = self
+            .instances
+            .iter()
+            .filter_map(|instance| instance.node.as_ref());
         let statuses = nodes.map(node::Node::status);
         let newest = statuses.max_by_key(|status| status.log.next)?;
         let holder = newest
@@ -431,18 +434,23 @@
             .find(|steward| steward.group == group)?
             .by
             .clone();
-        self.seats.iter().position(|seat| seat.name == holder)
+        self.instances
+            .iter()
+            .position(|instance| instance.name == holder)
     }
 
     pub fn version(&self, index: usize) -> u64 {
-        self.seats[index]
+        self.instances[index]
             .node
             .as_ref()
             .map_or(0, node::Node::version)
     }
 
     pub fn ready(&self) -> bool {
-        let nodes = self.seats.iter().filter_map(|seat| seat.node.as_ref());
+        let nodes = self
+            .instances
+            .iter()
+            .filter_map(|instance| instance.node.as_ref());
         nodes.into_iter().all(|node| node.check_ready().is_ok())
     }
 
@@ -456,8 +464,9 @@
     fn execute(&mut self, step: Step) {
         match step {
             Step::Tick(index, incarnation) => {
-                if self.seats[index].incarnation == incarnation && !self.seats[index].exited {
-                    if !self.seats[index].paused {
+                if self.instances[index].incarnation == incarnation && !self.instances[index].exited
+                {
+                    if !self.instances[index].paused {
                         self.deliver(index, incarnation, event::Event::Tick);
                     }
                     self.schedule(TICK_INTERVAL_MS, Step::Tick(index, incarnation));
@@ -500,15 +509,15 @@
 
     fn deliver(&mut self, index: usize, incarnation: u64, event: event::Event) {
         let now = clock::Instant(self.now);
-        let seat = &mut self.seats[index];
-        if seat.incarnation != incarnation || seat.exited {
+        let instance = &mut self.instances[index];
+        if instance.incarnation != incarnation || instance.exited {
             return;
         }
-        if seat.paused {
-            seat.inbox.push(event);
+        if instance.paused {
+            instance.inbox.push(event);
             return;
         }
-        let Some(node) = seat.node.as_mut() else {
+        let Some(node) = instance.node.as_mut() else {
             return;
         };
         let mut out = Vec::new();
@@ -518,13 +527,13 @@
 
     fn apply_effects(&mut self, index: usize, effects: Vec<effect::Effect>) {
         for effect in effects {
-            let seat = &mut self.seats[index];
+            let instance = &mut self.instances[index];
             let is_order = matches!(effect, effect::Effect::Order { .. });
-            if seat.pause_at_order && is_order {
-                seat.paused = true;
+            if instance.pause_at_order && is_order {
+                instance.paused = true;
             }
-            if seat.paused {
-                seat.held_effects.push(effect);
+            if instance.paused {
+                instance.held_effects.push(effect);
                 continue;
             }
             self.apply_effect(index, effect);
@@ -532,24 +541,24 @@
     }
 
     fn apply_effect(&mut self, index: usize, effect: effect::Effect) {
-        let incarnation = self.seats[index].incarnation;
+        let incarnation = self.instances[index].incarnation;
         match effect {
             effect::Effect::Append(body) => {
                 self.schedule(HOP_MS, Step::Append(index, incarnation, body));
             }
             effect::Effect::ReadFrom(from) => {
-                self.seats[index].read_position = Some(from);
+                self.instances[index].read_position = Some(from);
                 self.wake_reader(index);
             }
             effect::Effect::Connect { address, .. } => self.open_link(index, &address),
             effect::Effect::Disconnect(peer) => {
-                let name = self.seats[index].name.clone();
-                if self.seats[index].links.remove(&peer) {
+                let name = self.instances[index].name.clone();
+                if self.instances[index].links.remove(&peer) {
                     self.remove_link(&peer, &name);
                 }
             }
             effect::Effect::Send { to, frame } => self.send(index, &to, frame),
-            effect::Effect::PollReports(servers) => self.seats[index].polled_servers = servers,
+            effect::Effect::PollReports(servers) => self.instances[index].polled_servers = servers,
             effect::Effect::Order {
                 attempt_id,
                 server,
@@ -591,21 +600,21 @@
             }
             effect::Effect::Notice(notice) => self.notices.push(notice.text),
             effect::Effect::Exit => {
-                self.seats[index].exited = true;
+                self.instances[index].exited = true;
                 self.kill(index);
-                self.seats[index].exited = true;
+                self.instances[index].exited = true;
             }
         }
     }
 
     fn end(&mut self, index: usize, request: request::Key, end: End) {
-        if let Some((call, _)) = self.seats[index].open_requests.remove(&request) {
+        if let Some((call, _)) = self.instances[index].open_requests.remove(&request) {
             self.calls[call].ended = Some((self.now, end));
         }
     }
 
     fn append(&mut self, index: usize, incarnation: u64, body: String) {
-        let answer = if self.seats[index].cut_log || self.log.out {
+        let answer = if self.instances[index].cut_log || self.log.is_down {
             writer::Answer::Refused
         } else {
             let offset = self.log.append(self.now, body);
@@ -623,46 +632,49 @@
     }
 
     fn wake_readers(&mut self) {
-        for index in 0..self.seats.len() {
+        for index in 0..self.instances.len() {
             self.wake_reader(index);
         }
     }
 
     fn wake_reader(&mut self, index: usize) {
-        let seat = &mut self.seats[index];
-        if seat.node.is_some() && !seat.is_polling {
-            seat.is_polling = true;
-            let incarnation = seat.incarnation;
+        let instance = &mut self.instances[index];
+        if instance.node.is_some() && !instance.is_polling {
+            instance.is_polling = true;
+            let incarnation = instance.incarnation;
             self.schedule(HOP_MS, Step::Poll(index, incarnation));
         }
     }
 
     fn poll(&mut self, index: usize, incarnation: u64) {
-        let seat = &mut self.seats[index];
-        if seat.incarnation != incarnation {
+        let instance = &mut self.instances[index];
+        if instance.incarnation != incarnation {
             return;
         }
-        seat.is_polling = false;
-        let Some(from) = seat.read_position else {
+        instance.is_polling = false;
+        let Some(from) = instance.read_position else {
             return;
         };
-        if self.log.out || seat.cut_log {
-            seat.is_polling = true;
+        if self.log.is_down || instance.cut_log {
+            instance.is_polling = true;
             self.schedule(POLL_RETRY_DELAY_MS, Step::Poll(index, incarnation));
             return self.deliver(index, incarnation, event::Event::LogReadFailed);
         }
-        if seat.paused {
-            seat.is_polling = true;
+        if instance.paused {
+            instance.is_polling = true;
             return self.schedule(POLL_RETRY_DELAY_MS, Step::Poll(index, incarnation));
         }
         let (first, next, records) = self.log.read(from);
-        seat.read_position = Some(
+        instance.read_position = Some(
             records
                 .last()
                 .map_or(from.max(first), |last| last.offset + 1),
         );
-        if seat.read_position.is_some_and(|position| position < next) {
-            seat.is_polling = true;
+        if instance
+            .read_position
+            .is_some_and(|position| position < next)
+        {
+            instance.is_polling = true;
             self.schedule(2 * HOP_MS, Step::Poll(index, incarnation));
         }
         let event = event::Event::LogRead {
@@ -674,39 +686,46 @@
     }
 
     fn open_link(&mut self, index: usize, peer_address: &SmolStr) {
-        let has_address = |seat: &Seat| address(&seat.name) == *peer_address;
-        let Some(peer) = self.seats.iter().position(has_address) else {
+        let has_address = |instance: &Instance| address(&instance.name) == *peer_address;
+        let Some(peer) = self.instances.iter().position(has_address) else {
             return;
         };
-        let is_reachable = |seat: &Seat| seat.node.is_some() && !seat.cut_peers && !seat.paused;
-        if peer == index || !is_reachable(&self.seats[peer]) || !is_reachable(&self.seats[index]) {
+        let is_reachable = |instance: &Instance| {
+            instance.node.is_some() && !instance.cut_peers && !instance.paused
+        };
+        if peer == index
+            || !is_reachable(&self.instances[peer])
+            || !is_reachable(&self.instances[index])
+        {
             return;
         }
         let (here, there) = (
-            self.seats[index].name.clone(),
-            self.seats[peer].name.clone(),
+            self.instances[index].name.clone(),
+            self.instances[peer].name.clone(),
         );
-        if !self.seats[index].links.insert(there) {
+        if !self.instances[index].links.insert(there) {
             return;
         }
-        self.seats[peer].links.insert(here);
+        self.instances[peer].links.insert(here);
         let (a, b) = (self.own_update(index), self.own_update(peer));
-        let (incarnation_a, incarnation_b) =
-            (self.seats[index].incarnation, self.seats[peer].incarnation);
+        let (incarnation_a, incarnation_b) = (
+            self.instances[index].incarnation,
+            self.instances[peer].incarnation,
+        );
         let up = |update| Box::new(event::Event::LinkUp(update));
         self.schedule(HOP_MS, Step::Event(index, incarnation_a, up(b)));
         self.schedule(HOP_MS, Step::Event(peer, incarnation_b, up(a)));
     }
 
     fn own_update(&self, index: usize) -> member::Update {
-        let seat = &self.seats[index];
-        let status = seat.node.as_ref().map(node::Node::status);
+        let instance = &self.instances[index];
+        let status = instance.node.as_ref().map(node::Node::status);
         member::Update {
             by: record::Incarnation {
-                instance: seat.name.clone(),
+                instance: instance.name.clone(),
                 number: status.map_or(0, |status| status.incarnation),
             },
-            address: address(&seat.name),
+            address: address(&instance.name),
             failure_domain: SmolStr::new_static("fd1"),
             state: member::State::Alive,
             refutation: 0,
@@ -714,14 +733,14 @@
     }
 
     /// Sets whether an instance is disconnected from its peers and from the log.
-    pub fn cut(&mut self, index: usize, peers: bool, log: bool) {
-        self.seats[index].cut_peers = peers;
-        self.seats[index].cut_log = log;
+    pub fn disconnect(&mut self, index: usize, peers: bool, log: bool) {
+        self.instances[index].cut_peers = peers;
+        self.instances[index].cut_log = log;
         // A long poll notices the lost connection at once.
         self.wake_reader(index);
         if peers {
-            for peer in std::mem::take(&mut self.seats[index].links) {
-                let name = self.seats[index].name.clone();
+            for peer in std::mem::take(&mut self.instances[index].links) {
+                let name = self.instances[index].name.clone();
                 self.remove_link(&name, &peer);
                 self.notify_link_down(index, &peer);
             }
@@ -730,35 +749,48 @@
 
     /// Ends the link to `index` at the peer.
     fn notify_link_down(&mut self, index: usize, peer: &SmolStr) {
-        let name = self.seats[index].name.clone();
+        let name = self.instances[index].name.clone();
         self.remove_link(peer, &name);
     }
 
     /// Ends the link to `peer` at the instance `at`, and informs its node.
     fn remove_link(&mut self, at: &SmolStr, peer: &SmolStr) {
-        let Some(there) = self.seats.iter().position(|seat| seat.name == *at) else {
+        let Some(there) = self
+            .instances
+            .iter()
+            .position(|instance| instance.name == *at)
+        else {
             return;
         };
-        self.seats[there].links.remove(peer);
-        let Some(other) = self.seats.iter().position(|seat| seat.name == *peer) else {
+        self.instances[there].links.remove(peer);
+        let Some(other) = self
+            .instances
+            .iter()
+            .position(|instance| instance.name == *peer)
+        else {
             return;
         };
         let by = self.own_update(other).by;
-        let incarnation = self.seats[there].incarnation;
+        let incarnation = self.instances[there].incarnation;
         let event = Box::new(event::Event::LinkDown(by));
         self.schedule(HOP_MS, Step::Event(there, incarnation, event));
     }
 
     fn send(&mut self, index: usize, to: &SmolStr, frame: wire::Frame) {
-        let is_linked = self.seats[index].links.contains(to) && !self.seats[index].cut_peers;
-        let Some(peer) = self.seats.iter().position(|seat| seat.name == *to) else {
+        let is_linked =
+            self.instances[index].links.contains(to) && !self.instances[index].cut_peers;
+        let Some(peer) = self
+            .instances
+            .iter()
+            .position(|instance| instance.name == *to)
+        else {
             return;
         };
-        if !is_linked || self.seats[peer].cut_peers {
+        if !is_linked || self.instances[peer].cut_peers {
             return;
         }
         let from = self.own_update(index).by;
-        let incarnation = self.seats[peer].incarnation;
+        let incarnation = self.instances[peer].incarnation;
         let event = Box::new(event::Event::Frame { from, frame });
         self.schedule(HOP_MS, Step::Event(peer, incarnation, event));
     }
@@ -787,8 +819,10 @@
             engine.load_ms = store.start(self.now, server, &command.item);
         }
         match engine.take(command, slowness) {
-            engine::Taken::Now(answer) => self.answer_order(node, incarnation, attempt_id, answer),
-            engine::Taken::Work { work, wait_ms } => {
+            engine::OrderResult::Now(answer) => {
+                self.answer_order(node, incarnation, attempt_id, answer);
+            }
+            engine::OrderResult::InProgress { work, wait_ms } => {
                 self.loads += u64::from(command.kind == order::Kind::Load);
                 let server = server.clone();
                 self.schedule(
@@ -868,11 +902,11 @@
     }
 
     fn dispatch(&mut self, index: usize, request: request::Key, server: SmolStr) {
-        let incarnation = self.seats[index].incarnation;
-        let Some((_, id)) = self.seats[index].open_requests.get(&request).cloned() else {
+        let incarnation = self.instances[index].incarnation;
+        let Some((_, id)) = self.instances[index].open_requests.get(&request).cloned() else {
             return;
         };
-        let target = self.seats[index]
+        let target = self.instances[index]
             .node
             .as_ref()
             .and_then(|node| node.target(request));
@@ -925,7 +959,7 @@
         server: &SmolStr,
         boot: u64,
     ) {
-        let target = self.seats[index]
+        let target = self.instances[index]
             .node
             .as_ref()
             .and_then(|node| node.target(request));
@@ -933,7 +967,7 @@
             engine.end(target.as_ref());
             engine.boot == boot
         });
-        if self.seats[index].incarnation != incarnation {
+        if self.instances[index].incarnation != incarnation {
             return;
         }
         if !is_same_boot {
@@ -967,9 +1001,9 @@
 
     fn deliver_reports(&mut self) {
         let at_ms = self.now;
-        for index in 0..self.seats.len() {
-            let incarnation = self.seats[index].incarnation;
-            for server in self.seats[index].polled_servers.clone() {
+        for index in 0..self.instances.len() {
+            let incarnation = self.instances[index].incarnation;
+            for server in self.instances[index].polled_servers.clone() {
                 let event = match self.engines.get(&server) {
                     Some(engine) if !engine.frozen => event::Event::ReportReceived {
                         report: engine.report(at_ms),
@@ -983,17 +1017,17 @@
     }
 
     fn deliver_list(&mut self) {
-        let routers = self.seats.iter().map(|seat| report::ListEntry {
-            name: seat.name.clone(),
-            address: address(&seat.name),
+        let routers = self.instances.iter().map(|instance| report::ListEntry {
+            name: instance.name.clone(),
+            address: address(&instance.name),
             kind: report::Kind::Router,
             group: SmolStr::default(),
             failure_domain: SmolStr::new_static("fd1"),
             state: report::State::Live,
         });
         let entries: Vec<_> = routers.chain(self.listed.values().cloned()).collect();
-        for index in 0..self.seats.len() {
-            let incarnation = self.seats[index].incarnation;
+        for index in 0..self.instances.len() {
+            let incarnation = self.instances[index].incarnation;
             let event = Box::new(event::Event::InstancesListed(entries.clone()));
             self.schedule(HOP_MS, Step::Event(index, incarnation, event));
         }
--- a/crates/fireflywheel_daemon/src/callers/delivery.rs
+++ b/crates/fireflywheel_daemon/src/callers/delivery.rs
@@ -157,7 +157,7 @@
         };
         let bytes = backend::encode(event);
         // A caller that does not read would block the engine's stream and occupy a slot of its batch.
-        let sent = time::timeout(self.limits.idle, sender.send(bytes)).await;
+        let sent = time::timeout(self.limits.idle_timeout, sender.send(bytes)).await;
         if matches!(sent, Ok(Ok(()))) {
             return Ok(());
         }
--- a/crates/fireflywheel_daemon/src/callers/incoming.rs
+++ b/crates/fireflywheel_daemon/src/callers/incoming.rs
@@ -35,7 +35,7 @@
     }
     let whole = async {
         let mut bytes = BytesMut::new();
-        while let Some(frame) = time::timeout(limits.idle, body.frame())
+        while let Some(frame) = time::timeout(limits.idle_timeout, body.frame())
             .await
             .map_err(|_| too_slow())?
         {
@@ -49,7 +49,7 @@
         }
         Ok(bytes.freeze())
     };
-    time::timeout(limits.idle * MAX_BODY_TIME_RATIO, whole)
+    time::timeout(limits.idle_timeout * MAX_BODY_TIME_RATIO, whole)
         .await
         .unwrap_or_else(|_| Err(too_slow()))
 }
--- a/crates/fireflywheel_daemon/src/door/gate.rs
+++ b/crates/fireflywheel_daemon/src/door/gate.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     pub(super) header_bytes: usize,
-    pub(super) idle: Duration,
+    pub(super) idle_timeout: Duration,
 }
 
 /// The scan state of a request's head.
@@ -185,7 +185,7 @@
             head: Head::default(),
             requests,
             answers_seen: 0,
-            read_timer: Box::pin(time::sleep(limits.idle)),
+            read_timer: Box::pin(time::sleep(limits.idle_timeout)),
             write_timer: None,
             violation: None,
         }
@@ -228,7 +228,7 @@
         if self.head.bytes == 0 {
             self.read_timer
                 .as_mut()
-                .reset(Instant::now() + self.limits.idle);
+                .reset(Instant::now() + self.limits.idle_timeout);
         }
         self.head.scan(bytes);
         if self.head.bytes > self.limits.header_bytes {
@@ -262,10 +262,10 @@
     }
 
     fn poll_write_timer(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
-        let idle = self.limits.idle;
+        let idle_timeout = self.limits.idle_timeout;
         let timer = self
             .write_timer
-            .get_or_insert_with(|| Box::pin(time::sleep(idle)));
+            .get_or_insert_with(|| Box::pin(time::sleep(idle_timeout)));
         ready!(timer.as_mut().poll(context));
         Poll::Ready(self.fail(Violation::WriteTimeout))
     }
--- a/crates/fireflywheel_daemon/src/door/mod.rs
+++ b/crates/fireflywheel_daemon/src/door/mod.rs
@@ -74,7 +74,7 @@
     where
         S: Service,
     {
-        let slots = Arc::new(Semaphore::new(self.limits.connections));
+        let slots = Arc::new(Semaphore::new(self.limits.max_connections));
         let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
         let mut connections = JoinSet::new();
         loop {
@@ -135,7 +135,7 @@
     let requests = Arc::new(gate::Requests::default());
     let gate_limits = gate::Limits {
         header_bytes: limits.header_bytes,
-        idle: limits.idle,
+        idle_timeout: limits.idle_timeout,
     };
     let gate = gate::Gate::new(stream, gate_limits, Arc::clone(&requests));
     let handler = service::service_fn(move |request| {
@@ -174,7 +174,7 @@
     let mut http_builder = http1::Builder::new();
     http_builder
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle + gate::KEEP_ALIVE)
+        .header_read_timeout(limits.idle_timeout + gate::KEEP_ALIVE)
         .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES) + BUFFER_MARGIN_BYTES);
     http_builder
 }
--- a/crates/fireflywheel_daemon/src/fleet/daemon.rs
+++ b/crates/fireflywheel_daemon/src/fleet/daemon.rs
@@ -159,11 +159,11 @@
 fn door_limits(settings: &settings::Settings) -> fireflywheel::settings::Limits {
     let limits = config::Limits::default();
     fireflywheel::settings::Limits {
-        connections: settings.max_connections,
+        max_connections: settings.max_connections,
         header_bytes: limits.header_bytes,
         body_bytes: limits.body_bytes,
-        idle: limits.idle_timeout,
+        idle_timeout: limits.idle_timeout,
         stream_buffer_bytes: STREAM_BUFFER_BYTES,
-        queue: 0,
+        max_queue: 0,
     }
 }
--- a/crates/fireflywheel_daemon/src/fleet/relay.rs
+++ b/crates/fireflywheel_daemon/src/fleet/relay.rs
@@ -477,7 +477,7 @@
 fn body_limits(limits: &config::Limits) -> settings::Limits {
     settings::Limits {
         body_bytes: limits.body_bytes,
-        idle: limits.idle_timeout,
+        idle_timeout: limits.idle_timeout,
         ..settings::Limits::default()
     }
 }
--- a/crates/fireflywheel_daemon/tests/site/relay.rs
+++ b/crates/fireflywheel_daemon/tests/site/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that a test places between one daemon and the log, and that can be cut.
+//! A TCP relay that a test places between one daemon and the log, and that can be disconnected.
 
 use std::net::SocketAddr;
 
@@ -9,35 +9,38 @@
 
 pub struct Relay {
     pub address: SocketAddr,
-    cut: watch::Sender<bool>,
+    disconnected: watch::Sender<bool>,
 }
 
 impl Relay {
     pub async fn start(target: SocketAddr) -> anyhow::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (cut, receiver) = watch::channel(false);
+        let (disconnected, receiver) = watch::channel(false);
         tokio::spawn(serve(listener, target, receiver));
-        Ok(Self { address, cut })
+        Ok(Self {
+            address,
+            disconnected,
+        })
     }
 
-    /// If `cut` is true, closes all connections, and new ones as soon as they are accepted. Otherwise relays
+    /// If `disconnected` is true, closes all connections, and new ones as soon as they are accepted. Otherwise relays
     /// new connections again.
-    pub fn set_disconnected(&self, cut: bool) {
-        self.cut.send_replace(cut);
+    pub fn set_disconnected(&self, disconnected: bool) {
+        self.disconnected.send_replace(disconnected);
     }
 }
 
-async fn serve(listener: TcpListener, target: SocketAddr, cut: watch::Receiver<bool>) {
+async fn serve(listener: TcpListener, target: SocketAddr, disconnected: watch::Receiver<bool>) {
     while let Ok((from, _)) = listener.accept().await {
-        let mut cut = cut.clone();
-        if *cut.borrow() {
+        let mut disconnected = disconnected.clone();
+        if *disconnected.borrow() {
             continue;
         }
         tokio::spawn(async move {
             tokio::select! {
                 _ = copy_both_ways(from, target) => {}
-                _ = cut.wait_for(|cut| *cut) => {}
+                _ = disconnected.wait_for(|disconnected| *disconnected) => {}
             }
         });
     }
