--- a/crates/fireflywheel_daemon/src/callers/intake.rs
+++ b/crates/fireflywheel_daemon/src/callers/incoming.rs
@@ -35,7 +35,7 @@
     }
     let whole = async {
         let mut bytes = BytesMut::new();
-        while let Some(frame) = time::timeout(limits.idle, body.frame())
+        while let Some(frame) = time::timeout(limits.idle_timeout, body.frame())
             .await
             .map_err(|_| too_slow())?
         {
@@ -49,7 +49,7 @@
         }
         Ok(bytes.freeze())
     };
-    time::timeout(limits.idle * MAX_BODY_TIME_RATIO, whole)
+    time::timeout(limits.idle_timeout * MAX_BODY_TIME_RATIO, whole)
         .await
         .unwrap_or_else(|_| Err(too_slow()))
 }
@@ -85,7 +85,7 @@
     body: Bytes,
     is_chat: bool,
 ) -> backend::OutgoingRequest {
-    let mut headers = backend::passed_on(&parts.headers);
+    let mut headers = backend::end_to_end_headers(&parts.headers);
     headers.remove(RESUME_FROM_HEADER);
     if is_chat {
         headers = only_content_type(&headers);
--- a/crates/fireflywheel_daemon/src/door/mod.rs
+++ b/crates/fireflywheel_daemon/src/door/mod.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-pub use body::{Body, Cut, Gone, Sender};
+pub use body::{Aborted, Body, BodyDropped, Sender};
 pub use gate::Violation;
 
 use crate::errors;
@@ -74,13 +74,13 @@
     where
         S: Service,
     {
-        let slots = Arc::new(Semaphore::new(self.limits.connections));
+        let slots = Arc::new(Semaphore::new(self.limits.max_connections));
         let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
         let mut connections = JoinSet::new();
         loop {
             let accepted = tokio::select! {
                 accepted = self.listener.accept() => accepted,
-                () = stopped(&mut self.stop) => break,
+                () = wait_for_stop(&mut self.stop) => break,
             };
             while connections.try_join_next().is_some() {}
             let Ok((stream, _)) = accepted else {
@@ -109,7 +109,7 @@
 }
 
 /// Waits until `stop` is true or its sender is dropped.
-pub async fn stopped(stop: &mut watch::Receiver<bool>) {
+pub async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     // An error means that the sender was dropped, which counts as a stop.
     let _ = stop.wait_for(|stop| *stop).await;
 }
@@ -135,7 +135,7 @@
     let requests = Arc::new(gate::Requests::default());
     let gate_limits = gate::Limits {
         header_bytes: limits.header_bytes,
-        idle: limits.idle,
+        idle_timeout: limits.idle_timeout,
     };
     let gate = gate::Gate::new(stream, gate_limits, Arc::clone(&requests));
     let handler = service::service_fn(move |request| {
@@ -153,7 +153,7 @@
         tokio::select! {
             // An error means that the client disconnected or exceeded a limit, which the gate records.
             _ = future::poll_fn(|context| connection.poll_without_shutdown(context)) => break,
-            () = stopped(&mut stop), if !stopping => {
+            () = wait_for_stop(&mut stop), if !stopping => {
                 stopping = true;
                 pin::Pin::new(&mut connection).graceful_shutdown();
             }
@@ -174,7 +174,7 @@
     let mut http_builder = http1::Builder::new();
     http_builder
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle + gate::KEEP_ALIVE)
+        .header_read_timeout(limits.idle_timeout + gate::KEEP_ALIVE)
         .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES) + BUFFER_MARGIN_BYTES);
     http_builder
 }
