--- a/crates/fireflywheel_demo/src/booking.rs
+++ b/crates/fireflywheel_demo/src/booking.rs
@@ -1,4 +1,4 @@
-//! One booking with an Idempotency-Key, sent more than once.
+//! Sends copies of one booking with the same `Idempotency-Key`.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,20 @@
 
 use crate::configuration;
 
-/// The text of the booking, by which the services count its runs.
-pub const TEXT: &str = r#"{"tent":"two-person","pick_up":"Da Lat","nights":3}"#;
-const KEY: &str = "demo-booking-1";
+/// Body of the booking. The services count its runs by this text.
+pub const BODY: &str = r#"{"tent":"two-person","pick_up":"Da Lat","nights":3}"#;
+const IDEMPOTENCY_KEY: &str = "demo-booking-1";
 
-/// What one copy of the booking got.
+/// The answer to one copy of the booking.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// The outcome of the run.
+    /// Outcome of the run.
     Ran(service::Outcome),
-    /// Something else.
+    /// Any other answer or error.
     Other(SmolStr),
 }
 
-/// Sends the booking at the first two instances at once and, when both have answered, at the third.
+/// Sends the booking to the first two instances at the same time and, after both have answered, to the third.
 pub async fn send(targets: [SocketAddr; 3]) -> Vec<Reply> {
     let (first, second) = tokio::join!(post(targets[0], 1), post(targets[1], 2));
     let third = post(targets[2], 3).await;
@@ -32,9 +32,9 @@
     let client = client::Client::new()
         .with_header(http::REQUEST_ID, &format!("booking-copy-{copy}"))
         .with_header("x-tenant", configuration::TENANT)
-        .with_header("idempotency-key", KEY);
-    let url = format!("http://{target}{}", configuration::BOOKINGS);
-    let answer = match client.post(&url, TEXT).await {
+        .with_header("idempotency-key", IDEMPOTENCY_KEY);
+    let url = format!("http://{target}{}", configuration::BOOKINGS_PATH);
+    let answer = match client.post(&url, BODY).await {
         Ok(answer) => answer,
         Err(error) => return Reply::Other(format_smolstr!("{}", error.root_cause())),
     };
--- a/crates/fireflywheel_demo/src/configuration.rs
+++ b/crates/fireflywheel_demo/src/configuration.rs
@@ -1,45 +1,45 @@
-//! The serving configuration that the demo publishes, and the change that it publishes later.
+//! The serving configuration of the demo, and the change that the demo publishes later.
 
 use std::time::Duration;
 
 use fireflywheel::document;
 use smol_str::SmolStr;
 
-/// The group of model engines.
-pub const ENGINES: &str = "quote-llm";
-/// The group of plain services.
-pub const SERVICES: &str = "desk-app";
-/// The one tenant.
+/// Name of the group of model engines.
+pub const ENGINE_GROUP: &str = "quote-llm";
+/// Name of the group of plain services.
+pub const SERVICE_GROUP: &str = "desk-app";
+/// The only tenant.
 pub const TENANT: &str = "desk";
-/// The path of bookings.
-pub const BOOKINGS: &str = "/bookings";
+/// Path of bookings.
+pub const BOOKINGS_PATH: &str = "/bookings";
 /// Memory of each model engine, in megabytes.
 pub const ENGINE_MEMORY_MB: u64 = 8_000;
-/// Requests that a model engine runs at once.
-pub const SLOTS: u32 = 8;
-/// The model whose cap the change lowers.
-pub const LOWERED: &str = "quote-small";
-/// The model whose cap the change raises.
-pub const RAISED: &str = "quote-large";
-
-const CLASS: &str = "interactive";
+/// Maximum number of requests that a model engine runs at the same time.
+pub const ENGINE_SLOTS: u32 = 8;
+/// Model whose replica cap the change lowers.
+pub const LOWERED_MODEL: &str = "quote-small";
+/// Model whose replica cap the change raises.
+pub const RAISED_MODEL: &str = "quote-large";
+
+const MODEL_CLASS: &str = "interactive";
 const BOOKING_CLASS: &str = "booking";
-/// Wide enough that no request of the demo meets it.
-const IN_FLIGHT: u32 = 600;
+/// Limit of requests in flight. It is so high that no request of the demo reaches it.
+const MAX_IN_FLIGHT: u32 = 600;
 const DEADLINE: Duration = Duration::from_secs(10);
-const EXPECTED_LOAD: Duration = Duration::from_millis(500);
-const EXPECTED_SERVICE: Duration = Duration::from_millis(100);
+const EXPECTED_LOAD_TIME: Duration = Duration::from_millis(500);
+const EXPECTED_SERVICE_TIME: Duration = Duration::from_millis(100);
 
 /// A model of the demo.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: &'static str,
-    /// What a replica takes, in megabytes.
+    /// Memory of a replica, in megabytes.
     pub memory_mb: u64,
-    /// Replicas allowed at first.
+    /// Maximum number of replicas before the change.
     pub cap: u32,
-    /// Replicas allowed after the change.
+    /// Maximum number of replicas after the change.
     pub changed_cap: u32,
 }
 
@@ -52,23 +52,23 @@
     }
 }
 
-/// The models. Four engines hold at most five of them at a time.
+/// The models. The four engines hold at most five of them at the same time.
 pub const MODELS: [Model; 6] = [
-    model(LOWERED, 4_000, 2, 1),
-    model(RAISED, 6_000, 1, 2),
+    model(LOWERED_MODEL, 4_000, 2, 1),
+    model(RAISED_MODEL, 6_000, 1, 2),
     model("warranty", 6_000, 1, 1),
     model("report", 6_000, 1, 1),
     model("photo", 6_000, 1, 1),
     model("triage", 4_000, 1, 1),
 ];
 
-/// The first configuration.
+/// Returns the first configuration.
 #[must_use]
 pub fn first() -> document::Document {
     with_caps(|model| model.cap)
 }
 
-/// The configuration after the change: one cap lowered, one raised.
+/// Returns the configuration after the change, which lowers one cap and raises another.
 #[must_use]
 pub fn changed() -> document::Document {
     with_caps(|model| model.changed_cap)
@@ -79,17 +79,19 @@
     F: Fn(&Model) -> u32,
 {
     let mut document = document::Document::default();
-    document.classes.insert(CLASS.into(), class());
+    document.classes.insert(MODEL_CLASS.into(), class());
     document.classes.insert(BOOKING_CLASS.into(), class());
     document.tenants.insert(TENANT.into(), tenant());
-    document.groups.insert(ENGINES.into(), engines());
-    document.groups.insert(SERVICES.into(), services());
-    document.routes.insert("bookings".into(), bookings());
+    document.groups.insert(ENGINE_GROUP.into(), engine_group());
+    document
+        .groups
+        .insert(SERVICE_GROUP.into(), service_group());
+    document.routes.insert("bookings".into(), bookings_route());
     for model in &MODELS {
         let cap = cap(model);
         document
             .models
-            .insert(model.name.into(), section(model, cap));
+            .insert(model.name.into(), model_section(model, cap));
     }
     document
 }
@@ -97,29 +99,29 @@
 fn class() -> document::Class {
     document::Class {
         deadline: Some(DEADLINE),
-        in_flight: IN_FLIGHT,
+        in_flight: MAX_IN_FLIGHT,
         ..document::Class::default()
     }
 }
 
 fn tenant() -> document::Tenant {
     document::Tenant {
-        in_flight: IN_FLIGHT,
+        in_flight: MAX_IN_FLIGHT,
         ..document::Tenant::default()
     }
 }
 
-fn engines() -> document::Group {
+fn engine_group() -> document::Group {
     document::Group {
         kind: document::Kind::Engine,
         fencing: document::Fencing::Checked,
         memory_mb: ENGINE_MEMORY_MB,
-        slots: SLOTS,
+        slots: ENGINE_SLOTS,
         ..document::Group::default()
     }
 }
 
-fn services() -> document::Group {
+fn service_group() -> document::Group {
     document::Group {
         kind: document::Kind::Service,
         slots: 16,
@@ -127,22 +129,22 @@
     }
 }
 
-fn bookings() -> document::Route {
+fn bookings_route() -> document::Route {
     document::Route {
-        prefix: BOOKINGS.into(),
-        group: SERVICES.into(),
+        prefix: BOOKINGS_PATH.into(),
+        group: SERVICE_GROUP.into(),
         class: BOOKING_CLASS.into(),
         ..document::Route::default()
     }
 }
 
-fn section(model: &Model, replicas: u32) -> document::Model {
+fn model_section(model: &Model, replicas: u32) -> document::Model {
     document::Model {
-        group: SmolStr::new_static(ENGINES),
+        group: SmolStr::new_static(ENGINE_GROUP),
         memory_mb: model.memory_mb,
         replicas,
-        load: EXPECTED_LOAD,
-        service: EXPECTED_SERVICE,
+        load: EXPECTED_LOAD_TIME,
+        service: EXPECTED_SERVICE_TIME,
         ..document::Model::default()
     }
 }
--- a/crates/fireflywheel_demo/src/instances.rs
+++ b/crates/fireflywheel_demo/src/instances.rs
@@ -1,4 +1,4 @@
-//! The three daemons: their start, their readiness, their status.
+//! Starts the three daemons and reads their readiness and status.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,30 +12,30 @@
 
 use crate::{configuration, platform, wait};
 
-/// How many daemons there are.
+/// Number of daemons.
 pub const COUNT: usize = 3;
 
-/// The balancer's delay of the demo.
+/// Drain delay: how long a stopping daemon continues to accept requests while the load balancer takes it out.
 pub const DRAIN_DELAY: Duration = Duration::from_millis(500);
-const READY_LIMIT: Duration = Duration::from_secs(15);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(15);
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// One running daemon.
+/// A running daemon.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: SmolStr,
-    /// The daemon.
+    /// Daemon of the instance.
     pub daemon: daemon::Daemon,
 }
 
 impl Instance {
-    /// Reads its status.
+    /// Reads the status of the daemon.
     ///
     /// # Errors
     ///
-    /// When it doesn't answer.
+    /// When the daemon doesn't answer.
     pub async fn status(&self) -> anyhow::Result<status::Status> {
         let url = format!("http://{}/v1/status", self.daemon.operator);
         client::Client::new().get(&url).await?.json()
@@ -48,7 +48,7 @@
     }
 }
 
-/// Starts the daemons, each in a failure domain of its own.
+/// Starts the daemons, each in a separate failure domain.
 ///
 /// # Errors
 ///
@@ -65,7 +65,9 @@
             ..
         } = settings.instance.clone();
         let daemon = daemon::Daemon::start(settings, key.clone()).await?;
-        platform.enlist(&name, &failure_domain, daemon.peer).await?;
+        platform
+            .register(&name, &failure_domain, daemon.peer)
+            .await?;
         instances.push(Instance { name, daemon });
     }
     Ok(instances)
@@ -93,7 +95,7 @@
             list: platform.list.clone(),
         },
         peers: settings::Peers {
-            // Not read: the daemon gets the key itself.
+            // The file is not read, because the key is passed to the daemon directly.
             key_file: PathBuf::new(),
             seeds,
         },
@@ -108,15 +110,15 @@
     }
 }
 
-/// Waits until all daemons may be sent callers.
+/// Waits until all daemons are ready for callers.
 ///
 /// # Errors
 ///
-/// When one of them doesn't become ready in time.
-pub async fn ready(instances: &[Instance]) -> anyhow::Result<()> {
+/// When a daemon doesn't become ready in time.
+pub async fn wait_until_ready(instances: &[Instance]) -> anyhow::Result<()> {
     for instance in instances {
         let what = format!("{} to be ready", instance.name);
-        wait::until(&what, READY_LIMIT, || async {
+        wait::until(&what, STATUS_TIMEOUT, || async {
             instance.is_ready().await.then_some(())
         })
         .await?;
@@ -124,30 +126,30 @@
     Ok(())
 }
 
-/// The name of the steward of the model engines, as one instance knows it.
+/// Waits for a steward of the model engines, and returns its name as this instance knows it.
 ///
 /// # Errors
 ///
-/// When there is none in time.
-pub async fn steward(instance: &Instance) -> anyhow::Result<SmolStr> {
-    wait::until("a steward of the model engines", READY_LIMIT, || async {
+/// When the instance knows no steward in time.
+pub async fn find_steward(instance: &Instance) -> anyhow::Result<SmolStr> {
+    wait::until("a steward of the model engines", STATUS_TIMEOUT, || async {
         let status = instance.status().await.ok()?;
         let mut stewards = status.stewards.into_iter();
-        let steward = stewards.find(|steward| steward.group == configuration::ENGINES)?;
+        let steward = stewards.find(|steward| steward.group == configuration::ENGINE_GROUP)?;
         Some(steward.by)
     })
     .await
 }
 
-/// Waits until all daemons hold this version of the configuration or a newer one.
+/// Waits until all daemons have this version of the configuration, or a newer one, in force.
 ///
 /// # Errors
 ///
-/// When one of them doesn't in time.
-pub async fn in_force(instances: &[Instance], version: u64) -> anyhow::Result<()> {
+/// When a daemon doesn't have it in force in time.
+pub async fn wait_until_in_force(instances: &[Instance], version: u64) -> anyhow::Result<()> {
     for instance in instances {
         let what = format!("version {version} in force at {}", instance.name);
-        wait::until(&what, READY_LIMIT, || async {
+        wait::until(&what, STATUS_TIMEOUT, || async {
             let status = instance.status().await.ok()?;
             (status.version >= version).then_some(())
         })
@@ -156,12 +158,12 @@
     Ok(())
 }
 
-/// The versions in force now.
+/// Returns the configuration version that each daemon has in force.
 ///
 /// # Errors
 ///
 /// When a daemon doesn't answer.
-pub async fn versions(instances: &[Instance]) -> anyhow::Result<Vec<u64>> {
+pub async fn read_versions(instances: &[Instance]) -> anyhow::Result<Vec<u64>> {
     let mut versions = Vec::new();
     for instance in instances {
         let status = instance.status().await.context("the status of a daemon")?;
--- a/crates/fireflywheel_demo/src/lib.rs
+++ b/crates/fireflywheel_demo/src/lib.rs
@@ -1,5 +1,5 @@
-//! The main job on loopback, in one process: stand-ins of the platform, the model engines and the plain
-//! services, and three daemons. See [`scenario`] for what is done, and [`promise`] for how it is judged.
+//! Demonstrates the main functions on loopback in one process, with stand-ins for the platform, the model engines and
+//! the plain services, and three daemons. [`scenario`] defines the steps, and [`promise`] checks the results.
 
 pub mod booking;
 pub mod configuration;
--- a/crates/fireflywheel_demo/src/main.rs
+++ b/crates/fireflywheel_demo/src/main.rs
@@ -1,4 +1,4 @@
-//! `fireflywheel_demo`: runs the main job and says whether every promise held.
+//! `fireflywheel_demo`: runs the scenario and reports whether every promise held.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use fireflywheel_demo::{promise, scenario, table, wait};
 use tokio::time;
 
-/// The demo ends by itself within this time.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit of the demo.
+const RUN_TIMEOUT: Duration = Duration::from_secs(60);
 
 const HELP: &str = "\
 Hosts stand-ins of the platform, four model engines, two plain services and three daemons in one process, on
@@ -39,27 +39,27 @@
 async fn main() -> anyhow::Result<ExitCode> {
     let mut matches = command().get_matches();
     let level: Option<log::LevelFilter> = matches.remove_one("log");
-    // Held to the end: its drop would stop the logs.
+    // The logger must live until the end: dropping it stops the logs.
     let _logger = level.map(start_logs).transpose()?;
     let step = wait::Step::default();
-    let evidence = match time::timeout(LIMIT, scenario::run(&step)).await {
+    let evidence = match time::timeout(RUN_TIMEOUT, scenario::run(&step)).await {
         Ok(Ok(evidence)) => evidence,
         Ok(Err(error)) => {
-            eprintln!("BROKEN  while {}: {error:#}", step.now());
+            eprintln!("BROKEN  while {}: {error:#}", step.current());
             return Ok(ExitCode::FAILURE);
         }
         Err(_) => {
             eprintln!(
                 "BROKEN  not done within {} s: {}",
-                LIMIT.as_secs(),
-                step.now()
+                RUN_TIMEOUT.as_secs(),
+                step.current()
             );
             return Ok(ExitCode::FAILURE);
         }
     };
-    let promises = promise::judge(&evidence);
-    print!("{}", table::text(&evidence, &promises));
-    let all_held = promises.iter().all(promise::Promise::held);
+    let promises = promise::check_all(&evidence);
+    print!("{}", table::format(&evidence, &promises));
+    let all_held = promises.iter().all(promise::Promise::is_held);
     Ok(if all_held {
         ExitCode::SUCCESS
     } else {
--- a/crates/fireflywheel_demo/src/platform.rs
+++ b/crates/fireflywheel_demo/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of everything that the daemons meet: the platform, the engines and the services.
+//! Runs the stand-ins for the systems that the daemons communicate with: the platform, the engines and the services.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 
 use crate::configuration;
 
-/// How many model engines there are.
-pub const ENGINES: usize = 4;
-/// How many plain services there are.
-pub const SERVICES: usize = 2;
+/// Number of model engines.
+pub const ENGINE_COUNT: usize = 4;
+/// Number of plain services.
+pub const SERVICE_COUNT: usize = 2;
 
 /// Time between two tokens of a stream, in microseconds.
-const TOKEN_US: u64 = 4_000;
-/// Requests that wait in an engine beyond its slots.
-const ENGINE_QUEUE: usize = 16;
+const TOKEN_INTERVAL_US: u64 = 4_000;
+/// Maximum number of requests that wait in an engine in addition to its slots.
+const MAX_ENGINE_QUEUE: usize = 16;
 const FETCH_MS: u64 = 200;
 const FETCH_MS_PER_GB: u64 = 40;
-/// The list's group of the daemons.
-const ROUTERS: &str = "fireflywheel";
+/// Group of the daemons in the list of instances.
+const ROUTER_GROUP: &str = "fireflywheel";
 const LIST_LAG_MS: u64 = 200;
 const REPORT_LAG_MS: u64 = 100;
-const RUN_MS: u64 = 30;
+const SERVICE_RUN_MS: u64 = 30;
 
-/// Running stand-ins. Dropping them ends them.
+/// The running stand-ins. Dropping this stops them.
 #[derive(Debug)]
 pub struct Platform {
     /// Base address of the log, such as `http://127.0.0.1:7000`.
@@ -39,29 +39,29 @@
     pub engines: Vec<SmolStr>,
     /// Base addresses of the plain services.
     pub services: Vec<SmolStr>,
-    // Held for its drop, which ends the stand-ins.
+    // Dropping the set stops the stand-ins.
     _servers: JoinSet<anyhow::Result<()>>,
 }
 
-/// What the stand-ins counted.
+/// The counts of all stand-ins.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Of each model engine.
+    /// Counts of each model engine.
     pub engines: Vec<engine::Counts>,
-    /// Of each plain service.
+    /// Counts of each plain service.
     pub services: Vec<service::Counts>,
-    /// Of the weight store.
+    /// Counts of the weight store.
     pub store: store::Counts,
-    /// Of the log.
+    /// Counts of the log.
     pub log: log::Counts,
 }
 
 impl Platform {
-    /// Starts all of them on loopback, on ports that the system chooses.
+    /// Starts all stand-ins on loopback, on ports that the system chooses.
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// When no port is free.
     pub async fn start() -> anyhow::Result<Self> {
         let mut servers = JoinSet::new();
         let log = start(&mut servers, |listener| {
@@ -73,13 +73,15 @@
         })
         .await?;
         let mut engines = Vec::new();
-        for _ in 0..ENGINES {
+        for _ in 0..ENGINE_COUNT {
             let options = engine_options(&store);
             engines.push(start(&mut servers, |listener| engine::serve(listener, options)).await?);
         }
         let mut services = Vec::new();
-        for _ in 0..SERVICES {
-            let options = service::Options { run_ms: RUN_MS };
+        for _ in 0..SERVICE_COUNT {
+            let options = service::Options {
+                run_ms: SERVICE_RUN_MS,
+            };
             services.push(start(&mut servers, |listener| service::serve(listener, options)).await?);
         }
         let options = list_options(&engines, &services);
@@ -94,12 +96,12 @@
         })
     }
 
-    /// Names a daemon in the list of instances, as the platform does for each instance that it starts.
+    /// Adds a daemon to the list of instances, as the platform does for each instance that it starts.
     ///
     /// # Errors
     ///
-    /// When the list doesn't take it.
-    pub async fn enlist(
+    /// When the list refuses the entry.
+    pub async fn register(
         &self,
         name: &SmolStr,
         failure_domain: &SmolStr,
@@ -109,7 +111,7 @@
             name: name.clone(),
             address: format_smolstr!("{peer}"),
             kind: list::Kind::Router,
-            group: ROUTERS.into(),
+            group: ROUTER_GROUP.into(),
             failure_domain: failure_domain.clone(),
             state: list::State::Live,
         };
@@ -121,12 +123,12 @@
         Ok(())
     }
 
-    /// Reads what the stand-ins counted.
+    /// Reads the counts of all stand-ins.
     ///
     /// # Errors
     ///
-    /// When one of them doesn't answer.
-    pub async fn counts(&self) -> anyhow::Result<Counts> {
+    /// When a stand-in doesn't answer.
+    pub async fn read_counts(&self) -> anyhow::Result<Counts> {
         let client = client::Client::new();
         let mut counts = Counts {
             store: client.counts(&self.store).await?,
@@ -166,17 +168,17 @@
     engine::Options {
         store: Some(store.clone()),
         fencing: engine::Fencing::Checked,
-        slots: configuration::SLOTS as usize,
-        queue: ENGINE_QUEUE,
-        token_us: TOKEN_US,
+        slots: configuration::ENGINE_SLOTS as usize,
+        queue: MAX_ENGINE_QUEUE,
+        token_us: TOKEN_INTERVAL_US,
         report_lag_ms: REPORT_LAG_MS,
         ..engine::Options::default()
     }
 }
 
 fn list_options(engines: &[SmolStr], services: &[SmolStr]) -> list::Options {
-    let engines = entries("engine", configuration::ENGINES, engines);
-    let services = entries("service", configuration::SERVICES, services);
+    let engines = entries("engine", configuration::ENGINE_GROUP, engines);
+    let services = entries("service", configuration::SERVICE_GROUP, services);
     list::Options {
         lag_ms: LIST_LAG_MS,
         instances: engines.chain(services).collect(),
--- a/crates/fireflywheel_demo/src/publication.rs
+++ b/crates/fireflywheel_demo/src/publication.rs
@@ -1,4 +1,4 @@
-//! Publishing a configuration, as the operators' command-line tool does.
+//! Publishes a configuration, as the operators' command-line tool does.
 
 use std::time::Duration;
 
@@ -9,21 +9,22 @@
 
 use crate::platform::Platform;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Publishes a document made from version `base`, and gives its version.
+/// Publishes a document that is based on version `base`, and returns its version.
 ///
 /// # Errors
 ///
-/// When it isn't accepted.
+/// When the document isn't accepted.
 pub async fn publish(
-    to: &Platform,
+    platform: &Platform,
     document: &document::Document,
     base: u64,
 ) -> anyhow::Result<u64> {
-    let log = platform::log::Http::new(client::Client::new(), to.log.clone());
-    let until = time::Instant::now() + LIMIT;
-    let publication = publish::Publication::new(document.to_string(), until).with_base(Some(base));
+    let log = platform::log::Http::new(client::Client::new(), platform.log.clone());
+    let deadline = time::Instant::now() + PUBLISH_TIMEOUT;
+    let publication =
+        publish::Publication::new(document.to_string(), deadline).with_base(Some(base));
     match publish::publish(&log, &publication, |_, _| {}).await {
         publish::Outcome::Accepted { version } => Ok(version),
         other => anyhow::bail!("the configuration was not accepted: {other}"),
--- a/crates/fireflywheel_demo/src/table.rs
+++ b/crates/fireflywheel_demo/src/table.rs
@@ -1,47 +1,51 @@
-//! The table of results.
+//! Formats the table of results.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use fireflywheel_standin::load::Judgement;
+use fireflywheel_standin::load::Outcome;
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::{configuration, promise, replicas, scenario, traffic};
 
-/// The whole table, ending with a line for each promise.
+/// Formats the whole table, with a line for each promise at the end.
 #[must_use]
-pub fn text(evidence: &scenario::Evidence, promises: &[promise::Promise]) -> String {
+pub fn format(evidence: &scenario::Evidence, promises: &[promise::Promise]) -> String {
     let mut out = String::new();
     // Writing to a string can't fail.
-    let _ = write(&mut out, evidence, promises);
+    let _ = write_table(&mut out, evidence, promises);
     out
 }
 
-fn write(
+fn write_table(
     out: &mut String,
     evidence: &scenario::Evidence,
     promises: &[promise::Promise],
 ) -> std::fmt::Result {
-    requests(out, evidence)?;
-    models(out, evidence)?;
-    engines(out, evidence)?;
-    first_tokens(out, evidence)?;
-    others(out, evidence)?;
+    write_requests(out, evidence)?;
+    write_models(out, evidence)?;
+    write_engines(out, evidence)?;
+    write_first_token_times(out, evidence)?;
+    write_other_results(out, evidence)?;
     for promise in promises {
-        let word = if promise.held() { "held  " } else { "BROKEN" };
-        writeln!(out, "{word}  {}", promise.what)?;
-        for example in &promise.against {
+        let word = if promise.is_held() {
+            "held  "
+        } else {
+            "BROKEN"
+        };
+        writeln!(out, "{word}  {}", promise.text)?;
+        for example in &promise.counterexamples {
             writeln!(out, "          {example}")?;
         }
     }
     Ok(())
 }
 
-fn requests(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
+fn write_requests(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
     writeln!(out, "{:<26} {:>8}  outcomes by verdict", "requests", "sent")?;
     for round in &evidence.rounds {
-        let outcomes: Vec<String> = outcomes(&round.samples)
+        let outcomes: Vec<String> = count_outcomes(&round.samples)
             .into_iter()
             .map(|(name, count)| format!("{name} {count}"))
             .collect();
@@ -56,26 +60,26 @@
     writeln!(out)
 }
 
-fn outcomes(samples: &[traffic::Sample]) -> BTreeMap<SmolStr, usize> {
+fn count_outcomes(samples: &[traffic::Sample]) -> BTreeMap<SmolStr, usize> {
     let mut outcomes = BTreeMap::new();
     for sample in samples {
-        *outcomes.entry(outcome(&sample.judgement)).or_default() += 1;
+        *outcomes.entry(outcome_name(&sample.outcome)).or_default() += 1;
     }
     outcomes
 }
 
-fn outcome(judgement: &Judgement) -> SmolStr {
-    match judgement {
-        Judgement::Served => "ran (served)".into(),
-        Judgement::Late => "late".into(),
-        Judgement::Wrong(what) => format_smolstr!("wrong ({what})"),
-        Judgement::Refused { verdict, code } => format_smolstr!("{verdict} ({code})"),
-        Judgement::Broken(cause) => format_smolstr!("broken ({cause})"),
-        Judgement::Unanswered(cause) => format_smolstr!("unanswered ({cause})"),
+fn outcome_name(outcome: &Outcome) -> SmolStr {
+    match outcome {
+        Outcome::Served => "ran (served)".into(),
+        Outcome::Late => "late".into(),
+        Outcome::Wrong(what) => format_smolstr!("wrong ({what})"),
+        Outcome::Refused { verdict, code } => format_smolstr!("{verdict} ({code})"),
+        Outcome::Broken(cause) => format_smolstr!("broken ({cause})"),
+        Outcome::Unanswered(cause) => format_smolstr!("unanswered ({cause})"),
     }
 }
 
-fn models(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
+fn write_models(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
     let engines = &evidence.counts.engines;
     let change = &evidence.change;
     writeln!(
@@ -85,10 +89,10 @@
     )?;
     for model in &configuration::MODELS {
         let before = replicas::peak_before(engines, model.name, change.sent_us);
-        let after = replicas::peak_since(engines, model.name, change.obeyed_us);
+        let after = replicas::peak_since(engines, model.name, change.enforced_us);
         let before = format!("{before} / {}", model.cap);
         let after = format!("{after} / {}", model.changed_cap);
-        let loads = replicas::loads(engines, model.name);
+        let loads = replicas::count_loads(engines, model.name);
         writeln!(
             out,
             "  {:<24} {:>8} {before:>12} {after:>12} {loads:>8}",
@@ -98,7 +102,7 @@
     writeln!(out)
 }
 
-fn engines(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
+fn write_engines(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
     writeln!(out, "{:<26} {:>8} {:>12}", "engines", "peak MB", "limit MB")?;
     for (number, engine) in evidence.counts.engines.iter().enumerate() {
         let limit = configuration::ENGINE_MEMORY_MB;
@@ -112,43 +116,39 @@
     writeln!(out)
 }
 
-fn first_tokens(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
+fn write_first_token_times(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
     writeln!(
         out,
         "{:<26} {:>8} {:>12} {:>12} {:>8}",
         "time to first token, ms", "streams", "50 in 100", "95 in 100", "99"
     )?;
-    for name in [scenario::COLD, scenario::WARM] {
+    for name in [scenario::COLD_ROUND, scenario::WARM_ROUND] {
         let rounds = evidence.rounds.iter().filter(|round| round.name == name);
         let mut times: Vec<Duration> = rounds
             .flat_map(|round| &round.samples)
-            .filter(|sample| sample.stream && sample.judgement == Judgement::Served)
+            .filter(|sample| sample.stream && sample.outcome == Outcome::Served)
             .map(|sample| sample.first)
             .collect();
         times.sort_unstable();
-        let [half, most, nearly_all] =
-            [50, 95, 99].map(|percent| millis(percentile(&times, percent)));
+        let [p50, p95, p99] = [50, 95, 99].map(|percent| format_ms(percentile(&times, percent)));
         let count = times.len();
-        writeln!(
-            out,
-            "  {name:<24} {count:>8} {half:>12} {most:>12} {nearly_all:>8}"
-        )?;
+        writeln!(out, "  {name:<24} {count:>8} {p50:>12} {p95:>12} {p99:>8}")?;
     }
     writeln!(out)
 }
 
-/// The least time that so many in a hundred don't exceed; zero of none.
+/// Returns a percentile by the nearest-rank method, or zero if there are no times.
 fn percentile(sorted: &[Duration], percent: usize) -> Duration {
     let rank = (sorted.len() * percent).div_ceil(100);
-    let found = rank.checked_sub(1).and_then(|place| sorted.get(place));
+    let found = rank.checked_sub(1).and_then(|index| sorted.get(index));
     found.copied().unwrap_or_default()
 }
 
-fn millis(duration: Duration) -> String {
+fn format_ms(duration: Duration) -> String {
     format!("{:.0}", duration.as_secs_f64() * 1000.0)
 }
 
-fn others(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
+fn write_other_results(out: &mut String, evidence: &scenario::Evidence) -> std::fmt::Result {
     let change = &evidence.change;
     let stop = &evidence.stop;
     let store = evidence.counts.store;
@@ -163,19 +163,22 @@
         ),
         (
             "change accepted after",
-            format!("{} ms", millis(change.accepted)),
+            format!("{} ms", format_ms(change.accepted_after)),
         ),
         (
             "change in force after",
-            format!("{} ms at all three instances", millis(change.in_force)),
+            format!(
+                "{} ms at all three instances",
+                format_ms(change.in_force_after)
+            ),
         ),
         (
             "replicas to be unloaded by it",
-            (change.replicas.saturating_sub(1)).to_string(),
+            (change.replicas_before.saturating_sub(1)).to_string(),
         ),
         (
             "change obeyed after",
-            format!("{} ms by the engines", millis(change.obeyed)),
+            format!("{} ms by the engines", format_ms(change.enforced_after)),
         ),
         (
             "weight store",
@@ -196,17 +199,17 @@
             format!(
                 "{}, steward until then; over after {} ms",
                 stop.instance,
-                millis(stop.took)
+                format_ms(stop.duration)
             ),
         ),
-        ("steward afterwards", stop.after.to_string()),
+        ("steward afterwards", stop.steward_after.to_string()),
         (
             "streams open / cut",
             format!(
                 "{} / {}, {} of them at {}",
-                open_streams(evidence),
+                count_open_streams(evidence),
                 promise::cut_streams(evidence).count(),
-                stop.open,
+                stop.open_streams,
                 stop.instance
             ),
         ),
@@ -217,10 +220,10 @@
     writeln!(out)
 }
 
-fn open_streams(evidence: &scenario::Evidence) -> usize {
+fn count_open_streams(evidence: &scenario::Evidence) -> usize {
     let rounds = evidence
         .rounds
         .iter()
-        .filter(|round| round.name == scenario::OPEN_STREAMS);
+        .filter(|round| round.name == scenario::OPEN_STREAMS_ROUND);
     rounds.map(|round| round.samples.len()).sum()
 }
--- a/crates/fireflywheel_demo/src/wait.rs
+++ b/crates/fireflywheel_demo/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for something within a limit, and saying what was waited for when it doesn't come.
+//! Waits for conditions with a time limit, and reports the condition when the time runs out.
 
 use std::future::Future;
 use std::sync::{Mutex, PoisonError};
@@ -6,57 +6,57 @@
 
 use tokio::time;
 
-const PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the demo does now, so that it can say so when its time runs out.
+/// The current step of the demo, which is reported when the time limit is exceeded.
 #[derive(Debug)]
 pub struct Step {
     start: time::Instant,
-    now: Mutex<&'static str>,
+    current: Mutex<&'static str>,
 }
 
 impl Default for Step {
     fn default() -> Self {
         Self {
             start: time::Instant::now(),
-            now: Mutex::new("not begun"),
+            current: Mutex::new("not begun"),
         }
     }
 }
 
 impl Step {
-    /// Begins a step and shows it, with the time since the start.
+    /// Starts a step, and prints it with the time since the start.
     pub fn begin(&self, what: &'static str) {
         eprintln!("{:6.2} s  {what}", self.start.elapsed().as_secs_f64());
-        *self.now.lock().unwrap_or_else(PoisonError::into_inner) = what;
+        *self.current.lock().unwrap_or_else(PoisonError::into_inner) = what;
     }
 
-    /// The step begun last.
+    /// Returns the step that was started last.
     #[must_use]
-    pub fn now(&self) -> &'static str {
-        *self.now.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn current(&self) -> &'static str {
+        *self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Asks again and again until the check gives a value, and gives that.
+/// Repeats a check until it returns a value, and returns this value.
 ///
 /// # Errors
 ///
-/// When it gives none within the limit.
+/// When the check returns no value within `limit`.
 pub async fn until<C, F, T>(what: &str, limit: Duration, mut check: C) -> anyhow::Result<T>
 where
     C: FnMut() -> F,
     F: Future<Output = Option<T>>,
 {
-    let asking = async {
+    let polling = async {
         loop {
             if let Some(value) = check().await {
                 return value;
             }
-            time::sleep(PAUSE).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     };
-    time::timeout(limit, asking)
+    time::timeout(limit, polling)
         .await
         .map_err(|_| anyhow::anyhow!("waited {} s in vain for {what}", limit.as_secs_f64()))
 }
--- a/crates/fireflywheel_standin/src/load/judge.rs
+++ b/crates/fireflywheel_standin/src/load/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends one request as a caller does, and judges what came back.
+//! Sends one request as a caller does, and checks the answer.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -9,80 +9,81 @@
 use super::Request;
 use crate::{client, engine, http};
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Judgement {
-    /// Its whole answer came in time.
+pub enum Outcome {
+    /// The complete answer came in time.
     Served,
-    /// Its whole answer, or a refusal, came after the deadline.
+    /// The complete answer, or a refusal, came after the deadline.
     Late,
-    /// Another's answer came, or a part of one, or a garbled one.
+    /// The answer belongs to another request, or is incomplete or malformed.
     Wrong(SmolStr),
-    /// It was refused in time with this verdict and code.
+    /// The request was refused in time.
     Refused {
-        /// `not-run`, `may-have-run`, `ran`, or `none` if it said nothing.
+        /// `not-run`, `may-have-run`, `ran`, or `none` if the answer has no verdict.
         verdict: SmolStr,
-        /// The error's code.
+        /// Error code.
         code: SmolStr,
     },
-    /// It began and broke off in a way that a caller can see: the connection broke, or an error
+    /// The answer was truncated in a way that a caller can see: the connection was lost, or an error
     /// came as an event.
     Broken(SmolStr),
-    /// No answer came at all.
+    /// No answer came.
     Unanswered(SmolStr),
 }
 
-/// One request and what became of it.
+/// One request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// The class, empty if none was sent.
+    /// Class of the request; empty if none was sent.
     pub class: SmolStr,
-    /// The judgement.
-    pub judgement: Judgement,
-    /// Time to the first byte of the content.
+    /// Outcome of the request.
+    pub outcome: Outcome,
+    /// Time from the start of the request to the first byte of the content.
     pub first: time::Duration,
-    /// Time to the end.
+    /// Time from the start of the request to the end of the answer.
     pub whole: time::Duration,
 }
 
-/// An answer, judged but for its time.
+/// The outcome of a request before its deadline is checked.
 pub(super) struct Reply {
-    judgement: Judgement,
+    outcome: Outcome,
     first: time::Duration,
 }
 
 impl Reply {
-    /// The reply to a request that nobody answered.
-    pub(super) fn hung(first: time::Duration) -> Self {
+    /// Returns the reply for a request without an answer.
+    pub(super) fn timed_out(first: time::Duration) -> Self {
         Self {
-            judgement: Judgement::Unanswered("timeout".into()),
+            outcome: Outcome::Unanswered("timeout".into()),
             first,
         }
     }
 
+    /// Checks the deadline.
     pub(super) fn into_sample(self, request: &Request, whole: time::Duration) -> Sample {
         let late = whole > request.deadline;
-        let judgement = match self.judgement {
-            Judgement::Served | Judgement::Refused { .. } if late => Judgement::Late,
-            judgement => judgement,
+        let outcome = match self.outcome {
+            Outcome::Served | Outcome::Refused { .. } if late => Outcome::Late,
+            outcome => outcome,
         };
         Sample {
             class: request.class.clone().unwrap_or_default(),
-            judgement,
+            outcome,
             first: self.first,
             whole,
         }
     }
 }
 
-/// Sends the request and judges its answer.
-pub(super) async fn call(client: &client::Client, request: &Request) -> Reply {
+/// Sends a request and checks its answer.
+pub(super) async fn send(client: &client::Client, request: &Request) -> Reply {
     let start = time::Instant::now();
-    match try_call(client, request, start).await {
+    match try_send(client, request, start).await {
         Ok(reply) => reply,
         Err(err) => Reply {
-            judgement: Judgement::Unanswered(root_cause(&err)),
+            outcome: Outcome::Unanswered(root_cause(&err)),
             first: start.elapsed(),
         },
     }
@@ -92,29 +93,29 @@
     smol_str::format_smolstr!("{}", err.root_cause())
 }
 
-async fn try_call(
+async fn try_send(
     client: &client::Client,
     request: &Request,
     start: time::Instant,
 ) -> anyhow::Result<Reply> {
     let client = with_headers(client, request);
     let url = format!("http://{}/v1/chat/completions", request.target);
-    let body: Bytes = serde_json::to_vec(&prompt(request))?.into();
+    let body: Bytes = serde_json::to_vec(&build_prompt(request))?.into();
     let events = client.open(Method::POST, &url, body).await?;
     let first = start.elapsed();
     if events.status != StatusCode::OK {
-        let judgement = refused(&events.collect().await?);
-        return Ok(Reply { judgement, first });
+        let outcome = parse_refusal(&events.collect().await?);
+        return Ok(Reply { outcome, first });
     }
     if events.header(http::REQUEST_ID) != Some(&request.id) {
-        let judgement = Judgement::Wrong("request id".into());
-        return Ok(Reply { judgement, first });
+        let outcome = Outcome::Wrong("request id".into());
+        return Ok(Reply { outcome, first });
     }
     if request.stream {
         Ok(read_stream(events, request, start).await)
     } else {
-        let judgement = read_whole(events, request).await;
-        Ok(Reply { judgement, first })
+        let outcome = read_answer(events, request).await;
+        Ok(Reply { outcome, first })
     }
 }
 
@@ -133,81 +134,81 @@
     client
 }
 
-/// The content that the engine is to echo; no other request has the same.
-fn echo(request: &Request) -> String {
+/// Returns the content of the prompt, which the engine echoes. It is unique to the request.
+fn prompt_content(request: &Request) -> String {
     format!("content of {}", request.id)
 }
 
-fn prompt(request: &Request) -> engine::Prompt {
+fn build_prompt(request: &Request) -> engine::Prompt {
     engine::Prompt {
         model: request.model.clone(),
         messages: vec![engine::Message {
             role: "user".into(),
-            content: echo(request),
+            content: prompt_content(request),
         }],
         stream: request.stream,
         max_tokens: Some(request.max_tokens),
     }
 }
 
-fn refused(answer: &client::Answer) -> Judgement {
+fn parse_refusal(answer: &client::Answer) -> Outcome {
     let verdict = answer.header("x-verdict").unwrap_or("none").into();
     let code = answer
         .code()
         .unwrap_or_else(|| smol_str::format_smolstr!("status {}", answer.status.as_u16()));
-    Judgement::Refused { verdict, code }
+    Outcome::Refused { verdict, code }
 }
 
-fn judge_content(content: &str, request: &Request) -> Judgement {
-    let echo = echo(request);
+fn check_content(content: &str, request: &Request) -> Outcome {
+    let echo = prompt_content(request);
     if content == engine::content(&echo, request.max_tokens) {
-        Judgement::Served
+        Outcome::Served
     } else if content.starts_with(&echo) {
-        Judgement::Wrong("tokens".into())
+        Outcome::Wrong("tokens".into())
     } else {
-        Judgement::Wrong("another's content".into())
+        Outcome::Wrong("another's content".into())
     }
 }
 
-async fn read_whole(events: client::Events, request: &Request) -> Judgement {
+async fn read_answer(events: client::Events, request: &Request) -> Outcome {
     let Ok(answer) = events.collect().await else {
-        return Judgement::Broken("connection".into());
+        return Outcome::Broken("connection".into());
     };
     let Ok(completion) = answer.json::<engine::Completion>() else {
-        return Judgement::Wrong("not a completion".into());
+        return Outcome::Wrong("not a completion".into());
     };
     let content = completion
         .choices
         .first()
         .map_or("", |choice| &choice.message.content);
-    judge_content(content, request)
+    check_content(content, request)
 }
 
 async fn read_stream(mut events: client::Events, request: &Request, start: time::Instant) -> Reply {
     let mut content = String::new();
     let mut first = None;
-    let judgement = loop {
+    let outcome = loop {
         let event = match events.next().await {
             Ok(Some(event)) => event,
-            Ok(None) => break Judgement::Wrong("no end marker".into()),
-            Err(_) => break Judgement::Broken("connection".into()),
+            Ok(None) => break Outcome::Wrong("no end marker".into()),
+            Err(_) => break Outcome::Broken("connection".into()),
         };
         first.get_or_insert_with(|| start.elapsed());
         if event == client::DONE {
-            break judge_content(&content, request);
+            break check_content(&content, request);
         }
         if let Some(code) = client::code_of(event.as_bytes()) {
-            break Judgement::Broken(code);
+            break Outcome::Broken(code);
         }
         let Ok(chunk) = serde_json::from_str::<engine::Chunk>(&event) else {
-            break Judgement::Wrong("not a chunk".into());
+            break Outcome::Wrong("not a chunk".into());
         };
         for choice in chunk.choices {
             content.push_str(&choice.delta.content);
         }
     };
     Reply {
-        judgement,
+        outcome,
         first: first.unwrap_or_else(|| start.elapsed()),
     }
 }
--- a/crates/fireflywheel_standin/src/load/mod.rs
+++ b/crates/fireflywheel_standin/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! A bounded load: requests arrive at a rate whether or not earlier ones were answered, go to
-//! loopback addresses only, and each answer is judged.
+//! Sends a bounded open-loop load: requests arrive at a rate whether or not earlier ones were answered. They go to
+//! loopback addresses only, and each answer is checked.
 
-mod judge;
+mod exchange;
 mod plot;
 mod report;
 
@@ -13,48 +13,48 @@
 use tokio::task;
 use tokio::time;
 
-pub use judge::{Judgement, Sample};
-pub use plot::plot;
+pub use exchange::{Outcome, Sample};
+pub use plot::write_plot;
 pub use report::{Class, Latency, Report};
 
 use crate::client;
 
-/// Most requests in one load.
+/// Maximum number of requests in one load.
 pub const MAX_COUNT: u64 = 1_000_000;
-/// Highest rate, in requests a second.
+/// Maximum rate, in requests per second.
 pub const MAX_RATE: f64 = 10_000.0;
-/// Longest time over which requests arrive.
+/// Maximum time over which requests arrive.
 pub const MAX_TIME: time::Duration = time::Duration::from_secs(600);
-/// How long after its deadline an answer is still waited for, so that a late one is told from
-/// one that never comes.
-const GRACE: time::Duration = time::Duration::from_secs(10);
+/// How long a request waits for its answer after the deadline, so that a late answer is distinguished from a missing
+/// one.
+const ANSWER_GRACE_PERIOD: time::Duration = time::Duration::from_secs(10);
 
-/// What to send, and where.
+/// Options of a load.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Daemons' addresses for callers, taken in turn; loopback only.
+    /// Addresses of the daemons for callers, used in turn. Only loopback addresses are allowed.
     pub targets: Vec<net::SocketAddr>,
-    /// Models, chosen at random; `MODEL` or `MODEL:ADAPTER`.
+    /// Models, chosen at random, as `MODEL` or `MODEL:ADAPTER`.
     pub models: Vec<SmolStr>,
-    /// Classes, chosen at random; none sends no class.
+    /// Classes, chosen at random. If empty, requests have no class.
     pub classes: Vec<SmolStr>,
-    /// Tenants, chosen at random; none sends no tenant.
+    /// Tenants, chosen at random. If empty, requests have no tenant.
     pub tenants: Vec<SmolStr>,
     /// Deadline of each request, in milliseconds.
     pub deadline_ms: u64,
     /// Whether answers are streamed.
     pub stream: bool,
-    /// Tokens asked for.
+    /// Maximum number of tokens of an answer.
     pub max_tokens: usize,
-    /// Mean arrivals in a second.
+    /// Mean number of arrivals per second.
     pub rate: f64,
-    /// Requests to send.
+    /// Maximum number of requests.
     pub count: u64,
-    /// Longest time over which they arrive.
+    /// Maximum time over which requests arrive.
     pub time: time::Duration,
-    /// Fixes the arrivals and choices.
+    /// Seed of the arrival times and the random choices.
     pub seed: u64,
-    /// Where a plot of the latencies goes.
+    /// SVG file for a plot of the latencies.
     pub svg: Option<path::PathBuf>,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// One request to send.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) target: net::SocketAddr,
@@ -91,10 +91,10 @@
 }
 
 impl Options {
-    /// Checks the bounds of the load.
+    /// Checks the options.
     ///
     /// # Errors
-    /// When a target isn't on this machine, a list is empty or a bound is passed.
+    /// When a target isn't a loopback address, there is no target or no model, or a limit is exceeded.
     pub fn check(&self) -> anyhow::Result<()> {
         anyhow::ensure!(!self.targets.is_empty(), "a target is needed");
         anyhow::ensure!(!self.models.is_empty(), "a model is needed");
@@ -113,14 +113,14 @@
         Ok(())
     }
 
-    fn request(&self, number: u64, random: &mut rngs::SmallRng) -> Request {
-        let turn = usize::try_from(number).unwrap_or(0) % self.targets.len();
+    fn draw_request(&self, number: u64, rng: &mut rngs::SmallRng) -> Request {
+        let target = usize::try_from(number).unwrap_or(0) % self.targets.len();
         Request {
-            target: self.targets[turn],
+            target: self.targets[target],
             id: smol_str::format_smolstr!("load-{}-{number}", self.seed),
-            model: self.models.choose(random).cloned().unwrap_or_default(),
-            class: self.classes.choose(random).cloned(),
-            tenant: self.tenants.choose(random).cloned(),
+            model: self.models.choose(rng).cloned().unwrap_or_default(),
+            class: self.classes.choose(rng).cloned(),
+            tenant: self.tenants.choose(rng).cloned(),
             deadline: time::Duration::from_millis(self.deadline_ms),
             stream: self.stream,
             max_tokens: self.max_tokens,
@@ -128,49 +128,49 @@
     }
 }
 
-/// Sends the load and judges every answer.
+/// Sends the load and checks every answer.
 ///
 /// # Errors
-/// When the options pass a bound, or the plot can't be written.
+/// When the options are invalid, or the plot can't be written.
 pub async fn run(options: &Options) -> anyhow::Result<Report> {
     options.check()?;
-    let samples = send(options).await;
+    let samples = send_all(options).await;
     let report = Report::new(&samples)?;
     if let Some(file) = &options.svg {
-        plot(file, &samples).with_context(|| format!("plot to {}", file.display()))?;
+        write_plot(file, &samples).with_context(|| format!("plot to {}", file.display()))?;
     }
     Ok(report)
 }
 
-async fn send(options: &Options) -> Vec<Sample> {
+async fn send_all(options: &Options) -> Vec<Sample> {
     let client = client::Client::new();
-    let mut random = rngs::SmallRng::seed_from_u64(options.seed);
+    let mut rng = rngs::SmallRng::seed_from_u64(options.seed);
     let mut running = task::JoinSet::new();
     let start = time::Instant::now();
     let mut due = start;
     for number in 0..options.count {
-        due += gap(options.rate, &mut random);
+        due += draw_interval(options.rate, &mut rng);
         if due - start > options.time {
             break;
         }
         time::sleep_until(due).await;
-        let request = options.request(number, &mut random);
-        running.spawn(one(client.clone(), request));
+        let request = options.draw_request(number, &mut rng);
+        running.spawn(send_one(client.clone(), request));
     }
     running.join_all().await
 }
 
-/// Time to the next arrival; exponential, as of many independent callers.
-fn gap(rate: f64, random: &mut rngs::SmallRng) -> time::Duration {
-    let share: f64 = random.random();
-    time::Duration::from_secs_f64(-(1.0 - share).ln() / rate)
+/// Draws the time to the next arrival. It is exponentially distributed, as for many independent callers.
+fn draw_interval(rate: f64, rng: &mut rngs::SmallRng) -> time::Duration {
+    let quantile: f64 = rng.random();
+    time::Duration::from_secs_f64(-(1.0 - quantile).ln() / rate)
 }
 
-async fn one(client: client::Client, request: Request) -> Sample {
-    let limit = request.deadline + GRACE;
+async fn send_one(client: client::Client, request: Request) -> Sample {
+    let limit = request.deadline + ANSWER_GRACE_PERIOD;
     let start = time::Instant::now();
-    let answered = time::timeout(limit, judge::call(&client, &request)).await;
+    let reply = time::timeout(limit, exchange::send(&client, &request)).await;
     let whole = start.elapsed();
-    let reply = answered.unwrap_or_else(|_| judge::Reply::hung(whole));
+    let reply = reply.unwrap_or_else(|_| exchange::Reply::timed_out(whole));
     reply.into_sample(&request, whole)
 }
--- a/crates/fireflywheel_standin/src/load/plot.rs
+++ b/crates/fireflywheel_standin/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of the latencies by class.
+//! Plots the latencies by class.
 
 use std::{collections, path};
 
@@ -6,34 +6,35 @@
 use plotters::style::{Color as _, Palette as _};
 use smol_str::SmolStr;
 
-use super::{Judgement, Sample};
+use super::{Outcome, Sample};
 
-const SIZE: (u32, u32) = (800, 480);
-const MARGIN: u32 = 12;
-const LABEL_AREA: u32 = 56;
-/// Points on each line.
-const POINTS: usize = 200;
+/// Width and height of the image in pixels.
+const IMAGE_SIZE: (u32, u32) = (800, 480);
+const MARGIN_PX: u32 = 12;
+const LABEL_AREA_PX: u32 = 56;
+/// Intervals on each line.
+const INTERVALS_PER_LINE: usize = 200;
 
-/// Draws the time to the whole answer of the served requests over their percentile, a line for
-/// each class, to an SVG file.
+/// Writes an SVG file with the time to the complete answer of the served requests by percentile, a line for each
+/// class.
 ///
 /// # Errors
 /// When the file can't be written.
-pub fn plot(file: &path::Path, samples: &[Sample]) -> anyhow::Result<()> {
-    let lines = sorted(samples);
+pub fn write_plot(file: &path::Path, samples: &[Sample]) -> anyhow::Result<()> {
+    let lines = sort_latencies(samples);
     let longest = lines
         .values()
         .filter_map(|times| times.last())
         .fold(1.0, |longest: f64, time| longest.max(*time));
     let area = {
         use draw::IntoDrawingArea as _;
-        draw::SVGBackend::new(file, SIZE).into_drawing_area()
+        draw::SVGBackend::new(file, IMAGE_SIZE).into_drawing_area()
     };
     area.fill(&draw::WHITE)?;
     let mut chart = draw::ChartBuilder::on(&area)
-        .margin(MARGIN)
-        .x_label_area_size(LABEL_AREA)
-        .y_label_area_size(LABEL_AREA)
+        .margin(MARGIN_PX)
+        .x_label_area_size(LABEL_AREA_PX)
+        .y_label_area_size(LABEL_AREA_PX)
         .build_cartesian_2d(0.0..100.0, 0.0..longest)?;
     chart
         .configure_mesh()
@@ -43,7 +44,7 @@
     for (number, (class, times)) in lines.iter().enumerate() {
         let color = draw::Palette99::pick(number).to_rgba();
         chart
-            .draw_series(draw::LineSeries::new(points(times), &color))?
+            .draw_series(draw::LineSeries::new(percentile_points(times), &color))?
             .label(class.as_str())
             .legend(move |(x, y)| draw::PathElement::new([(x, y), (x + 16, y)], color));
     }
@@ -55,11 +56,11 @@
     Ok(())
 }
 
-/// The latencies of the served requests in milliseconds, sorted, by class.
-fn sorted(samples: &[Sample]) -> collections::BTreeMap<SmolStr, Vec<f64>> {
+/// Returns the sorted latencies of the served requests by class, in milliseconds.
+fn sort_latencies(samples: &[Sample]) -> collections::BTreeMap<SmolStr, Vec<f64>> {
     let mut lines: collections::BTreeMap<SmolStr, Vec<f64>> = collections::BTreeMap::new();
     for sample in samples {
-        if sample.judgement == Judgement::Served {
+        if sample.outcome == Outcome::Served {
             lines
                 .entry(sample.class.clone())
                 .or_default()
@@ -72,13 +73,14 @@
     lines
 }
 
-fn points(times: &[f64]) -> Vec<(f64, f64)> {
+/// Returns points of a percentile and its latency; `times` is sorted.
+fn percentile_points(times: &[f64]) -> Vec<(f64, f64)> {
     let last = times.len() - 1;
-    (0..=POINTS)
+    (0..=INTERVALS_PER_LINE)
         .map(|point| {
-            let share = point as f64 / POINTS as f64;
-            let at = (share * last as f64).round() as usize;
-            (share * 100.0, times[at])
+            let quantile = point as f64 / INTERVALS_PER_LINE as f64;
+            let index = (quantile * last as f64).round() as usize;
+            (quantile * 100.0, times[index])
         })
         .collect()
 }
--- a/crates/fireflywheel_standin/src/load/report.rs
+++ b/crates/fireflywheel_standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a load, as text and as JSON.
+//! Reports the results of a load as text and as JSON.
 
 use std::{collections, fmt};
 
@@ -7,62 +7,62 @@
 use smol_str::SmolStr;
 use tokio::time;
 
-use super::{Judgement, Sample};
+use super::{Outcome, Sample};
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+const HISTOGRAM_DIGITS: u8 = 3;
 const US_PER_MS: f64 = 1000.0;
 
-/// Latencies in milliseconds.
+/// Percentiles of latencies, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Latency {
-    /// Half of them were shorter.
+    /// Median.
     pub p50: f64,
-    /// Nine in ten were shorter.
+    /// 90th percentile.
     pub p90: f64,
-    /// Ninety-nine in a hundred were shorter.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What became of the requests of one class.
+/// Outcomes of the requests of one class.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Class {
     /// Requests sent.
     pub sent: u64,
-    /// Served whole and in time.
+    /// Requests served completely and in time.
     pub served: u64,
-    /// Answered after the deadline.
+    /// Requests answered after the deadline.
     pub late: u64,
-    /// Refused in time, by `VERDICT CODE`.
+    /// Requests refused in time, by `VERDICT CODE`.
     pub refused: collections::BTreeMap<SmolStr, u64>,
-    /// Wrong answers, by what was wrong.
+    /// Wrong answers, by the kind of error.
     pub wrong: collections::BTreeMap<SmolStr, u64>,
-    /// Answers that broke off visibly, by cause.
+    /// Answers that were visibly truncated, by cause.
     pub broken: collections::BTreeMap<SmolStr, u64>,
-    /// Without any answer, by cause.
+    /// Requests without an answer, by cause.
     pub unanswered: collections::BTreeMap<SmolStr, u64>,
-    /// Time to the first byte of those served.
+    /// Time to the first byte of the served requests.
     pub first_ms: Latency,
-    /// Time to the whole answer of those served.
+    /// Time to the complete answer of the served requests.
     pub whole_ms: Latency,
 }
 
-/// What became of the requests, by class; a request without a class stands under the empty name.
+/// Outcomes of the requests by class. Requests without a class are under the empty name.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// All requests together.
+    /// Outcomes of all requests.
     pub total: Class,
-    /// By class.
+    /// Outcomes by class.
     pub classes: collections::BTreeMap<SmolStr, Class>,
 }
 
 impl Report {
-    /// Sums up the samples.
+    /// Creates a report of the samples.
     ///
     /// # Errors
-    /// When a histogram can't be made.
+    /// When a histogram can't be created or a latency doesn't fit it.
     pub fn new(samples: &[Sample]) -> anyhow::Result<Self> {
         let mut by_class: collections::BTreeMap<SmolStr, Vec<&Sample>> =
             collections::BTreeMap::new();
@@ -98,30 +98,30 @@
     fn new(samples: &[&Sample]) -> anyhow::Result<Self> {
         let mut class = Self::default();
         for sample in samples {
-            class.count(&sample.judgement);
+            class.record(&sample.outcome);
         }
         let served = || {
             samples
                 .iter()
-                .filter(|sample| sample.judgement == Judgement::Served)
+                .filter(|sample| sample.outcome == Outcome::Served)
         };
         class.first_ms = Latency::new(served().map(|sample| sample.first))?;
         class.whole_ms = Latency::new(served().map(|sample| sample.whole))?;
         Ok(class)
     }
 
-    fn count(&mut self, judgement: &Judgement) {
+    fn record(&mut self, outcome: &Outcome) {
         self.sent += 1;
-        match judgement {
-            Judgement::Served => self.served += 1,
-            Judgement::Late => self.late += 1,
-            Judgement::Wrong(what) => *self.wrong.entry(what.clone()).or_default() += 1,
-            Judgement::Broken(cause) => *self.broken.entry(cause.clone()).or_default() += 1,
-            Judgement::Refused { verdict, code } => {
+        match outcome {
+            Outcome::Served => self.served += 1,
+            Outcome::Late => self.late += 1,
+            Outcome::Wrong(what) => *self.wrong.entry(what.clone()).or_default() += 1,
+            Outcome::Broken(cause) => *self.broken.entry(cause.clone()).or_default() += 1,
+            Outcome::Refused { verdict, code } => {
                 let name = smol_str::format_smolstr!("{verdict} {code}");
                 *self.refused.entry(name).or_default() += 1;
             }
-            Judgement::Unanswered(cause) => {
+            Outcome::Unanswered(cause) => {
                 *self.unanswered.entry(cause.clone()).or_default() += 1;
             }
         }
@@ -129,24 +129,24 @@
 }
 
 impl Latency {
-    /// Sums up times.
+    /// Calculates the percentiles of the times.
     ///
     /// # Errors
-    /// When a histogram can't be made.
+    /// When the histogram can't be created or a time doesn't fit it.
     pub fn new<I>(times: I) -> anyhow::Result<Self>
     where
         I: Iterator<Item = time::Duration>,
     {
-        let mut histogram = Histogram::<u64>::new(DIGITS)?;
+        let mut histogram = Histogram::<u64>::new(HISTOGRAM_DIGITS)?;
         for time in times {
             histogram.record(u64::try_from(time.as_micros())?)?;
         }
-        let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / US_PER_MS;
+        let percentile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / US_PER_MS;
         Ok(Self {
-            p50: ms(0.5),
-            p90: ms(0.9),
-            p99: ms(0.99),
-            max: ms(1.0),
+            p50: percentile_ms(0.5),
+            p90: percentile_ms(0.9),
+            p99: percentile_ms(0.99),
+            max: percentile_ms(1.0),
         })
     }
 }
@@ -168,15 +168,15 @@
             "  sent {}, served {}, late {}",
             self.sent, self.served, self.late
         )?;
-        let kinds = [
+        let groups = [
             ("refused", &self.refused),
             ("wrong", &self.wrong),
             ("broken", &self.broken),
             ("unanswered", &self.unanswered),
         ];
-        for (kind, counts) in kinds {
+        for (group, counts) in groups {
             for (name, count) in counts {
-                writeln!(f, "  {kind} {count}: {name}")?;
+                writeln!(f, "  {group} {count}: {name}")?;
             }
         }
         writeln!(f, "  first byte: {}", self.first_ms)?;
--- a/crates/fireflywheel_standin/src/trial/book.rs
+++ b/crates/fireflywheel_standin/src/trial/book.rs
@@ -1,4 +1,4 @@
-//! All that callers, workers and the operator saw in a trial, and which promises it breaks.
+//! Records what callers, workers and the operator observe in a trial, and checks the rules against it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,59 +12,63 @@
 use crate::site::configuration::ATTEMPTS;
 use crate::site::line::Line;
 
-/// A request that has used so much of its time may be given up.
-const USED_UP: f64 = 0.7;
-/// Ids of questions for the configuration begin with this.
-pub const PROBE: &str = "probe-";
-/// Loads from the weight store are counted over this window.
-const WINDOW: Duration = Duration::from_secs(5);
-/// So much more may be ordered in a window than the rate allows, and so many loads beyond.
-const OVERAGE: (f64, usize) = (1.1, 3);
-
-/// A question which configuration an instance has in force.
+/// An instance may abandon a request after this part of its deadline.
+const MIN_ABANDON_RATIO: f64 = 0.7;
+/// Prefix of the request ids of configuration probes.
+pub const PROBE_ID_PREFIX: &str = "probe-";
+/// Window over which loads from the weight store are counted.
+const LOAD_RATE_WINDOW: Duration = Duration::from_secs(5);
+/// Tolerated ratio of the loads in a window to the number that the rate allows.
+const LOAD_RATE_TOLERANCE: f64 = 1.1;
+/// Loads tolerated in a window in addition to [`LOAD_RATE_TOLERANCE`].
+const EXTRA_LOADS: usize = 3;
+
+/// A request that finds out whether an instance has a configuration version in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    /// Which instance, in which of its lives.
+    /// Index and incarnation of the instance.
     pub instance: (usize, u64),
-    /// The version whose route was asked for.
+    /// Version whose route was requested.
     pub version: u64,
-    /// Whether it knew the route.
+    /// Whether the instance knew the route.
     pub known: bool,
-    /// When it was asked.
+    /// When the request was sent.
     pub asked: Instant,
-    /// When it answered.
+    /// When the answer arrived.
     pub answered: Instant,
 }
 
-/// Everything that was seen.
+/// The observations of a trial.
 #[derive(Debug)]
 pub struct Book {
-    scope: Faults,
+    injected: Faults,
+    /// Workers that ran a request, by its id.
     runs: BTreeMap<SmolStr, Vec<SmolStr>>,
+    /// Accepted orders of each worker: holder and fencing token.
     orders: BTreeMap<SmolStr, Vec<(SmolStr, u64)>>,
     fetches: Vec<Instant>,
-    seen: Vec<Seen>,
+    requests: Vec<Seen>,
     probes: Vec<Probe>,
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Book {
-    /// Nothing was seen yet; faults of these kinds come.
+    /// Creates an empty record for a trial that injects faults of the given kinds.
     #[must_use]
-    pub fn new(scope: Faults) -> Self {
+    pub fn new(injected: Faults) -> Self {
         Self {
-            scope,
+            injected,
             runs: BTreeMap::new(),
             orders: BTreeMap::new(),
             fetches: Vec::new(),
-            seen: Vec::new(),
+            requests: Vec::new(),
             probes: Vec::new(),
-            faults: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// A worker has written a line.
-    pub fn worker_wrote(&mut self, worker: &SmolStr, line: &str) {
+    /// Records a line that a worker has written.
+    pub fn record_worker_line(&mut self, worker: &SmolStr, line: &str) {
         match line.parse() {
             Ok(Line::Run(id)) => self.runs.entry(id).or_default().push(worker.clone()),
             Ok(Line::Order(holder, fence)) => {
@@ -73,138 +77,148 @@
             }
             Ok(Line::Fetch) => self.fetches.push(Instant::now()),
             Ok(Line::Overcommitted) => {
-                self.fault(format!("{worker} was ordered to load more than it holds"));
+                self.record_violation(format!("{worker} was ordered to load more than it holds"));
             }
-            Err(error) => self.fault(format!("{worker} wrote {line:?}: {error}")),
+            Err(error) => self.record_violation(format!("{worker} wrote {line:?}: {error}")),
         }
     }
 
-    /// A request has ended.
-    pub fn saw(&mut self, seen: Seen) {
-        self.seen.push(seen);
+    /// Records a request that has ended.
+    pub fn record_request(&mut self, request: Seen) {
+        self.requests.push(request);
     }
 
-    /// An instance was asked for its configuration.
-    pub fn probed(&mut self, probe: Probe) {
+    /// Records the answer to a configuration probe.
+    pub fn record_probe(&mut self, probe: Probe) {
         self.probes.push(probe);
     }
 
-    /// Something that must not be, whatever else was seen.
-    pub fn fault(&mut self, what: String) {
-        self.faults.push(what);
+    /// Records an event that breaks a rule regardless of all other observations.
+    pub fn record_violation(&mut self, violation: String) {
+        self.violations.push(violation);
     }
 
-    /// All requests that have ended.
+    /// Requests that have ended.
     #[must_use]
-    pub fn seen(&self) -> &[Seen] {
-        &self.seen
+    pub fn requests(&self) -> &[Seen] {
+        &self.requests
     }
 
-    /// Loads from the weight store.
+    /// Number of loads from the weight store.
     #[must_use]
-    pub fn fetches(&self) -> usize {
+    pub fn fetch_count(&self) -> usize {
         self.fetches.len()
     }
 
-    /// Orders that engines accepted.
+    /// Number of orders that engines accepted.
     #[must_use]
-    pub fn accepted_orders(&self) -> usize {
+    pub fn accepted_order_count(&self) -> usize {
         self.orders.values().map(Vec::len).sum()
     }
 
-    /// The promises that are broken, a line each.
+    /// Checks all rules and returns a line for each violation.
     #[must_use]
-    pub fn broken(&self) -> Vec<String> {
-        let mut broken = self.faults.clone();
-        let sent: BTreeSet<&SmolStr> = self.seen.iter().map(|seen| &seen.call.id).collect();
+    pub fn violations(&self) -> Vec<String> {
+        let mut violations = self.violations.clone();
+        let sent: BTreeSet<&SmolStr> = self
+            .requests
+            .iter()
+            .map(|request| &request.call.id)
+            .collect();
         for (id, workers) in &self.runs {
-            if !sent.contains(id) && !id.starts_with(PROBE) {
-                broken.push(format!("{id} ran at {workers:?}, and no caller sent it"));
+            if !sent.contains(id) && !id.starts_with(PROBE_ID_PREFIX) {
+                violations.push(format!("{id} ran at {workers:?}, and no caller sent it"));
             }
         }
-        for seen in &self.seen {
-            broken.extend(self.request(seen));
+        for request in &self.requests {
+            violations.extend(self.check_request(request));
         }
-        broken.extend(self.orders());
-        broken.extend(self.ceiling());
-        broken.extend(self.reverted());
-        broken
+        violations.extend(self.check_orders());
+        violations.extend(self.check_load_rate());
+        violations.extend(self.check_versions());
+        violations
     }
 
-    fn request(&self, seen: &Seen) -> Option<String> {
+    fn check_request(&self, request: &Seen) -> Option<String> {
         let none = Vec::new();
-        let runs = self.runs.get(&seen.call.id).unwrap_or(&none);
-        let single = seen.call.kind.is_single();
-        let fault = |what: &str| Some(format!("{what}; it ran at {runs:?}: {seen:?}"));
+        let runs = self.runs.get(&request.call.id).unwrap_or(&none);
+        let single = request.call.kind.is_single();
+        let violation = |rule: &str| Some(format!("{rule}; it ran at {runs:?}: {request:?}"));
         if single && runs.len() > 1 {
-            return fault("a request that may run once ran again");
+            return violation("a request that may run once ran again");
         }
         if runs.len() > ATTEMPTS {
-            return fault("a request ran more often than its route allows");
+            return violation("a request ran more often than its route allows");
         }
-        let Outcome::Answer(answer) = &seen.outcome else {
-            return fault(self.lost(seen, !runs.is_empty())?);
+        let Outcome::Answer(answer) = &request.outcome else {
+            return violation(self.check_lost(request, !runs.is_empty())?);
         };
-        if single && answer.promises_not_run() && !runs.is_empty() {
-            return fault("a request that was refused as not run has run");
+        if single && answer.claims_not_run() && !runs.is_empty() {
+            return violation("a request that was refused as not run has run");
         }
         if !answer.status.is_success() {
             return None;
         }
-        if !answer.signed || answer.id.as_ref() != Some(&seen.call.id) {
-            return fault("a success that isn't the worker's answer to this request");
+        if !answer.signed || answer.id.as_ref() != Some(&request.call.id) {
+            return violation("a success that isn't the worker's answer to this request");
         }
         if runs.is_empty() {
-            return fault("a success of a request that hasn't run");
+            return violation("a success of a request that hasn't run");
         }
-        fault(answer.flaw?)
+        violation(answer.flaw?)
     }
 
-    /// What is wrong with a request that got no whole answer, if its instance had no reason.
-    fn lost(&self, seen: &Seen, ran: bool) -> Option<&'static str> {
-        let used_up = seen.whole >= seen.call.deadline.mul_f64(USED_UP);
-        if self.scope != Faults::Planned || used_up {
+    /// Checks a request without a complete answer. Only planned operations must not lose requests, and an instance may
+    /// abandon a request when most of its deadline has passed.
+    fn check_lost(&self, request: &Seen, ran: bool) -> Option<&'static str> {
+        let may_abandon = request.whole >= request.call.deadline.mul_f64(MIN_ABANDON_RATIO);
+        if self.injected != Faults::Planned || may_abandon {
             return None;
         }
-        match seen.outcome {
+        match request.outcome {
             Outcome::Broken => Some("an answer broke off in planned work"),
             Outcome::Unanswered if ran => Some("a request that ran was lost in planned work"),
             _ => None,
         }
     }
 
-    /// Orders of an engine come with fencing tokens that never fall, and each token has one holder.
-    fn orders(&self) -> Vec<String> {
-        let mut broken = Vec::new();
+    /// Checks that the fencing tokens of an engine's orders never decrease and that each token has one holder.
+    fn check_orders(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         let mut holders: BTreeMap<u64, &SmolStr> = BTreeMap::new();
         for (worker, orders) in &self.orders {
             if !orders.is_sorted_by_key(|(_, fence)| *fence) {
-                broken.push(format!(
+                violations.push(format!(
                     "{worker} took orders of an earlier holder: {orders:?}"
                 ));
             }
             for (holder, fence) in orders {
                 let first = holders.entry(*fence).or_insert(holder);
                 if *first != holder {
-                    broken.push(format!("{first} and {holder} both sent orders as {fence}"));
+                    violations.push(format!("{first} and {holder} both sent orders as {fence}"));
                 }
             }
         }
-        broken
+        violations
     }
 
-    fn ceiling(&self) -> Option<String> {
-        let allowed = (LOADS_PER_SECOND * WINDOW.as_secs_f64() * OVERAGE.0) as usize + OVERAGE.1;
-        let too_many = self.fetches.iter().enumerate().find(|(place, begin)| {
-            let later = self.fetches[*place..].iter();
-            let within = later.filter(|at| **at - **begin < WINDOW).count();
+    /// Checks the rate of loads from the weight store.
+    fn check_load_rate(&self) -> Option<String> {
+        let allowed = (LOADS_PER_SECOND * LOAD_RATE_WINDOW.as_secs_f64() * LOAD_RATE_TOLERANCE)
+            as usize
+            + EXTRA_LOADS;
+        let too_many = self.fetches.iter().enumerate().find(|(index, start)| {
+            let later = self.fetches[*index..].iter();
+            let within = later.filter(|at| **at - **start < LOAD_RATE_WINDOW).count();
             within > allowed
         });
-        too_many.map(|_| format!("more than {allowed} loads from the weight store in {WINDOW:?}"))
+        too_many.map(|_| {
+            format!("more than {allowed} loads from the weight store in {LOAD_RATE_WINDOW:?}")
+        })
     }
 
-    /// A version that an instance knew is known for the rest of its life.
-    fn reverted(&self) -> Vec<String> {
+    /// Checks that an incarnation of an instance never forgets a version that it has known.
+    fn check_versions(&self) -> Vec<String> {
         let reverts = |later: &&Probe| {
             let knew = |earlier: &Probe| {
                 earlier.known
@@ -220,12 +234,16 @@
             .collect()
     }
 
-    /// How many requests of a kind ended in which way.
+    /// Counts the requests of a kind by outcome.
     #[must_use]
-    pub fn counts(&self, kind: Kind) -> BTreeMap<String, usize> {
+    pub fn count_outcomes(&self, kind: Kind) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
-        for seen in self.seen.iter().filter(|seen| seen.call.kind == kind) {
-            let name = match &seen.outcome {
+        for request in self
+            .requests
+            .iter()
+            .filter(|request| request.call.kind == kind)
+        {
+            let name = match &request.outcome {
                 Outcome::Answer(answer) => answer.status.as_u16().to_string(),
                 other => format!("{other:?}").to_lowercase(),
             };
--- a/crates/fireflywheel_standin/src/trial/caller.rs
+++ b/crates/fireflywheel_standin/src/trial/caller.rs
@@ -1,4 +1,4 @@
-//! One caller with a kept connection, and what it saw of each request.
+//! A caller with a persistent connection, and the outcome of each of its requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 
 use crate::site::worker::EVENTS;
 
-/// How long an answer is waited for beyond the deadline.
-pub const GRACE: Duration = Duration::from_secs(2);
+/// How long a caller waits for an answer after the deadline.
+pub const ANSWER_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Kind {
-    /// A booking, which may run once.
+    /// A booking, which must not run more than once.
     Booking,
-    /// A look-up, which may be repeated.
+    /// A look-up, which may be retried.
     LookUp,
-    /// A stream that may be resumed.
+    /// A resumable stream.
     Stream,
-    /// A stream that may run once.
+    /// A stream that must not run more than once.
     SingleStream,
 }
 
@@ -39,7 +39,7 @@
         Self::SingleStream,
     ];
 
-    /// Where it is sent.
+    /// The path of the request.
     #[must_use]
     pub fn path(self) -> &'static str {
         match self {
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Whether it may run once only.
+    /// Whether the request must not run more than once.
     #[must_use]
     pub fn is_single(self) -> bool {
         matches!(self, Self::Booking | Self::SingleStream)
     }
 
-    /// Whether it is for a model.
+    /// Whether the request is a stream for a model.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::SingleStream)
@@ -66,74 +66,74 @@
 /// A request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id.
+    /// Request id.
     pub id: SmolStr,
-    /// What it asks for.
+    /// Kind of the request.
     pub kind: Kind,
-    /// The model, for streams.
+    /// Model, for streams only.
     pub model: Option<SmolStr>,
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub size: usize,
-    /// How long its caller waits.
+    /// Deadline, measured from the start of the request.
     pub deadline: Duration,
 }
 
-/// What its caller saw.
+/// The outcome of a request, as its caller observes it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete answer.
     Answer(Answer),
-    /// An answer that broke off visibly.
+    /// An answer that was visibly truncated.
     Broken,
-    /// No answer, and the connection has ended.
+    /// The connection ended without an answer.
     Unanswered,
-    /// No connection was made: nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     Unreached,
-    /// Nothing, or not all, within the deadline and some more.
+    /// No complete answer came within the deadline and [`ANSWER_GRACE_PERIOD`].
     Hung,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Whether it has a worker's signature.
+    /// Whether the answer carries a worker's signature.
     pub signed: bool,
-    /// The request that it says it belongs to.
+    /// Id of the request that the answer names.
     pub id: Option<SmolStr>,
-    /// Whether it may be tried again, and when.
+    /// Whether the answer has a `Retry-After` header.
     pub has_retry_after: bool,
-    /// What is wrong with its body.
+    /// Error in the body, if any.
     pub flaw: Option<&'static str>,
 }
 
 impl Answer {
-    /// Whether it says that the request hasn't run and won't.
+    /// Whether the status says that the request has not run and will not run.
     #[must_use]
-    pub fn promises_not_run(&self) -> bool {
+    pub fn claims_not_run(&self) -> bool {
         matches!(self.status.as_u16(), 408 | 421 | 429 | 503)
     }
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// The request.
+    /// Request.
     pub call: Call,
-    /// At which instance.
+    /// Index of the instance.
     pub instance: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: time::Instant,
-    /// From then to the first byte of its content.
+    /// Time from `sent` to the first byte of the content.
     pub first: Duration,
-    /// From then to the end.
+    /// Time from `sent` to the end.
     pub whole: Duration,
-    /// What its caller saw.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// A caller.
+/// A caller of one instance.
 #[derive(Debug)]
 pub struct Caller {
     instance: usize,
@@ -142,7 +142,7 @@
 }
 
 impl Caller {
-    /// A caller of the instance at this address.
+    /// Creates a caller of the instance at `address`.
     #[must_use]
     pub fn new(instance: usize, address: SocketAddr) -> Self {
         Self {
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Sends a request on the kept connection, or on a new one if that has ended, and waits for its end.
+    /// Sends a request and waits for its end. Opens a new connection if the previous one has ended.
     pub async fn send(&mut self, call: Call) -> Seen {
         let sent = time::Instant::now();
         let mut first = Duration::ZERO;
         let exchange = self.exchange(&call, sent, &mut first);
-        let outcome = match time::timeout(call.deadline + GRACE, exchange).await {
+        let outcome = match time::timeout(call.deadline + ANSWER_GRACE_PERIOD, exchange).await {
             Ok(outcome) => outcome,
             Err(_) => {
                 self.connection = None;
@@ -183,12 +183,12 @@
         let Some(mut connection) = self.connect().await else {
             return Outcome::Unreached;
         };
-        let Ok(response) = connection.send_request(request(call)).await else {
+        let Ok(response) = connection.send_request(build_request(call)).await else {
             return Outcome::Unanswered;
         };
         let (head, body) = response.into_parts();
         let header = |name| head.headers.get(name)?.to_str().ok();
-        let closes = header("connection") == Some("close");
+        let closes_connection = header("connection") == Some("close");
         let mut answer = Answer {
             status: head.status,
             signed: header("x-server-seal").is_some(),
@@ -196,13 +196,13 @@
             has_retry_after: head.headers.contains_key(header::RETRY_AFTER),
             flaw: None,
         };
-        let Some(bytes) = collect(body, sent, first).await else {
+        let Some(bytes) = read_body(body, sent, first).await else {
             return Outcome::Broken;
         };
         if head.status.is_success() {
-            answer.flaw = flaw(call, &bytes);
+            answer.flaw = find_flaw(call, &bytes);
         }
-        if !closes {
+        if !closes_connection {
             self.connection = Some(connection);
         }
         Outcome::Answer(answer)
@@ -222,7 +222,7 @@
     }
 }
 
-fn request(call: &Call) -> Request<Full<Bytes>> {
+fn build_request(call: &Call) -> Request<Full<Bytes>> {
     let mut request = Request::builder()
         .method(Method::POST)
         .uri(call.kind.path())
@@ -233,11 +233,11 @@
         request = request.header("x-model", model.as_str());
     }
     let body = Full::new(Bytes::from(vec![b'x'; call.size]));
-    request.body(body).expect("a good request")
+    request.body(body).expect("the request is valid")
 }
 
-/// The whole body; none when it breaks off.
-async fn collect(
+/// Reads the body to its end and sets `first` at its first byte. Returns `None` if the body is truncated.
+async fn read_body(
     mut body: body::Incoming,
     sent: time::Instant,
     first: &mut Duration,
@@ -255,14 +255,14 @@
     Some(bytes)
 }
 
-/// What is wrong with the body of a success.
-fn flaw(call: &Call, bytes: &[u8]) -> Option<&'static str> {
+/// Returns the error in the body of a successful answer, if any.
+fn find_flaw(call: &Call, bytes: &[u8]) -> Option<&'static str> {
     let text = String::from_utf8_lossy(bytes);
     if call.kind.is_stream() {
-        let whole: String = (1..=EVENTS)
+        let expected: String = (1..=EVENTS)
             .map(|id| format!("id: {id}\ndata: t{id}\n\n"))
             .collect();
-        (text != whole).then_some("the stream isn't whole or not in order")
+        (text != expected).then_some("the stream isn't whole or not in order")
     } else {
         let size = format!("\"body\":{}", call.size);
         (!text.contains(&size)).then_some("the body belongs to another request")
--- a/crates/fireflywheel_standin/src/trial/deployment.rs
+++ b/crates/fireflywheel_standin/src/trial/deployment.rs
@@ -1,4 +1,4 @@
-//! A store, workers and instances as processes, with a proxy on each link.
+//! Runs a store, workers and instances as processes, with a proxy on each link.
 
 mod launch;
 
@@ -16,63 +16,63 @@
 
 use super::book::Book;
 use super::proxy::{Flow, Proxy};
-use super::script::{Action, LEAVE, LinkFault, Place};
+use super::script::{Action, LEAVING_PERIOD, LinkFault, LinkId};
 use crate::process::Child;
 use crate::site::configuration;
 use crate::site::store::{CONFIG, record};
 use crate::{client, fault};
 
-/// Loads that the weight store allows in a second.
+/// Loads per second that the weight store allows.
 pub const LOADS_PER_SECOND: f64 = 5.0;
-/// Guards a trial against an instance that never ends.
-const STOP_GUARD: Duration = Duration::from_secs(60);
-/// Guards a trial against an instance that never gets ready.
-const READY_GUARD: Duration = Duration::from_secs(60);
-/// Between two looks whether it is.
-const LOOK: Duration = Duration::from_millis(20);
+/// A trial fails if an instance does not exit within this time.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
+/// A trial fails if an instance does not become ready within this time.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two readiness or connection checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long the operator waits for an answer of the store.
-const OPERATOR_PATIENCE: Duration = Duration::from_secs(1);
-/// How long an instance may take to say that it is ready, and a worker to take a switch.
-const LOOK_PATIENCE: Duration = Duration::from_millis(200);
+const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit of a readiness check of an instance and of a fault request to a worker.
+const CONTROL_REQUEST_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How a deployment is made.
+/// Options of a deployment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the instances.
+    /// Program of the instances.
     pub program: PathBuf,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Workers that are model engines.
+    /// Number of workers that are model engines.
     pub engines: usize,
-    /// Workers that are plain services.
+    /// Number of workers that are plain services.
     pub services: usize,
-    /// Models, named `m1` and so on.
+    /// Number of models. They are named `m1`, `m2` and so on.
     pub models: usize,
-    /// Arguments of the engines' program.
+    /// Additional arguments of the engines' program.
     pub engine_args: Vec<String>,
-    /// What instances write to their logs.
+    /// Log level of the instances.
     pub log_level: &'static str,
-    /// Where the instances' logs go, a file each; they are dropped if there is none.
+    /// Folder for the instances' logs, one file each. Without it, the logs are discarded.
     pub logs: Option<PathBuf>,
 }
 
-/// What the processes of instances have used.
+/// Resource usage of the processes of all instances.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Usage {
-    /// Time of a processor.
-    pub processor: Duration,
-    /// Lines of their logs.
+    /// Processor time.
+    pub cpu_time: Duration,
+    /// Lines written to the logs.
     pub log_lines: u64,
-    /// Bytes of their logs.
+    /// Bytes written to the logs.
     pub log_bytes: u64,
 }
 
 impl Usage {
-    /// What was used after `earlier`.
+    /// The usage since `earlier`.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
-            processor: self.processor.saturating_sub(earlier.processor),
+            cpu_time: self.cpu_time.saturating_sub(earlier.cpu_time),
             log_lines: self.log_lines - earlier.log_lines,
             log_bytes: self.log_bytes - earlier.log_bytes,
         }
@@ -85,20 +85,20 @@
     options: Options,
     store: Child,
     store_address: SocketAddr,
-    /// Where its instances listen.
+    /// Address that the instances listen on.
     host: Ipv4Addr,
     client: client::Client,
-    folder: Folder,
+    folder: TempFolder,
     instances: Vec<Instance>,
     workers: Vec<Worker>,
-    readers: JoinSet<()>,
+    output_readers: JoinSet<()>,
     log_lines: Arc<AtomicU64>,
     log_bytes: Arc<AtomicU64>,
     book: Arc<Mutex<Book>>,
-    /// The newest that was accepted.
-    version: u64,
-    /// The newest that was sent.
-    drawn: u64,
+    /// Newest configuration version that the store has accepted.
+    accepted_version: u64,
+    /// Newest configuration version that was sent.
+    sent_version: u64,
 }
 
 #[derive(Debug)]
@@ -107,40 +107,40 @@
     callers: Proxy,
     peers: Proxy,
     store: Proxy,
-    ready: Option<SocketAddr>,
-    lives: u64,
-    ends: bool,
+    ready_address: Option<SocketAddr>,
+    incarnation: u64,
+    is_stopping: bool,
 }
 
 #[derive(Debug)]
 struct Worker {
     child: Option<Child>,
     link: Proxy,
-    engine: bool,
-    lives: u64,
+    is_engine: bool,
+    incarnation: u64,
     id: SmolStr,
-    /// Since when it says that it leaves.
-    leaves: Option<time::Instant>,
+    /// When the worker announced that it leaves.
+    leaving_since: Option<time::Instant>,
 }
 
 #[derive(Debug)]
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
-        // Files that stay behind in the folder for temporary files do no harm.
+        // Files that stay in the folder for temporary files do no harm.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
 impl Deployment {
-    /// Starts a store with a first configuration, workers and instances.
+    /// Starts a store with a first configuration, the workers and the instances.
     ///
     /// # Errors
     /// When a process can't be started.
     pub async fn start(options: Options, book: Arc<Mutex<Book>>) -> anyhow::Result<Self> {
         let store = Child::start("fireflywheel_standin", ["site-store"]).await?;
-        let folder = Folder(env::temp_dir().join(format!(
+        let folder = TempFolder(env::temp_dir().join(format!(
             "fireflywheel-trial-{}-{}",
             process::id(),
             store.id()
@@ -148,23 +148,23 @@
         fs::create_dir_all(&folder.0)?;
         let mut deployment = Self {
             store_address: store.address("listening"),
-            host: launch::own_host(store.id()),
+            host: launch::unique_loopback_host(store.id()),
             store,
             client: client::Client::new(),
             folder,
             instances: Vec::new(),
             workers: Vec::new(),
-            readers: JoinSet::new(),
+            output_readers: JoinSet::new(),
             log_lines: Arc::default(),
             log_bytes: Arc::default(),
             book,
-            version: 0,
-            drawn: 0,
+            accepted_version: 0,
+            sent_version: 0,
             options,
         };
-        deployment.configure().await;
-        for place in 0..deployment.options.engines + deployment.options.services {
-            deployment.add_worker(place).await?;
+        deployment.publish_next_config().await;
+        for index in 0..deployment.options.engines + deployment.options.services {
+            deployment.add_worker(index).await?;
         }
         for _ in 0..deployment.options.instances {
             deployment.add_instance().await?;
@@ -174,228 +174,233 @@
 
     /// The address for callers of each instance.
     #[must_use]
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let instances = self.instances.iter();
         instances
             .map(|instance| instance.callers.address())
             .collect()
     }
 
-    /// Where its instances listen: an address of its own, at which no other process takes a port.
+    /// The loopback address of the instances. It is unique to the deployment, so that no other process takes a port
+    /// there.
     #[must_use]
     pub fn host(&self) -> Ipv4Addr {
         self.host
     }
 
-    /// How often an instance was started.
+    /// How many times an instance was started.
     #[must_use]
     pub fn incarnation(&self, instance: usize) -> u64 {
-        self.instances[instance].lives
+        self.instances[instance].incarnation
     }
 
-    /// The newest configuration that was accepted.
+    /// The newest configuration version that the store has accepted.
     #[must_use]
-    pub fn version(&self) -> u64 {
-        self.version
+    pub fn accepted_version(&self) -> u64 {
+        self.accepted_version
     }
 
-    /// What the running processes of instances have used so far, and what all have logged.
+    /// The processor time of the running processes of instances, and the log output of all that were started.
     ///
     /// # Errors
-    /// When the system can't be asked.
+    /// When the processor time can't be read.
     pub fn usage(&self) -> anyhow::Result<Usage> {
         let mut usage = Usage {
-            processor: Duration::ZERO,
+            cpu_time: Duration::ZERO,
             log_lines: self.log_lines.load(Ordering::Relaxed),
             log_bytes: self.log_bytes.load(Ordering::Relaxed),
         };
         let instances = self.instances.iter();
         for child in instances.filter_map(|instance| instance.child.as_ref()) {
-            usage.processor += child.processor_time()?;
+            usage.cpu_time += child.processor_time()?;
         }
         Ok(usage)
     }
 
-    /// Waits until all instances say that they are ready.
+    /// Waits until all instances are ready.
     ///
     /// # Errors
-    /// When they don't for too long.
+    /// When an instance does not become ready in time.
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
-        let limit = time::Instant::now() + READY_GUARD;
-        for place in 0..self.instances.len() {
-            while !self.is_ready(place).await {
-                anyhow::ensure!(time::Instant::now() < limit, "instance {place} isn't ready");
-                time::sleep(LOOK).await;
+        let deadline = time::Instant::now() + READY_TIMEOUT;
+        for index in 0..self.instances.len() {
+            while !self.is_ready(index).await {
+                anyhow::ensure!(
+                    time::Instant::now() < deadline,
+                    "instance {index} did not become ready within {READY_TIMEOUT:?}"
+                );
+                time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Whether an instance says that it is ready.
+    /// Whether an instance reports that it is ready.
     pub async fn is_ready(&self, instance: usize) -> bool {
-        let Some(address) = self.instances[instance].ready else {
+        let Some(address) = self.instances[instance].ready_address else {
             return false;
         };
         let url = format!("http://{address}/v1/ready");
         let answer = self.client.get(&url);
-        matches!(time::timeout(LOOK_PATIENCE, answer).await, Ok(Ok(answer)) if answer.status.is_success())
+        matches!(time::timeout(CONTROL_REQUEST_TIMEOUT, answer).await, Ok(Ok(answer)) if answer.status.is_success())
     }
 
-    /// Carries out an action. One that makes no sense now, such as a pause of a process that has ended, is left
-    /// out.
+    /// Carries out an action. Skips an action that does not apply, such as a pause of a process that has ended.
     ///
     /// # Errors
     /// When a process can't be started, or the store can't be reached.
-    pub async fn act(&mut self, action: Action) -> anyhow::Result<()> {
+    pub async fn apply(&mut self, action: Action) -> anyhow::Result<()> {
         match action {
-            Action::Kill(place) => self.end_instance(place).await?,
-            Action::Stop(place) => {
-                let instance = &mut self.instances[place];
-                instance.ends |= instance.child.is_some();
-                signal(&instance.child, Child::terminate);
+            Action::Kill(index) => self.kill_instance(index).await?,
+            Action::Stop(index) => {
+                let instance = &mut self.instances[index];
+                instance.is_stopping |= instance.child.is_some();
+                send_signal(&instance.child, Child::terminate);
             }
-            Action::Start(place) => {
-                self.end_instance(place).await?;
-                self.start_instance(place).await?;
+            Action::Start(index) => {
+                self.kill_instance(index).await?;
+                self.start_instance(index).await?;
             }
-            Action::AwaitStart(place) => {
-                if let Some(child) = &mut self.instances[place].child {
-                    time::timeout(STOP_GUARD, child.wait())
+            Action::RestartAfterExit(index) => {
+                if let Some(child) = &mut self.instances[index].child {
+                    time::timeout(STOP_TIMEOUT, child.wait())
                         .await
-                        .context("it doesn't stop")??;
+                        .context("the instance did not exit in time")??;
                 }
-                self.end_instance(place).await?;
-                self.start_instance(place).await?;
+                self.kill_instance(index).await?;
+                self.start_instance(index).await?;
             }
-            Action::Pause(place) => signal(&self.instances[place].child, Child::pause),
-            Action::Resume(place) => signal(&self.instances[place].child, Child::resume),
-            Action::Reload(place) => signal(&self.instances[place].child, Child::reload),
-            Action::KillWorker(place) => self.end_worker(place).await?,
-            Action::StartWorker(place, same) => {
-                self.end_worker(place).await?;
-                self.start_worker(place, same).await?;
+            Action::Pause(index) => send_signal(&self.instances[index].child, Child::pause),
+            Action::Resume(index) => send_signal(&self.instances[index].child, Child::resume),
+            Action::Reload(index) => send_signal(&self.instances[index].child, Child::reload),
+            Action::KillWorker(index) => self.kill_worker(index).await?,
+            Action::StartWorker(index, same) => {
+                self.kill_worker(index).await?;
+                self.start_worker(index, same).await?;
             }
-            Action::PauseWorker(place) => signal(&self.workers[place].child, Child::pause),
-            Action::ResumeWorker(place) => signal(&self.workers[place].child, Child::resume),
-            Action::LeaveWorker(place) => {
-                self.workers[place]
-                    .leaves
+            Action::PauseWorker(index) => send_signal(&self.workers[index].child, Child::pause),
+            Action::ResumeWorker(index) => send_signal(&self.workers[index].child, Child::resume),
+            Action::AnnounceLeaving(index) => {
+                self.workers[index]
+                    .leaving_since
                     .get_or_insert_with(time::Instant::now);
                 let change = fault::Change::new().with_leaving(true);
-                self.fault_worker(place, &change).await;
+                self.set_worker_faults(index, &change).await;
             }
-            Action::ReplaceWorker(place) => {
-                let leaves = self.workers[place].leaves;
-                if leaves.is_some_and(|since| since.elapsed() >= LEAVE) {
-                    self.end_worker(place).await?;
-                    self.start_worker(place, false).await?;
+            Action::ReplaceWorker(index) => {
+                let leaving_since = self.workers[index].leaving_since;
+                if leaving_since.is_some_and(|since| since.elapsed() >= LEAVING_PERIOD) {
+                    self.kill_worker(index).await?;
+                    self.start_worker(index, false).await?;
                 }
             }
-            Action::WorkerLoses(place, count) => {
+            Action::LoseWorkerAnswers(index, count) => {
                 let change = fault::Change::new().with_lose_answers(count);
-                self.fault_worker(place, &change).await;
+                self.set_worker_faults(index, &change).await;
             }
-            Action::Break(place, trouble) => self.link(place).trouble(trouble),
-            Action::Heal(place) => self.link(place).heal(),
-            Action::StoreOut(out) => {
-                self.fault(&fault::Change::new().with_outage(out)).await?;
+            Action::BreakLink(link, fault) => self.proxy(link).inject(fault),
+            Action::HealLink(link) => self.proxy(link).heal(),
+            Action::SetStoreOutage(is_out) => {
+                self.set_store_faults(&fault::Change::new().with_outage(is_out))
+                    .await?;
             }
-            Action::StoreSlow(slow) => {
-                let ms = u64::try_from(slow.as_millis())?;
-                self.fault(&fault::Change::new().with_slow_ms(ms)).await?;
+            Action::DelayStore(delay) => {
+                let ms = u64::try_from(delay.as_millis())?;
+                self.set_store_faults(&fault::Change::new().with_slow_ms(ms))
+                    .await?;
             }
-            Action::StoreLoses(count) => {
+            Action::LoseStoreAnswers(count) => {
                 let change = fault::Change::new().with_lose_answers(count);
-                self.fault(&change).await?;
+                self.set_store_faults(&change).await?;
             }
-            Action::Restore(age) => self.restore(age).await,
-            Action::Configure => self.configure().await,
-            Action::Rewrite => {
-                self.publish(self.version).await;
+            Action::RestoreStore(age) => self.restore_store(age).await,
+            Action::PublishConfig => self.publish_next_config().await,
+            Action::RepublishConfig => {
+                self.publish_config(self.accepted_version).await;
             }
         }
         Ok(())
     }
 
-    /// Ends all faults, and starts what has ended.
+    /// Ends all faults, and starts the processes that have ended.
     ///
     /// # Errors
     /// When a process can't be started, or the store can't be reached.
     pub async fn heal(&mut self) -> anyhow::Result<()> {
         let change = fault::Change::new().with_outage(false).with_slow_ms(0);
-        self.fault(&change.with_lose_answers(0)).await?;
-        for place in 0..self.workers.len() {
-            if let Some(since) = self.workers[place].leaves {
-                // Requests may be on their way to one that has just said that it leaves.
-                time::sleep_until(since + LEAVE).await;
-                self.end_worker(place).await?;
+        self.set_store_faults(&change.with_lose_answers(0)).await?;
+        for index in 0..self.workers.len() {
+            if let Some(since) = self.workers[index].leaving_since {
+                // Requests may still be on their way to a worker that has just announced that it leaves.
+                time::sleep_until(since + LEAVING_PERIOD).await;
+                self.kill_worker(index).await?;
             }
-            self.workers[place].link.heal();
-            signal(&self.workers[place].child, Child::resume);
-            self.start_worker(place, true).await?;
+            self.workers[index].link.heal();
+            send_signal(&self.workers[index].child, Child::resume);
+            self.start_worker(index, true).await?;
         }
-        for place in 0..self.instances.len() {
+        for index in 0..self.instances.len() {
             for link in [
-                Place::Callers(place),
-                Place::Peers(place),
-                Place::Store(place),
+                LinkId::Callers(index),
+                LinkId::Peers(index),
+                LinkId::Store(index),
             ] {
-                self.link(link).heal();
+                self.proxy(link).heal();
             }
-            signal(&self.instances[place].child, Child::resume);
-            if self.instances[place].ends {
-                self.end_instance(place).await?;
+            send_signal(&self.instances[index].child, Child::resume);
+            if self.instances[index].is_stopping {
+                self.kill_instance(index).await?;
             }
-            self.start_instance(place).await?;
+            self.start_instance(index).await?;
         }
         Ok(())
     }
 
-    /// Notes processes that have ended by themselves.
+    /// Records a violation for each instance that has exited without being asked to.
     pub fn check_exits(&mut self) {
-        for (place, instance) in self.instances.iter_mut().enumerate() {
-            let Some(child) = instance.child.as_mut().filter(|_| !instance.ends) else {
+        for (index, instance) in self.instances.iter_mut().enumerate() {
+            let Some(child) = instance.child.as_mut().filter(|_| !instance.is_stopping) else {
                 continue;
             };
             if child.has_ended() {
-                let what = format!("instance {place} ended by itself: {}", child.stderr());
+                let violation = format!("instance {index} ended by itself: {}", child.stderr());
                 self.book
                     .lock()
                     .expect("no panic under the lock")
-                    .fault(what);
+                    .record_violation(violation);
                 instance.child = None;
             }
         }
     }
 
-    /// Ends all processes, and waits until all that they wrote was read.
+    /// Kills all processes, and waits until their output has been read.
     ///
     /// # Errors
-    /// When a process can't be ended.
+    /// When a process can't be killed.
     pub async fn stop(mut self) -> anyhow::Result<()> {
-        for place in 0..self.instances.len() {
-            self.end_instance(place).await?;
+        for index in 0..self.instances.len() {
+            self.kill_instance(index).await?;
         }
-        for place in 0..self.workers.len() {
-            self.end_worker(place).await?;
+        for index in 0..self.workers.len() {
+            self.kill_worker(index).await?;
         }
         self.store.kill().await?;
-        while self.readers.join_next().await.is_some() {}
+        while self.output_readers.join_next().await.is_some() {}
         Ok(())
     }
 
-    // ---- The operator ----
+    // ---- Operator ----
 
-    /// Writes the next configuration.
-    async fn configure(&mut self) {
-        self.drawn += 1;
-        if self.publish(self.drawn).await {
-            self.version = self.drawn;
+    /// Publishes the next configuration version.
+    async fn publish_next_config(&mut self) {
+        self.sent_version += 1;
+        if self.publish_config(self.sent_version).await {
+            self.accepted_version = self.sent_version;
         }
     }
 
-    /// Writes a configuration; whether the store has accepted it for certain.
-    async fn publish(&self, version: u64) -> bool {
+    /// Publishes a configuration version. Returns whether the store has confirmed it.
+    async fn publish_config(&self, version: u64) -> bool {
         let config = record(
             CONFIG.1,
             configuration::text(self.options.models, LOADS_PER_SECOND, version).as_bytes(),
@@ -405,59 +410,59 @@
             self.store_address, CONFIG.0
         );
         let call = self.client.post(&url, config);
-        // Not accepted in an outage. When only the answer was lost, it may be in force all the same.
-        matches!(time::timeout(OPERATOR_PATIENCE, call).await, Ok(Ok(answer)) if answer.status.is_success())
+        // In an outage the store does not accept it. If only the answer was lost, the version may still be in force.
+        matches!(time::timeout(OPERATOR_REQUEST_TIMEOUT, call).await, Ok(Ok(answer)) if answer.status.is_success())
     }
 
-    async fn restore(&self, age: Duration) {
+    async fn restore_store(&self, age: Duration) {
         let url = format!(
             "http://{}/v1/restore?ageMs={}",
             self.store_address,
             age.as_millis()
         );
         let call = self.client.post(&url, Vec::new());
-        if !matches!(time::timeout(OPERATOR_PATIENCE, call).await, Ok(Ok(answer)) if answer.status.is_success())
+        if !matches!(time::timeout(OPERATOR_REQUEST_TIMEOUT, call).await, Ok(Ok(answer)) if answer.status.is_success())
         {
-            eprintln!("the store has not come back from an older copy: it is out of order");
+            eprintln!("store not restored from an older copy: the store is unavailable");
         }
     }
 
-    async fn fault(&self, change: &fault::Change) -> anyhow::Result<()> {
+    async fn set_store_faults(&self, change: &fault::Change) -> anyhow::Result<()> {
         let base = format!("http://{}", self.store_address);
         self.client.set_faults(&base, change).await
     }
 
     // ---- Links ----
 
-    fn link(&self, place: Place) -> &Proxy {
-        match place {
-            Place::Callers(instance) => &self.instances[instance].callers,
-            Place::Peers(instance) => &self.instances[instance].peers,
-            Place::Store(instance) => &self.instances[instance].store,
-            Place::Worker(worker) => &self.workers[worker].link,
+    fn proxy(&self, link: LinkId) -> &Proxy {
+        match link {
+            LinkId::Callers(instance) => &self.instances[instance].callers,
+            LinkId::Peers(instance) => &self.instances[instance].peers,
+            LinkId::Store(instance) => &self.instances[instance].store,
+            LinkId::Worker(worker) => &self.workers[worker].link,
         }
     }
 }
 
 impl Proxy {
-    fn trouble(&self, trouble: LinkFault) {
-        match trouble {
+    fn inject(&self, fault: LinkFault) {
+        match fault {
             LinkFault::Delay(delay) => self.change(|link| link.delay = delay),
             LinkFault::Reset => self.reset(),
-            LinkFault::HeldUp => self.change(|link| link.up = Flow::Held),
-            LinkFault::HeldDown => self.change(|link| link.down = Flow::Held),
+            LinkFault::HeldUp => self.change(|link| link.upstream = Flow::Held),
+            LinkFault::HeldDown => self.change(|link| link.downstream = Flow::Held),
             LinkFault::Held => self.change(|link| {
-                link.up = Flow::Held;
-                link.down = Flow::Held;
+                link.upstream = Flow::Held;
+                link.downstream = Flow::Held;
             }),
             LinkFault::Silenced => self.silence(),
         }
     }
 }
 
-/// Sends a signal to a process, if there is one.
-fn signal(child: &Option<Child>, send: fn(&Child) -> anyhow::Result<()>) {
-    // One that has just ended finds nobody, which is no fault of the trial.
+/// Sends a signal to a process, if it runs.
+fn send_signal(child: &Option<Child>, send: fn(&Child) -> anyhow::Result<()>) {
+    // The process may just have exited, which is not an error of the trial.
     if let Some(Err(error)) = child.as_ref().map(send) {
         eprintln!("signal not sent: {error:#}");
     }
--- a/crates/fireflywheel_standin/src/trial/mod.rs
+++ b/crates/fireflywheel_standin/src/trial/mod.rs
@@ -1,15 +1,15 @@
-//! Trials of the real programs on the users' platform, as separate processes on one machine.
+//! Tests of the real program against the users' platform, with separate processes on one machine.
 //!
-//! A [`deployment`] is a store and workers, which are stand-ins, and instances, which are the real program. Each
-//! link between them goes through a [`proxy`] that can delay, hold, silence or reset it.
+//! A [`deployment`] consists of a store and workers, which are stand-ins, and instances, which run the real program.
+//! Each link between them goes through a [`proxy`] that can delay, hold, silence or reset it.
 //!
 //! | module | job |
 //! |---|---|
-//! | [`soak`] | seeded faults while callers send requests, and what must hold all the while |
-//! | [`replay`] | a load pattern without faults, to compare two builds |
-//! | [`script`] | from a seed to faults and their times |
-//! | [`caller`] | one caller with a kept connection, and what it saw |
-//! | [`book`] | all that was seen, and which promises it breaks |
+//! | [`soak`] | soak test: injects seeded faults while callers send requests, and checks the rules |
+//! | [`replay`] | replays a load pattern without faults, to compare two builds |
+//! | [`script`] | derives the faults and their times from a seed |
+//! | [`caller`] | a caller with a persistent connection, and the outcome of each request |
+//! | [`book`] | records all observations and checks the rules against them |
 
 pub mod book;
 pub mod caller;
--- a/crates/fireflywheel_standin/src/trial/proxy.rs
+++ b/crates/fireflywheel_standin/src/trial/proxy.rs
@@ -1,4 +1,4 @@
-//! A link on loopback that can go wrong.
+//! A TCP proxy on loopback that injects link faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,35 +11,35 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-/// Bytes that are forwarded at once.
-const CHUNK: usize = 16 << 10;
+/// Largest chunk that is forwarded at once, in bytes.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 
-/// Whether bytes get through in one direction.
+/// Whether a link forwards bytes in one direction.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Flow {
-    /// They do.
+    /// Bytes are forwarded.
     #[default]
     Open,
-    /// They wait.
+    /// Bytes are held back until the direction is open again.
     Held,
 }
 
-/// How a link behaves.
+/// The state of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Link {
-    /// Where it leads; connections are closed at once while it leads nowhere.
+    /// Address that connections are forwarded to. Without one, new connections are closed at once.
     pub target: Option<SocketAddr>,
-    /// How much later each chunk arrives.
+    /// Delay of each chunk.
     pub delay: Duration,
-    /// From who connects.
-    pub up: Flow,
-    /// To who connects.
-    pub down: Flow,
-    resets: u64,
-    silences: u64,
+    /// Flow from the connecting side to the target.
+    pub upstream: Flow,
+    /// Flow from the target to the connecting side.
+    pub downstream: Flow,
+    reset_count: u64,
+    silence_count: u64,
 }
 
-/// A forwarder on a port that the system gave.
+/// A proxy on a port that the system chooses.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -48,10 +48,10 @@
 }
 
 impl Proxy {
-    /// A link that leads nowhere yet.
+    /// Starts a proxy without a target.
     ///
     /// # Errors
-    /// When there is no free port.
+    /// When no port is free.
     pub async fn new() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -65,13 +65,13 @@
         })
     }
 
-    /// Where to connect.
+    /// The address that the proxy listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Changes the state of the link.
     pub fn change<F>(&self, change: F)
     where
         F: FnOnce(&mut Link),
@@ -81,20 +81,20 @@
 
     /// Resets all open connections.
     pub fn reset(&self) {
-        self.link.send_modify(|link| link.resets += 1);
+        self.link.send_modify(|link| link.reset_count += 1);
     }
 
-    /// Open connections say nothing more, for good; new ones work.
+    /// Stops forwarding on all open connections for the rest of their life. New connections work.
     pub fn silence(&self) {
-        self.link.send_modify(|link| link.silences += 1);
+        self.link.send_modify(|link| link.silence_count += 1);
     }
 
-    /// Ends all troubles but for connections that were silenced.
+    /// Ends all faults. Connections that were silenced stay silent.
     pub fn heal(&self) {
         self.link.send_modify(|link| {
             link.delay = Duration::ZERO;
-            link.up = Flow::Open;
-            link.down = Flow::Open;
+            link.upstream = Flow::Open;
+            link.downstream = Flow::Open;
         });
     }
 }
@@ -107,42 +107,48 @@
     }
 }
 
-async fn forward(near: TcpStream, mut link: watch::Receiver<Link>) {
-    let born = *link.borrow();
-    let Some(target) = born.target else {
+async fn forward(client: TcpStream, mut link: watch::Receiver<Link>) {
+    let initial = *link.borrow();
+    let Some(target) = initial.target else {
         return;
     };
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Without it small parts of a stream would wait for an acknowledgement.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let up = pump(near_read, far_write, link.clone(), born, |link| link.up);
-    let down = pump(far_read, near_write, link.clone(), born, |link| link.down);
+    // With Nagle's algorithm, small parts of a stream would wait for an acknowledgement.
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let upstream = copy(client_read, server_write, link.clone(), initial, |link| {
+        link.upstream
+    });
+    let downstream = copy(server_read, client_write, link.clone(), initial, |link| {
+        link.downstream
+    });
     tokio::select! {
-        // Halves that end in order are closed in order.
-        _ = async { tokio::join!(up, down) } => {}
-        _ = link.wait_for(|link| link.resets != born.resets) => {}
+        // Each direction that ends normally is shut down on its own.
+        _ = async { tokio::join!(upstream, downstream) } => {}
+        _ = link.wait_for(|link| link.reset_count != initial.reset_count) => {}
     }
 }
 
-/// Forwards one direction to its end; an error closes both.
-async fn pump(
+/// Forwards one direction to its end. On a read error, shuts down the writing side and returns the error.
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut link: watch::Receiver<Link>,
-    born: Link,
+    initial: Link,
     flow: fn(&Link) -> Flow,
 ) -> io::Result<()> {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; MAX_CHUNK_BYTES];
     loop {
         let read = from.read(&mut chunk).await;
         let delay = link.borrow().delay;
         time::sleep(delay).await;
-        let open = link.wait_for(|link| flow(link) == Flow::Open && link.silences == born.silences);
+        let open = link.wait_for(|link| {
+            flow(link) == Flow::Open && link.silence_count == initial.silence_count
+        });
         if open.await.is_err() {
             return Ok(());
         }
--- a/crates/fireflywheel_standin/src/trial/replay.rs
+++ b/crates/fireflywheel_standin/src/trial/replay.rs
@@ -1,4 +1,4 @@
-//! A load pattern without faults, the same for each build that is to be compared.
+//! Replays a load pattern without faults. The load is the same for each build, so that builds can be compared.
 //!
 //! ```text
 //! fireflywheel_standin replay --pattern shift --program target/release/fireflywheel_platform --program OTHER
@@ -18,37 +18,40 @@
 
 use super::book::Book;
 use super::caller::{Call, Caller, Kind, Outcome, Seen};
-use super::deployment::{Deployment, Options as Size, Usage};
+use super::deployment::{self, Deployment, Usage};
 use super::script::Faults;
 use crate::load::Latency;
 
-/// One request in so many is for a plain service.
-const PLAIN: f64 = 0.25;
-/// How much rarer each model is than the one before: with 12 models the rarest gets one request in 400.
-const RARER: f64 = 0.6;
-/// A burst has so many times the usual rate, and lasts this part of the whole.
-const BURST: (f64, f64) = (4.0, 0.2);
-/// Times asked for each model when rare ones are asked for at once.
-const RARE_ASKED: usize = 3;
-/// Within this a first byte is on time, and for so long callers wait.
-const AIM: Duration = Duration::from_secs(1);
+/// Part of the requests that are for plain services.
+const PLAIN_RATIO: f64 = 0.25;
+/// Popularity of each model relative to the previous one. With 12 models, the rarest gets about one request in 400.
+const POPULARITY_RATIO: f64 = 0.6;
+/// Request rate of a burst relative to the usual rate.
+const BURST_RATE_RATIO: f64 = 4.0;
+/// Length of a burst relative to the length of the replay.
+const BURST_TIME_RATIO: f64 = 0.2;
+/// Simultaneous requests to each model in [`Pattern::Rare`].
+const RARE_REQUESTS_PER_MODEL: usize = 3;
+/// An answer is on time if its first byte arrives within this time.
+const FIRST_BYTE_TARGET: Duration = Duration::from_secs(1);
+/// Deadline of the requests.
 const DEADLINE: Duration = Duration::from_secs(8);
 
-/// What load comes.
+/// A load pattern.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Pattern {
-    /// The same all the time; a few models get most of it.
+    /// A constant rate; a few models get most of the requests.
     Steady,
-    /// Far more for a while, in the middle.
+    /// A far higher rate for a while, from the middle on.
     Burst,
-    /// From the middle on other models get most of it.
+    /// From the middle on, other models get most of the requests.
     Shift,
-    /// In the middle every model is asked for at once.
+    /// In the middle, all models are requested at the same time.
     Rare,
 }
 
 impl Pattern {
-    /// Each with its name.
+    /// All patterns with their names.
     pub const NAMES: [(&str, Self); 4] = [
         ("steady", Self::Steady),
         ("burst", Self::Burst),
@@ -57,62 +60,62 @@
     ];
 }
 
-/// What is replayed.
+/// Options of a replay.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the instances.
+    /// Program of the instances.
     pub program: PathBuf,
-    /// The load.
+    /// Load pattern.
     pub pattern: Pattern,
-    /// Fixes the requests.
+    /// Seed of the requests.
     pub seed: u64,
-    /// For how long they come.
+    /// Time over which the requests arrive.
     pub time: Duration,
-    /// Requests in a second, but for bursts.
+    /// Requests per second, outside bursts.
     pub rate: f64,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Engines; there are two plain services besides.
+    /// Number of engines. Two workers are plain services in addition.
     pub engines: usize,
-    /// Models. Each engine has memory for two.
+    /// Number of models. Each engine has memory for two.
     pub models: usize,
-    /// What instances write to their logs.
+    /// Log level of the instances.
     pub log_level: &'static str,
 }
 
-/// A request that is to be sent.
+/// A scheduled request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the start.
+    /// Time from the start of the replay.
     pub at: Duration,
-    /// To which instance.
+    /// Index of the instance.
     pub instance: usize,
-    /// What for.
+    /// Kind of the request.
     pub kind: Kind,
-    /// The model, counted from 0, for streams.
+    /// Index of the model, used for streams only.
     pub model: usize,
 }
 
-/// The requests of a replay, in order.
+/// Returns the requests of a replay, in order of time.
 #[must_use]
 pub fn arrivals(options: &Options) -> Vec<Arrival> {
-    let mut draw = StdRng::seed_from_u64(options.seed);
+    let mut rng = StdRng::seed_from_u64(options.seed);
     let middle = options.time / 2;
     let mut arrivals = Vec::new();
     let mut at = Duration::ZERO;
     while at < options.time {
-        let within = at >= middle && at < middle + options.time.mul_f64(BURST.1);
-        let bursts = options.pattern == Pattern::Burst && within;
-        let rate = options.rate * if bursts { BURST.0 } else { 1.0 };
-        // Gaps of independent arrivals.
-        at += Duration::from_secs_f64(-(1.0 - draw.random::<f64>()).ln() / rate);
+        let in_burst_time = at >= middle && at < middle + options.time.mul_f64(BURST_TIME_RATIO);
+        let is_burst = options.pattern == Pattern::Burst && in_burst_time;
+        let rate = options.rate * if is_burst { BURST_RATE_RATIO } else { 1.0 };
+        // Independent arrivals have exponentially distributed intervals.
+        at += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
         let shifted = options.pattern == Pattern::Shift && at >= middle;
-        let rank = popular(&mut draw, options.models);
-        let plain = draw.random_bool(PLAIN);
+        let rank = draw_popularity_rank(&mut rng, options.models);
+        let is_plain = rng.random_bool(PLAIN_RATIO);
         arrivals.push(Arrival {
             at,
-            instance: draw.random_range(0..options.instances),
-            kind: match (plain, draw.random()) {
+            instance: rng.random_range(0..options.instances),
+            kind: match (is_plain, rng.random()) {
                 (true, true) => Kind::Booking,
                 (true, false) => Kind::LookUp,
                 (false, _) => Kind::Stream,
@@ -125,56 +128,56 @@
         });
     }
     if options.pattern == Pattern::Rare {
-        let asked = (0..options.models * RARE_ASKED).map(|number| Arrival {
+        let simultaneous = (0..options.models * RARE_REQUESTS_PER_MODEL).map(|number| Arrival {
             at: middle,
             instance: number % options.instances,
             kind: Kind::Stream,
             model: number % options.models,
         });
-        arrivals.extend(asked);
+        arrivals.extend(simultaneous);
         arrivals.sort_by_key(|arrival| arrival.at);
     }
     arrivals
 }
 
-/// A model by its popularity, the first most often.
-fn popular(draw: &mut StdRng, models: usize) -> usize {
+/// Draws the popularity rank of a model; rank 0 is the most popular one.
+fn draw_popularity_rank(rng: &mut StdRng, models: usize) -> usize {
     let mut rank = 0;
-    while rank + 1 < models && draw.random_bool(RARER) {
+    while rank + 1 < models && rng.random_bool(POPULARITY_RATIO) {
         rank += 1;
     }
     rank
 }
 
-/// What became of the requests of one kind.
+/// Outcomes of the requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Class {
-    /// Sent.
+    /// Requests sent.
     pub sent: usize,
-    /// Served with the first byte on time.
+    /// Requests served with the first byte on time.
     pub on_time: usize,
-    /// Served later.
+    /// Requests served with a later first byte.
     pub late: usize,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub refused: usize,
-    /// All others.
+    /// All other requests.
     pub failed: usize,
-    /// Time to the first byte of those served.
+    /// Time to the first byte of the served requests.
     pub first: Latency,
 }
 
-/// What became of a load.
+/// The result of a replay.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// By kind.
+    /// Outcomes by kind of request.
     pub classes: BTreeMap<Kind, Class>,
     /// Loads from the weight store.
     pub fetches: usize,
-    /// Loads and unloads that engines accepted.
+    /// Load and unload orders that engines accepted.
     pub orders: usize,
-    /// What all instances used together.
+    /// Resource usage of all instances together.
     pub usage: Usage,
-    /// Promises that were broken.
+    /// Violations of rules, a line each.
     pub broken: Vec<String>,
 }
 
@@ -200,16 +203,16 @@
             )?;
         }
         let requests: usize = self.classes.values().map(|class| class.sent).sum();
-        let each = |total: f64| total / requests.max(1) as f64;
+        let per_request = |total: f64| total / requests.max(1) as f64;
         writeln!(
             f,
             "{} loads from the weight store, {} orders; for each request {:.2} ms of a processor, {:.1} log lines, \
              {:.0} bytes of log",
             self.fetches,
             self.orders,
-            each(self.usage.processor.as_secs_f64() * 1000.0),
-            each(self.usage.log_lines as f64),
-            each(self.usage.log_bytes as f64),
+            per_request(self.usage.cpu_time.as_secs_f64() * 1000.0),
+            per_request(self.usage.log_lines as f64),
+            per_request(self.usage.log_bytes as f64),
         )?;
         for broken in &self.broken {
             writeln!(f, "broken: {broken}")?;
@@ -218,30 +221,30 @@
     }
 }
 
-/// Sends the load to a deployment of its own.
+/// Starts a deployment and sends the load to it.
 ///
 /// # Errors
 /// When a process can't be started or ended.
 pub async fn run(options: &Options) -> anyhow::Result<Report> {
     let book = Arc::new(Mutex::new(Book::new(Faults::Planned)));
-    let size = Size {
+    let deployment_options = deployment::Options {
         program: options.program.clone(),
         instances: options.instances,
         engines: options.engines,
         services: 2,
         models: options.models,
-        engine_args: ENGINE.map(str::to_owned).into(),
+        engine_args: ENGINE_ARGS.map(str::to_owned).into(),
         log_level: options.log_level,
         logs: None,
     };
-    let deployment = Deployment::start(size, Arc::clone(&book)).await?;
+    let deployment = Deployment::start(deployment_options, Arc::clone(&book)).await?;
     deployment.wait_ready().await?;
     let before = deployment.usage()?;
-    let callers = deployment.callers();
-    let begun = time::Instant::now();
+    let callers = deployment.caller_addresses();
+    let start = time::Instant::now();
     let mut tasks = JoinSet::new();
     for (number, arrival) in arrivals(options).into_iter().enumerate() {
-        time::sleep_until(begun + arrival.at).await;
+        time::sleep_until(start + arrival.at).await;
         let call = Call {
             id: format_smolstr!("r{number}"),
             kind: arrival.kind,
@@ -255,30 +258,29 @@
         let mut caller = Caller::new(arrival.instance, callers[arrival.instance]);
         tasks.spawn(async move { caller.send(call).await });
     }
-    let mut seen = Vec::new();
+    let mut requests = Vec::new();
     while let Some(ended) = tasks.join_next().await {
-        seen.push(ended?);
+        requests.push(ended?);
     }
     let usage = deployment.usage()?.since(before);
     deployment.stop().await?;
     let mut book = book.lock().expect("no panic under the lock");
-    for seen in &seen {
-        book.saw(seen.clone());
+    for request in &requests {
+        book.record_request(request.clone());
     }
     let kinds = [Kind::Stream, Kind::Booking, Kind::LookUp];
-    let classes = kinds.map(|kind| class(&seen, kind).map(|class| (kind, class)));
+    let classes = kinds.map(|kind| summarise(&requests, kind).map(|class| (kind, class)));
     Ok(Report {
         classes: classes.into_iter().collect::<anyhow::Result<_>>()?,
-        fetches: book.fetches(),
-        orders: book.accepted_orders(),
+        fetches: book.fetch_count(),
+        orders: book.accepted_order_count(),
         usage,
-        broken: book.broken(),
+        broken: book.violations(),
     })
 }
 
-/// Engines that take a second to load from the weight store and a quarter from their disk, and run a stream in
-/// 130 ms.
-const ENGINE: [&str; 8] = [
+/// Arguments of the engines: a load takes 1 s from the weight store and 250 ms from the disk, and a stream takes 130 ms.
+const ENGINE_ARGS: [&str; 8] = [
     "--load-ms",
     "1000",
     "--disk-load-ms",
@@ -289,22 +291,22 @@
     "20",
 ];
 
-fn class(seen: &[Seen], kind: Kind) -> anyhow::Result<Class> {
+fn summarise(requests: &[Seen], kind: Kind) -> anyhow::Result<Class> {
     let mut class = Class::default();
-    let mut firsts = Vec::new();
-    for seen in seen.iter().filter(|seen| seen.call.kind == kind) {
+    let mut first_times = Vec::new();
+    for request in requests.iter().filter(|request| request.call.kind == kind) {
         class.sent += 1;
-        match &seen.outcome {
+        match &request.outcome {
             Outcome::Answer(answer) if answer.status.is_success() => {
-                firsts.push(seen.first);
-                let on_time = seen.first <= AIM;
+                first_times.push(request.first);
+                let on_time = request.first <= FIRST_BYTE_TARGET;
                 class.on_time += usize::from(on_time);
                 class.late += usize::from(!on_time);
             }
-            Outcome::Answer(answer) if answer.promises_not_run() => class.refused += 1,
+            Outcome::Answer(answer) if answer.claims_not_run() => class.refused += 1,
             _ => class.failed += 1,
         }
     }
-    class.first = Latency::new(firsts.into_iter())?;
+    class.first = Latency::new(first_times.into_iter())?;
     Ok(class)
 }
--- a/crates/fireflywheel_standin/src/trial/script.rs
+++ b/crates/fireflywheel_standin/src/trial/script.rs
@@ -1,4 +1,4 @@
-//! From a seed to faults and their times.
+//! Derives the faults of a trial and their times from a seed.
 
 use std::time::Duration;
 
@@ -6,46 +6,47 @@
 use rand::seq::IndexedRandom as _;
 use rand::{Rng as _, SeedableRng as _};
 
-/// Faults come this far apart, in milliseconds: so close that they overlap.
-const GAP_MS: std::ops::Range<u64> = 60..700;
-/// One fault in so many comes as a series.
-const SERIES: u32 = 5;
-/// Between two faults of a series, in milliseconds.
-const SERIES_GAP_MS: std::ops::Range<u64> = 150..900;
-/// One fault in so many is a return of the store from an older copy, where these come.
-const DRILLS: u32 = 6;
-/// How old that copy is, in milliseconds.
+/// Time between the starts of two faults, in milliseconds. It is short enough that faults overlap.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 60..700;
+/// One fault in this many is repeated as a series.
+const FAULTS_PER_SERIES: u32 = 5;
+/// Time between two faults of a series, in milliseconds.
+const SERIES_INTERVAL_MS: std::ops::Range<u64> = 150..900;
+/// With [`Faults::Drills`], one fault in this many restores the store from an older copy.
+const FAULTS_PER_RESTORE: u32 = 6;
+/// Age of the copy that the store is restored from, in milliseconds.
 const COPY_AGE_MS: std::ops::Range<u64> = 200..5000;
-/// A process that is stopped as planned gets its whole time, and is killed then.
-const GRACE_MS: std::ops::Range<u64> = 2300..3200;
+/// Time that an instance gets to stop before it is killed, in milliseconds. It covers the whole grace period.
+const STOP_TIME_MS: std::ops::Range<u64> = 2300..3200;
 
-/// Which faults come.
+/// The kinds of faults that a trial injects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Faults {
-    /// Of every kind.
+    /// Faults of every kind.
     #[default]
     Any,
-    /// The same, and a store that comes back from an older copy.
+    /// Faults of every kind, and restores of the store from an older copy.
     Drills,
-    /// Planned work only: stops, reloads, configurations, workers that leave. No request may be lost by it.
+    /// Planned operations only: stops, reloads, configuration changes and workers that leave. These must not lose any
+    /// request.
     Planned,
 }
 
-/// A worker goes on serving for so long after it said that it leaves.
-pub const LEAVE: Duration = Duration::from_secs(3);
+/// How long a worker continues to serve after it has announced that it leaves.
+pub const LEAVING_PERIOD: Duration = Duration::from_secs(3);
 
-/// What there is.
+/// The sizes of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Workers, engines first.
+    /// Number of workers; the engines come first.
     pub workers: usize,
 }
 
-/// A link.
+/// Identifies a link of a deployment.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Place {
+pub enum LinkId {
     /// From callers to an instance.
     Callers(usize),
     /// From other instances to an instance.
@@ -56,134 +57,134 @@
     Worker(usize),
 }
 
-/// What goes wrong on a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkFault {
-    /// Each part arrives this much later.
+    /// Each chunk is delayed.
     Delay(Duration),
     /// Open connections are reset.
     Reset,
-    /// Nothing arrives from who connects.
+    /// Bytes from the connecting side are held back.
     HeldUp,
-    /// Nothing arrives at who connects.
+    /// Bytes to the connecting side are held back.
     HeldDown,
-    /// Nothing arrives either way.
+    /// Bytes are held back in both directions.
     Held,
-    /// Open connections are silent for good.
+    /// Open connections forward nothing for the rest of their life.
     Silenced,
 }
 
-/// Something to do to a deployment.
+/// An action on a deployment. Instances and workers are given by their index.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Ends an instance at once.
+    /// Kills an instance.
     Kill(usize),
-    /// Asks an instance to end.
+    /// Asks an instance to stop.
     Stop(usize),
-    /// Starts an instance anew, after ending what is left of it.
+    /// Starts an instance, and kills its previous process if that still runs.
     Start(usize),
-    /// Starts an instance anew once it has ended by itself, as it was asked to.
-    AwaitStart(usize),
-    /// Stops an instance where it stands.
+    /// Waits until an instance that was asked to stop has exited, and starts it again.
+    RestartAfterExit(usize),
+    /// Suspends the process of an instance.
     Pause(usize),
-    /// Lets it go on.
+    /// Resumes the process of an instance.
     Resume(usize),
-    /// Tells an instance that its settings changed.
+    /// Tells an instance that its settings have changed.
     Reload(usize),
-    /// Ends a worker at once.
+    /// Kills a worker.
     KillWorker(usize),
-    /// Starts a worker; under the id that it had if `true`.
+    /// Starts a worker, under its previous id if `true`.
     StartWorker(usize, bool),
-    /// Stops a worker where it stands.
+    /// Suspends the process of a worker.
     PauseWorker(usize),
-    /// Lets it go on.
+    /// Resumes the process of a worker.
     ResumeWorker(usize),
-    /// A worker says that it leaves.
-    LeaveWorker(usize),
-    /// Ends a worker that has been leaving for long enough, and starts another. Without the condition, the second
-    /// of two departures that overlap would end the worker that has just come.
+    /// Makes a worker announce that it leaves.
+    AnnounceLeaving(usize),
+    /// Replaces a worker if it announced at least [`LEAVING_PERIOD`] ago that it leaves. Without this condition, the
+    /// second of two overlapping departures would end the replacement that has just started.
     ReplaceWorker(usize),
-    /// A worker runs the next so many requests, or takes orders, and their answers are lost.
-    WorkerLoses(usize, u64),
-    /// Something goes wrong on a link.
-    Break(Place, LinkFault),
-    /// All is well again on it.
-    Heal(Place),
-    /// The store answers 503.
-    StoreOut(bool),
-    /// The store answers this much later.
-    StoreSlow(Duration),
-    /// The store's next so many answers to writes are lost.
-    StoreLoses(u64),
-    /// The store comes back from a copy that is so old.
-    Restore(Duration),
-    /// The operator accepts a new configuration.
-    Configure,
-    /// The operator writes the accepted configuration again.
-    Rewrite,
+    /// Drops the answers of a worker to this many of its next requests or orders, which it still carries out.
+    LoseWorkerAnswers(usize, u64),
+    /// Injects a fault on a link.
+    BreakLink(LinkId, LinkFault),
+    /// Ends the faults of a link.
+    HealLink(LinkId),
+    /// Starts or ends an outage of the store, during which it answers 503.
+    SetStoreOutage(bool),
+    /// Delays the answers of the store.
+    DelayStore(Duration),
+    /// Drops the answers to this many of the next writes to the store.
+    LoseStoreAnswers(u64),
+    /// Restores the store from a copy of this age.
+    RestoreStore(Duration),
+    /// Publishes a new configuration.
+    PublishConfig,
+    /// Publishes the accepted configuration again.
+    RepublishConfig,
 }
 
-/// An action and when it is due, from the start.
+/// A scheduled action.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
-    /// When.
+    /// Time from the start of the trial.
     pub at: Duration,
-    /// What.
+    /// Action to carry out.
     pub action: Action,
 }
 
-/// The steps of a seed, over this time and somewhat longer.
+/// Returns the steps for a seed, in order of time. Faults start within `time`; their last steps may come later.
 #[must_use]
 pub fn steps(seed: u64, faults: Faults, time: Duration, sizes: Sizes) -> Vec<Step> {
-    let mut draw = StdRng::seed_from_u64(seed);
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut steps = Vec::new();
     let mut at = Duration::from_millis(500);
     while at < time {
-        let times = if draw.random_ratio(1, SERIES) {
-            draw.random_range(2..4)
+        let times = if rng.random_ratio(1, FAULTS_PER_SERIES) {
+            rng.random_range(2..4)
         } else {
             1
         };
         let drawn = match faults {
-            Faults::Any => fault(&mut draw, sizes),
-            Faults::Drills if draw.random_ratio(1, DRILLS) => drill(&mut draw),
-            Faults::Drills => fault(&mut draw, sizes),
-            Faults::Planned => planned(&mut draw, sizes),
+            Faults::Any => draw_fault(&mut rng, sizes),
+            Faults::Drills if rng.random_ratio(1, FAULTS_PER_RESTORE) => draw_restore(&mut rng),
+            Faults::Drills => draw_fault(&mut rng, sizes),
+            Faults::Planned => draw_planned(&mut rng, sizes),
         };
-        let mut begin = at;
+        let mut start = at;
         for _ in 0..times {
             steps.extend(drawn.iter().map(|(after, action)| Step {
-                at: begin + *after,
+                at: start + *after,
                 action: *action,
             }));
-            begin += millis(&mut draw, SERIES_GAP_MS);
+            start += draw_duration(&mut rng, SERIES_INTERVAL_MS);
         }
-        at += millis(&mut draw, GAP_MS);
+        at += draw_duration(&mut rng, FAULT_INTERVAL_MS);
     }
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-fn millis(draw: &mut StdRng, range: std::ops::Range<u64>) -> Duration {
-    Duration::from_millis(draw.random_range(range))
+fn draw_duration(rng: &mut StdRng, range: std::ops::Range<u64>) -> Duration {
+    Duration::from_millis(rng.random_range(range))
 }
 
-/// A fault: what to do, and how long after its begin.
-fn fault(draw: &mut StdRng, sizes: Sizes) -> Vec<(Duration, Action)> {
-    let instance = draw.random_range(0..sizes.instances);
-    let worker = draw.random_range(0..sizes.workers);
+/// Draws a fault: its actions, each with its delay from the start of the fault.
+fn draw_fault(rng: &mut StdRng, sizes: Sizes) -> Vec<(Duration, Action)> {
+    let instance = rng.random_range(0..sizes.instances);
+    let worker = rng.random_range(0..sizes.workers);
     let now = Duration::ZERO;
-    let soon = millis(draw, 100..2500);
-    match draw.random_range(0..22) {
+    let soon = draw_duration(rng, 100..2500);
+    match rng.random_range(0..22) {
         0 | 1 => vec![
             (now, Action::Kill(instance)),
             (soon, Action::Start(instance)),
         ],
         2 | 3 => {
-            let grace = millis(draw, GRACE_MS);
+            let stop_time = draw_duration(rng, STOP_TIME_MS);
             vec![
                 (now, Action::Stop(instance)),
-                (grace, Action::Start(instance)),
+                (stop_time, Action::Start(instance)),
             ]
         }
         4 | 5 => vec![
@@ -198,7 +199,7 @@
             kills.chain(starts).collect()
         }
         8 | 9 => {
-            let same = draw.random();
+            let same = rng.random();
             vec![
                 (now, Action::KillWorker(worker)),
                 (soon, Action::StartWorker(worker, same)),
@@ -209,7 +210,7 @@
             (soon, Action::ResumeWorker(worker)),
         ],
         11 => vec![
-            (now, Action::LeaveWorker(worker)),
+            (now, Action::AnnounceLeaving(worker)),
             (soon + Duration::from_secs(1), Action::KillWorker(worker)),
             (
                 soon + Duration::from_secs(2),
@@ -217,80 +218,86 @@
             ),
         ],
         12 => vec![
-            (now, Action::StoreOut(true)),
-            (soon, Action::StoreOut(false)),
+            (now, Action::SetStoreOutage(true)),
+            (soon, Action::SetStoreOutage(false)),
         ],
         13 => {
-            let slow = millis(draw, 20..600);
+            let delay = draw_duration(rng, 20..600);
             vec![
-                (now, Action::StoreSlow(slow)),
-                (soon, Action::StoreSlow(Duration::ZERO)),
+                (now, Action::DelayStore(delay)),
+                (soon, Action::DelayStore(Duration::ZERO)),
             ]
         }
-        14 => vec![(now, Action::StoreLoses(draw.random_range(1..6)))],
-        15 | 16 => vec![(now, Action::Configure)],
-        17 | 18 => vec![(now, Action::WorkerLoses(worker, draw.random_range(1..6)))],
+        14 => vec![(now, Action::LoseStoreAnswers(rng.random_range(1..6)))],
+        15 | 16 => vec![(now, Action::PublishConfig)],
+        17 | 18 => vec![(
+            now,
+            Action::LoseWorkerAnswers(worker, rng.random_range(1..6)),
+        )],
         _ => {
-            let place = place(draw, instance, worker);
-            let trouble = trouble(draw);
+            let link = draw_link(rng, instance, worker);
+            let fault = draw_link_fault(rng);
             vec![
-                (now, Action::Break(place, trouble)),
-                (soon, Action::Heal(place)),
+                (now, Action::BreakLink(link, fault)),
+                (soon, Action::HealLink(link)),
             ]
         }
     }
 }
 
-/// A store that is away for a moment and lacks what was written in the last seconds. The operator writes the configuration
-/// again; workers write their entries all the time.
-fn drill(draw: &mut StdRng) -> Vec<(Duration, Action)> {
-    let back = millis(draw, 100..1500);
-    let rewritten = back + millis(draw, 50..800);
+/// Draws a short outage of the store, after which the store lacks the writes of the last seconds. The operator
+/// publishes the configuration again; workers write their entries periodically.
+fn draw_restore(rng: &mut StdRng) -> Vec<(Duration, Action)> {
+    let outage = draw_duration(rng, 100..1500);
+    let republish = outage + draw_duration(rng, 50..800);
     vec![
-        (Duration::ZERO, Action::StoreOut(true)),
-        (back, Action::StoreOut(false)),
-        (back, Action::Restore(millis(draw, COPY_AGE_MS))),
-        (rewritten, Action::Rewrite),
+        (Duration::ZERO, Action::SetStoreOutage(true)),
+        (outage, Action::SetStoreOutage(false)),
+        (
+            outage,
+            Action::RestoreStore(draw_duration(rng, COPY_AGE_MS)),
+        ),
+        (republish, Action::RepublishConfig),
     ]
 }
 
-/// Planned work: what to do, and how long after its begin.
-fn planned(draw: &mut StdRng, sizes: Sizes) -> Vec<(Duration, Action)> {
-    let instance = draw.random_range(0..sizes.instances);
-    let worker = draw.random_range(0..sizes.workers);
+/// Draws a planned operation: its actions, each with its delay from the start of the operation.
+fn draw_planned(rng: &mut StdRng, sizes: Sizes) -> Vec<(Duration, Action)> {
+    let instance = rng.random_range(0..sizes.instances);
+    let worker = rng.random_range(0..sizes.workers);
     let now = Duration::ZERO;
-    match draw.random_range(0..6) {
+    match rng.random_range(0..6) {
         0..3 => vec![
             (now, Action::Stop(instance)),
-            (now, Action::AwaitStart(instance)),
+            (now, Action::RestartAfterExit(instance)),
         ],
         3 => vec![(now, Action::Reload(instance))],
-        4 => vec![(now, Action::Configure)],
+        4 => vec![(now, Action::PublishConfig)],
         _ => vec![
-            (now, Action::LeaveWorker(worker)),
-            (LEAVE, Action::ReplaceWorker(worker)),
+            (now, Action::AnnounceLeaving(worker)),
+            (LEAVING_PERIOD, Action::ReplaceWorker(worker)),
         ],
     }
 }
 
-fn place(draw: &mut StdRng, instance: usize, worker: usize) -> Place {
-    let places = [
-        Place::Callers(instance),
-        Place::Peers(instance),
-        Place::Store(instance),
-        Place::Worker(worker),
+fn draw_link(rng: &mut StdRng, instance: usize, worker: usize) -> LinkId {
+    let links = [
+        LinkId::Callers(instance),
+        LinkId::Peers(instance),
+        LinkId::Store(instance),
+        LinkId::Worker(worker),
     ];
-    *places.choose(draw).expect("there are some")
+    *links.choose(rng).expect("the list is not empty")
 }
 
-fn trouble(draw: &mut StdRng) -> LinkFault {
-    let troubles = [
-        LinkFault::Delay(millis(draw, 5..300)),
+fn draw_link_fault(rng: &mut StdRng) -> LinkFault {
+    let faults = [
+        LinkFault::Delay(draw_duration(rng, 5..300)),
         LinkFault::Reset,
         LinkFault::HeldUp,
         LinkFault::HeldDown,
         LinkFault::Held,
         LinkFault::Silenced,
     ];
-    *troubles.choose(draw).expect("there are some")
+    *faults.choose(rng).expect("the list is not empty")
 }
--- a/crates/fireflywheel_standin/src/trial/soak.rs
+++ b/crates/fireflywheel_standin/src/trial/soak.rs
@@ -1,4 +1,4 @@
-//! Seeded faults from outside while callers send requests, and what must hold all the while.
+//! Soak test: injects seeded faults from outside while callers send requests, and checks the rules.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,59 +15,59 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-use super::book::{Book, PROBE, Probe};
+use super::book::{Book, PROBE_ID_PREFIX, Probe};
 use super::caller::{Call, Caller, Kind, Outcome};
-use super::deployment::{Deployment, Options as Size};
+use super::deployment::{self, Deployment};
 use super::script::{self, Faults, Sizes};
 use crate::client::Client;
 
 /// Callers of each instance.
-const CALLERS: usize = 6;
-/// A caller waits this long before its next request, in milliseconds.
-const THINK_MS: std::ops::Range<u64> = 5..60;
-/// How long callers wait for whole answers, in milliseconds.
+const CALLERS_PER_INSTANCE: usize = 6;
+/// Pause of a caller before its next request, in milliseconds.
+const THINK_TIME_MS: std::ops::Range<u64> = 5..60;
+/// Deadlines of requests, in milliseconds.
 const DEADLINE_MS: std::ops::Range<u64> = 300..3000;
-/// Bytes of bodies.
-const BODY: std::ops::Range<usize> = 0..4000;
-/// Between two questions which configuration an instance has in force.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
-/// How long such a question waits for its answer.
-const PROBE_PATIENCE: Duration = Duration::from_millis(500);
-/// Within this everything is served again once all faults have ended. Far more than it takes, since it is the
-/// only limit of time, and a busy machine must not break a promise.
-const RECOVERY: Duration = Duration::from_secs(40);
-/// Between two looks whether it is.
-const RECOVERY_PAUSE: Duration = Duration::from_millis(50);
+/// Sizes of request bodies, in bytes.
+const BODY_BYTES: std::ops::Range<usize> = 0..4000;
+/// Time between two configuration probes of an instance.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit of a configuration probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// All requests must be served again within this time after the faults have ended. It is far longer than recovery
+/// takes: it is the only time limit among the rules, and a busy machine must not break a rule.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time between two requests that check for recovery.
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a soak runs.
+/// Options of a soak test.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the instances.
+    /// Program of the instances.
     pub program: PathBuf,
-    /// Fixes faults and requests.
+    /// Seed of the faults and requests.
     pub seed: u64,
-    /// Which faults come.
+    /// Kinds of faults that are injected.
     pub faults: Faults,
-    /// For how long faults come.
+    /// How long faults are injected.
     pub time: Duration,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Workers that are engines; there are two plain services besides.
+    /// Number of workers that are engines. Two workers are plain services in addition.
     pub engines: usize,
-    /// Where the instances' logs go.
+    /// Folder for the instances' logs. Without it, the logs are discarded.
     pub logs: Option<PathBuf>,
 }
 
-/// What a soak has found.
+/// The result of a soak test.
 #[derive(Debug)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the faults and requests.
     pub seed: u64,
-    /// Actions that were carried out.
+    /// Number of actions that were carried out.
     pub actions: usize,
-    /// How requests ended, by kind.
+    /// Number of requests by kind and outcome.
     pub counts: BTreeMap<Kind, BTreeMap<String, usize>>,
-    /// Promises that were broken, a line each.
+    /// Violations of rules, a line each.
     pub broken: Vec<String>,
 }
 
@@ -93,43 +93,43 @@
     }
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 ///
 /// # Errors
 /// When a process can't be started or ended.
 pub async fn run(options: &Options) -> anyhow::Result<Report> {
     let book = Arc::new(Mutex::new(Book::new(options.faults)));
-    let size = Size {
+    let deployment_options = deployment::Options {
         program: options.program.clone(),
         instances: options.instances,
         engines: options.engines,
         services: 2,
-        models: models(options),
+        models: model_count(options),
         engine_args: Vec::new(),
         log_level: "info",
         logs: options.logs.clone(),
     };
     let sizes = Sizes {
-        instances: size.instances,
-        workers: size.engines + size.services,
+        instances: deployment_options.instances,
+        workers: deployment_options.engines + deployment_options.services,
     };
-    let models = size.models;
-    let mut deployment = Deployment::start(size, Arc::clone(&book)).await?;
+    let models = deployment_options.models;
+    let mut deployment = Deployment::start(deployment_options, Arc::clone(&book)).await?;
     wait_until_served(&deployment, models, &book, "start").await;
     let stop = watch::Sender::new(false);
-    let lives = watch::Sender::new(lives(&deployment, sizes.instances));
-    let mut tasks = keep_asking(options, &deployment, &stop, &lives, &book);
-    let begun = time::Instant::now();
+    let versions = watch::Sender::new(read_versions(&deployment, sizes.instances));
+    let mut tasks = spawn_callers(options, &deployment, &stop, &versions, &book);
+    let start = time::Instant::now();
     let mut actions = 0;
     for step in script::steps(options.seed, options.faults, options.time, sizes) {
-        time::sleep_until(begun + step.at).await;
+        time::sleep_until(start + step.at).await;
         deployment.check_exits();
-        deployment.act(step.action).await?;
-        lives.send_replace(self::lives(&deployment, sizes.instances));
+        deployment.apply(step.action).await?;
+        versions.send_replace(read_versions(&deployment, sizes.instances));
         actions += 1;
     }
     deployment.heal().await?;
-    lives.send_replace(self::lives(&deployment, sizes.instances));
+    versions.send_replace(read_versions(&deployment, sizes.instances));
     wait_until_served(&deployment, models, &book, "the end").await;
     stop.send_replace(true);
     while let Some(ended) = tasks.join_next().await {
@@ -141,40 +141,43 @@
     Ok(Report {
         seed: options.seed,
         actions,
-        counts: Kind::ALL.map(|kind| (kind, book.counts(kind))).into(),
-        broken: book.broken(),
+        counts: Kind::ALL
+            .map(|kind| (kind, book.count_outcomes(kind)))
+            .into(),
+        broken: book.violations(),
     })
 }
 
-/// Callers of each instance, and one that asks for its configuration.
-fn keep_asking(
+/// Spawns the callers and the configuration probe of each instance.
+fn spawn_callers(
     options: &Options,
     deployment: &Deployment,
     stop: &watch::Sender<bool>,
-    lives: &watch::Sender<Lives>,
+    versions: &watch::Sender<Versions>,
     book: &Arc<Mutex<Book>>,
 ) -> JoinSet<()> {
-    let models = models(options);
+    let models = model_count(options);
     let mut tasks = JoinSet::new();
-    for (instance, address) in deployment.callers().into_iter().enumerate() {
-        for caller in 0..CALLERS {
+    for (instance, address) in deployment.caller_addresses().into_iter().enumerate() {
+        for caller in 0..CALLERS_PER_INSTANCE {
             let name = format!("s{}-i{instance}c{caller}", options.seed);
-            let draw =
-                StdRng::seed_from_u64(options.seed ^ ((instance * CALLERS + caller) as u64) << 32);
+            let rng = StdRng::seed_from_u64(
+                options.seed ^ ((instance * CALLERS_PER_INSTANCE + caller) as u64) << 32,
+            );
             let caller = Caller::new(instance, address);
-            tasks.spawn(keep_calling(
+            tasks.spawn(run_caller(
                 name,
                 caller,
-                draw,
+                rng,
                 models,
                 stop.subscribe(),
                 Arc::clone(book),
             ));
         }
-        tasks.spawn(keep_probing(
+        tasks.spawn(run_probe(
             instance,
             address,
-            lives.subscribe(),
+            versions.subscribe(),
             stop.subscribe(),
             Arc::clone(book),
         ));
@@ -182,100 +185,100 @@
     tasks
 }
 
-/// Three for each engine, which has memory for two.
-fn models(options: &Options) -> usize {
+/// Returns the number of models: three for each engine, which has memory for two.
+fn model_count(options: &Options) -> usize {
     options.engines * 3
 }
 
-/// The newest accepted version, and each instance's life.
-type Lives = (u64, Vec<u64>);
+/// The newest accepted configuration version and the incarnation of each instance.
+type Versions = (u64, Vec<u64>);
 
-fn lives(deployment: &Deployment, instances: usize) -> Lives {
-    let lives = (0..instances).map(|place| deployment.incarnation(place));
-    (deployment.version(), lives.collect())
+fn read_versions(deployment: &Deployment, instances: usize) -> Versions {
+    let incarnations = (0..instances).map(|index| deployment.incarnation(index));
+    (deployment.accepted_version(), incarnations.collect())
 }
 
 fn lock(book: &Mutex<Book>) -> MutexGuard<'_, Book> {
     book.lock().expect("no panic under the lock")
 }
 
-async fn keep_calling(
+async fn run_caller(
     name: String,
     mut caller: Caller,
-    mut draw: StdRng,
+    mut rng: StdRng,
     models: usize,
     mut stop: watch::Receiver<bool>,
     book: Arc<Mutex<Book>>,
 ) {
     for number in 0.. {
-        let think = Duration::from_millis(draw.random_range(THINK_MS));
-        if time::timeout(think, stop.wait_for(|stop| *stop))
+        let pause = Duration::from_millis(rng.random_range(THINK_TIME_MS));
+        if time::timeout(pause, stop.wait_for(|stop| *stop))
             .await
             .is_ok()
         {
             return;
         }
-        let kind = *Kind::ALL.choose(&mut draw).expect("there are some");
-        // Half of the streams are for two models, the rest for any.
-        let model = if draw.random() {
-            draw.random_range(0..2)
+        let kind = *Kind::ALL.choose(&mut rng).expect("the list is not empty");
+        // Half of the streams are for the first two models, the rest for any model.
+        let model = if rng.random() {
+            rng.random_range(0..2)
         } else {
-            draw.random_range(0..models)
+            rng.random_range(0..models)
         };
         let call = Call {
             id: format_smolstr!("{name}-{number}"),
             kind,
             model: kind.is_stream().then(|| format_smolstr!("m{}", model + 1)),
-            size: draw.random_range(BODY),
-            deadline: Duration::from_millis(draw.random_range(DEADLINE_MS)),
+            size: rng.random_range(BODY_BYTES),
+            deadline: Duration::from_millis(rng.random_range(DEADLINE_MS)),
         };
-        let seen = caller.send(call).await;
-        lock(&book).saw(seen);
+        let request = caller.send(call).await;
+        lock(&book).record_request(request);
     }
 }
 
-async fn keep_probing(
+async fn run_probe(
     instance: usize,
     address: SocketAddr,
-    lives: watch::Receiver<Lives>,
+    versions: watch::Receiver<Versions>,
     mut stop: watch::Receiver<bool>,
     book: Arc<Mutex<Book>>,
 ) {
     for number in 0_u64.. {
-        if time::timeout(PROBE_PAUSE, stop.wait_for(|stop| *stop))
+        if time::timeout(PROBE_INTERVAL, stop.wait_for(|stop| *stop))
             .await
             .is_ok()
         {
             return;
         }
-        let (version, before) = lives.borrow().clone();
-        // The newest and older ones in turn.
+        let (accepted, incarnations) = versions.borrow().clone();
+        // Alternates between the newest version and older ones.
         let version = if number % 2 == 0 {
-            version
+            accepted
         } else {
-            1 + number % version
+            1 + number % accepted
         };
         let asked = time::Instant::now();
-        let id = format!("{PROBE}{instance}-{number}");
-        // A client of its own: a kept connection could lead to an earlier life.
+        let id = format!("{PROBE_ID_PREFIX}{instance}-{number}");
+        // Each probe uses a new client: a persistent connection could lead to an earlier incarnation.
         let client = Client::new()
             .with_header("x-attempt-id", &id)
             .with_header("host", "h");
         let url = format!("http://{address}/v{version}/x");
-        let Ok(Ok(answer)) = time::timeout(PROBE_PATIENCE, client.get(&url)).await else {
+        let Ok(Ok(answer)) = time::timeout(PROBE_TIMEOUT, client.get(&url)).await else {
             continue;
         };
-        // Other failures tell nothing: an instance without a configuration answers 503.
+        // Other statuses give no information: an instance without a configuration answers 503.
         let known = match answer.status.as_u16() {
             200 => true,
             404 => false,
             _ => continue,
         };
-        if lives.borrow().1[instance] != before[instance] {
+        if versions.borrow().1[instance] != incarnations[instance] {
             continue;
         }
-        lock(&book).probed(Probe {
-            instance: (instance, before[instance]),
+        lock(&book).record_probe(Probe {
+            instance: (instance, incarnations[instance]),
             version,
             known,
             asked,
@@ -284,14 +287,15 @@
     }
 }
 
-/// Waits until each instance serves each kind and each model.
+/// Waits until each instance serves plain requests and each model is served at one instance. Records a violation if
+/// that takes longer than [`RECOVERY_TIMEOUT`].
 async fn wait_until_served(deployment: &Deployment, models: usize, book: &Mutex<Book>, when: &str) {
-    let limit = time::Instant::now() + RECOVERY;
+    let deadline = time::Instant::now() + RECOVERY_TIMEOUT;
     let mut number = 0;
-    for (instance, address) in deployment.callers().into_iter().enumerate() {
+    for (instance, address) in deployment.caller_addresses().into_iter().enumerate() {
         let mut caller = Caller::new(instance, address);
-        // Each model is asked for at one instance.
-        let instances = deployment.callers().len();
+        // Each model is requested at one instance.
+        let instances = deployment.caller_addresses().len();
         let models = (1..=models).filter(|model| model % instances == instance);
         let streams = models.map(|model| (Kind::Stream, Some(format_smolstr!("m{model}"))));
         let plain = [(Kind::Booking, None), (Kind::LookUp, None)];
@@ -305,20 +309,19 @@
                     size: 10,
                     deadline: Duration::from_secs(3),
                 };
-                let seen = caller.send(call).await;
-                let served =
-                    matches!(&seen.outcome, Outcome::Answer(answer) if answer.status.is_success());
-                lock(book).saw(seen);
+                let request = caller.send(call).await;
+                let served = matches!(&request.outcome, Outcome::Answer(answer) if answer.status.is_success());
+                lock(book).record_request(request);
                 if served {
                     break;
                 }
-                if time::Instant::now() > limit {
-                    let what =
+                if time::Instant::now() > deadline {
+                    let violation =
                         format!("instance {instance} doesn't serve {kind:?} {model:?} at {when}");
-                    lock(book).fault(what);
+                    lock(book).record_violation(violation);
                     return;
                 }
-                time::sleep(RECOVERY_PAUSE).await;
+                time::sleep(RECOVERY_POLL_INTERVAL).await;
             }
         }
     }
--- a/crates/fireflywheel_standin/tests/load.rs
+++ b/crates/fireflywheel_standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load command, and the harness for processes.
+//! Tests the load command and the handling of child processes.
 
 mod support;
 
@@ -21,10 +21,10 @@
     }
 }
 
-macro_rules! judged {
-    ($($name:ident: $stream:literal, $change:expr, $served:literal, clean $clean:literal, $found:expr;)*) => {$(
-        /// An engine spoils one answer among many. The report names what a caller saw, and counts
-        /// no spoiled answer as served.
+macro_rules! outcomes {
+    ($($name:ident: $stream:literal, $change:expr, $served:literal, clean $clean:literal, $count_faulty:expr;)*) => {$(
+        /// The engine injects a fault into its answers. The report counts the outcome that a caller observes, and
+        /// counts no faulty answer as served.
         #[tokio::test]
         async fn $name() {
             let engine = loaded(quick()).await;
@@ -33,26 +33,26 @@
             let report = load::run(&options).await.unwrap();
             assert_eq!((report.total.sent, report.total.served), (50, $served), "{report}");
             assert_eq!(report.is_clean(), $clean);
-            let found: fn(&load::Class) -> u64 = $found;
-            assert_eq!(found(&report.total), 50 - $served, "{report}");
+            let count_faulty: fn(&load::Class) -> u64 = $count_faulty;
+            assert_eq!(count_faulty(&report.total), 50 - $served, "{report}");
         }
     )*};
 }
 
-judged! {
-    clean: false, fault::Change::new(), 50, clean true, |_| 0;
-    clean_stream: true, fault::Change::new(), 50, clean true, |_| 0;
-    cut_stream: true, fault::Change::new().with_cut_answers(1), 49, clean false,
+outcomes! {
+    answers_without_faults: false, fault::Change::new(), 50, clean true, |_| 0;
+    streams_without_faults: true, fault::Change::new(), 50, clean true, |_| 0;
+    stream_without_end_marker: true, fault::Change::new().with_cut_answers(1), 49, clean false,
         |class| class.wrong["no end marker"];
-    short_body: false, fault::Change::new().with_cut_answers(1), 49, clean false,
+    truncated_body: false, fault::Change::new().with_cut_answers(1), 49, clean false,
         |class| class.broken["connection"];
-    crossed: false, fault::Change::new().with_cross_answers(1), 49, clean false,
+    answer_to_another_request: false, fault::Change::new().with_cross_answers(1), 49, clean false,
         |class| class.wrong["request id"];
-    repeated_chunk: true, fault::Change::new().with_duplicate_answers(1), 49, clean false,
+    duplicate_chunk: true, fault::Change::new().with_duplicate_answers(1), 49, clean false,
         |class| class.wrong.values().sum();
-    lost: false, fault::Change::new().with_lose_answers(1), 49, clean false,
+    lost_answer: false, fault::Change::new().with_lose_answers(1), 49, clean false,
         |class| class.unanswered.values().sum();
-    refused: false, fault::Change::new().with_leaving(true), 0, clean true,
+    refusal_while_draining: false, fault::Change::new().with_leaving(true), 0, clean true,
         |class| class.refused["none draining"];
 }
 
@@ -63,10 +63,9 @@
         .expect("the command runs")
 }
 
-/// A slip of the hand names a machine on the network as a target. The command must refuse before
-/// it sends anything.
+/// A target is a machine on the network by mistake. The command must refuse it before it sends anything.
 #[test]
-fn a_target_beyond_loopback_is_refused() {
+fn non_loopback_target_is_refused() {
     for target in ["192.0.2.1:80", "[2001:db8::1]:80", "0.0.0.0:80"] {
         let output = command(&["load", "--target", target, "--model", "quote"]);
         assert!(!output.status.success());
@@ -76,7 +75,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_command_reports_json_and_draws_a_plot() {
+async fn command_prints_json_and_writes_a_plot() {
     let engine = loaded(quick()).await;
     let svg = env::temp_dir().join(format!("standin-load-{}.svg", system::id()));
     let target = engine.base.strip_prefix("http://").unwrap().to_owned();
@@ -97,10 +96,10 @@
     assert!(plot.contains("<polyline") && plot.contains("quotes"));
 }
 
-/// A process is paused and later goes on, as a machine under pressure does. A call made meanwhile
-/// is answered after the pause.
+/// A process is paused and resumed later, as on an overloaded machine. A request sent during the pause is answered
+/// after it.
 #[tokio::test]
-async fn a_child_is_paused_resumed_and_ended() {
+async fn child_is_paused_resumed_and_terminated() {
     let mut child = process::Child::start("fireflywheel_standin", ["log"])
         .await
         .unwrap();
--- a/crates/fireflywheel_standin/tests/trial.rs
+++ b/crates/fireflywheel_standin/tests/trial.rs
@@ -1,4 +1,4 @@
-//! What a trial judges by: its faults, its links, and each promise that it checks.
+//! Tests the parts of a trial: the drawn faults and load, the link faults, and each rule that a trial checks.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 fn answer(status: u16) -> Outcome {
     Outcome::Answer(Answer {
-        status: StatusCode::from_u16(status).expect("a status"),
+        status: StatusCode::from_u16(status).expect("the status is valid"),
         signed: true,
         id: Some("r1".into()),
         has_retry_after: false,
@@ -28,7 +28,7 @@
     })
 }
 
-fn seen(kind: Kind, outcome: Outcome) -> Seen {
+fn request(kind: Kind, outcome: Outcome) -> Seen {
     Seen {
         call: Call {
             id: "r1".into(),
@@ -45,50 +45,70 @@
     }
 }
 
-/// A request of this kind that ran so often and ended so breaks this many promises.
-fn judged(kind: Kind, runs: usize, outcome: Outcome, broken: usize) {
+/// Checks the number of violations for a request of this kind, with this number of runs and this outcome.
+fn assert_request(kind: Kind, runs: usize, outcome: Outcome, violations: usize) {
     let mut book = Book::new(Faults::Planned);
     for _ in 0..runs {
-        book.worker_wrote(&"w1".into(), "run r1");
+        book.record_worker_line(&"w1".into(), "run r1");
     }
-    book.saw(seen(kind, outcome));
-    assert_eq!(book.broken().len(), broken, "{:?}", book.broken());
+    book.record_request(request(kind, outcome));
+    assert_eq!(
+        book.violations().len(),
+        violations,
+        "{:?}",
+        book.violations()
+    );
 }
 
-fn flawed(change: fn(&mut Answer)) {
+/// Checks that a changed answer to a look-up violates one rule.
+fn assert_answer_violates(change: fn(&mut Answer)) {
     let Outcome::Answer(mut answer) = answer(200) else {
-        unreachable!("an answer was made");
+        unreachable!("the outcome is an answer");
     };
     change(&mut answer);
-    judged(Kind::LookUp, 1, Outcome::Answer(answer), 1);
+    assert_request(Kind::LookUp, 1, Outcome::Answer(answer), 1);
 }
 
-fn lines(lines: &[(&str, &str)], broken: usize) {
+/// Checks the number of violations in lines that workers write.
+fn assert_lines(lines: &[(&str, &str)], violations: usize) {
     let mut book = Book::new(Faults::Any);
     for (worker, line) in lines {
-        book.worker_wrote(&(*worker).into(), line);
+        book.record_worker_line(&(*worker).into(), line);
     }
-    assert_eq!(book.broken().len(), broken, "{:?}", book.broken());
+    assert_eq!(
+        book.violations().len(),
+        violations,
+        "{:?}",
+        book.violations()
+    );
 }
 
-fn reverted(life: u64, broken: usize) {
+/// Checks the number of violations when incarnation 1 of an instance knows a version and `incarnation` does not know
+/// it later.
+fn assert_version_lost(incarnation: u64, violations: usize) {
     let mut book = Book::new(Faults::Any);
     let now = time::Instant::now();
     let later = now + Duration::from_secs(1);
-    let probe = |life, known, at| Probe {
-        instance: (0, life),
+    let probe = |incarnation, known, at| Probe {
+        instance: (0, incarnation),
         version: 7,
         known,
         asked: at,
         answered: at,
     };
-    book.probed(probe(1, true, now));
-    book.probed(probe(life, false, later));
-    assert_eq!(book.broken().len(), broken, "{:?}", book.broken());
+    book.record_probe(probe(1, true, now));
+    book.record_probe(probe(incarnation, false, later));
+    assert_eq!(
+        book.violations().len(),
+        violations,
+        "{:?}",
+        book.violations()
+    );
 }
 
-/// Steps of any seed come in order, and what is ended or paused is started or resumed later.
-fn any_script() {
+/// The steps of any seed are in order of time, and each process that is killed or paused and each link and store that
+/// fails is started, resumed or healed later.
+fn check_any_script() {
     arbtest(|u| {
         let faults = if u.arbitrary()? {
             Faults::Any
@@ -98,22 +118,23 @@
         let steps = steps(u.arbitrary()?, faults, Duration::from_secs(10), SIZES);
         assert!(steps.is_sorted_by_key(|step| step.at));
         for step in &steps {
-            let back = match step.action {
+            let recovery = match step.action {
                 Action::Kill(place) => Action::Start(place),
                 Action::Pause(place) => Action::Resume(place),
                 Action::PauseWorker(place) => Action::ResumeWorker(place),
-                Action::StoreOut(true) => Action::StoreOut(false),
-                Action::Break(place, _) => Action::Heal(place),
+                Action::SetStoreOutage(true) => Action::SetStoreOutage(false),
+                Action::BreakLink(link, _) => Action::HealLink(link),
                 _ => continue,
             };
             let later = steps.iter().filter(|other| other.at > step.at);
-            assert!(later.into_iter().any(|other| other.action == back));
+            assert!(later.into_iter().any(|other| other.action == recovery));
         }
         Ok(())
     });
 }
 
-fn any_load() {
+/// The same options give the same load, in order of time, for existing instances and models.
+fn check_any_load() {
     arbtest(|u| {
         let (_, pattern) = *u.choose(&Pattern::NAMES)?;
         let options = Options {
@@ -139,87 +160,93 @@
 }
 
 fireflywheel_standin::cases! {
-    /// What a caller wants to see.
-    served => judged(Kind::Booking, 1, answer(200), 0);
+    /// A served request violates no rule.
+    served_request_is_allowed => assert_request(Kind::Booking, 1, answer(200), 0);
     /// A booking ran twice.
-    booked_twice => judged(Kind::Booking, 2, answer(200), 1);
-    /// A look-up may be repeated once.
-    looked_up_twice => judged(Kind::LookUp, 2, answer(200), 0);
-    /// Its route allows no third run.
-    looked_up_three_times => judged(Kind::LookUp, 3, answer(200), 1);
-    /// A booking was refused as not run, and has run.
-    false_refusal => judged(Kind::Booking, 1, answer(503), 1);
-    /// A failure that promises nothing.
-    honest_failure => judged(Kind::Booking, 1, answer(502), 0);
-    /// A success that no worker made.
-    made_up => judged(Kind::LookUp, 0, answer(200), 1);
+    second_run_of_a_booking => assert_request(Kind::Booking, 2, answer(200), 1);
+    /// A look-up may be retried once.
+    second_run_of_a_look_up_is_allowed => assert_request(Kind::LookUp, 2, answer(200), 0);
+    /// The route of a look-up allows two attempts.
+    third_run_of_a_look_up => assert_request(Kind::LookUp, 3, answer(200), 1);
+    /// A booking was refused as not run, but has run.
+    false_refusal => assert_request(Kind::Booking, 1, answer(503), 1);
+    /// The status does not say whether the request has run.
+    failure_with_unknown_outcome_is_allowed => assert_request(Kind::Booking, 1, answer(502), 0);
+    /// A success for a request that no worker has run.
+    success_without_a_run => assert_request(Kind::LookUp, 0, answer(200), 1);
     /// A success without a worker's signature.
-    unsigned => flawed(|answer| answer.signed = false);
+    unsigned_answer => assert_answer_violates(|answer| answer.signed = false);
     /// The answer to another request.
-    crossed => flawed(|answer| answer.id = Some("r2".into()));
-    /// A body that isn't whole.
-    not_whole => flawed(|answer| answer.flaw = Some("cut"));
-    /// A stream broke off in planned work.
-    cut => judged(Kind::Stream, 1, Outcome::Broken, 1);
-    /// A request that ran got no answer in planned work.
-    lost => judged(Kind::Booking, 1, Outcome::Unanswered, 1);
-    /// One that crossed the close of its connection and didn't run.
-    crossed_a_close => judged(Kind::Booking, 0, Outcome::Unanswered, 0);
-    /// A request ran that nobody sent.
-    not_sent => lines(&[("w1", "run r9")], 1);
-    /// Orders of one holder after another.
-    orders => lines(&[("w1", "order a 1"), ("w1", "order b 2"), ("w2", "order a 1")], 0);
-    /// An engine took an order of a holder that had been replaced.
-    stale_order => lines(&[("w1", "order b 2"), ("w1", "order a 1")], 1);
-    /// Two holders with one fencing token.
-    two_holders => lines(&[("w1", "order a 1"), ("w2", "order b 1")], 1);
-    /// More loads from the weight store than it allows.
-    too_many_loads => lines(&[("w1", "fetch"); 31], 1);
-    /// As many as it allows.
-    loads => lines(&[("w1", "fetch"); 30], 0);
-    /// An engine was ordered to load more than it holds.
-    overcommitted => lines(&[("w1", "overcommitted")], 1);
-    /// An instance knew a version and then not.
-    version_lost => reverted(1, 1);
-    /// A process that was started anew may not know it yet.
-    started_anew => reverted(2, 0);
-    /// Any seed.
-    script => any_script();
-    /// Any load.
-    load => any_load();
+    answer_to_another_request => assert_answer_violates(|answer| answer.id = Some("r2".into()));
+    /// A truncated body.
+    truncated_body => assert_answer_violates(|answer| answer.flaw = Some("cut"));
+    /// A stream was truncated in planned operations.
+    truncated_stream => assert_request(Kind::Stream, 1, Outcome::Broken, 1);
+    /// A request that ran got no answer in planned operations.
+    lost_answer => assert_request(Kind::Booking, 1, Outcome::Unanswered, 1);
+    /// A request was sent while its connection was being closed, and has not run.
+    request_on_a_closing_connection_is_allowed => assert_request(Kind::Booking, 0, Outcome::Unanswered, 0);
+    /// A request ran that no caller sent.
+    run_of_an_unknown_request => assert_lines(&[("w1", "run r9")], 1);
+    /// Successive holders send orders with increasing fencing tokens.
+    orders_of_successive_holders_are_allowed => assert_lines(&[("w1", "order a 1"), ("w1", "order b 2"), ("w2", "order a 1")], 0);
+    /// An engine accepted an order of a replaced holder.
+    stale_order => assert_lines(&[("w1", "order b 2"), ("w1", "order a 1")], 1);
+    /// Two holders used the same fencing token.
+    shared_fencing_token => assert_lines(&[("w1", "order a 1"), ("w2", "order b 1")], 1);
+    /// There were more loads from the weight store than its rate allows.
+    excessive_load_rate => assert_lines(&[("w1", "fetch"); 31], 1);
+    /// There were as many loads as the rate and its tolerance allow.
+    highest_load_rate_is_allowed => assert_lines(&[("w1", "fetch"); 30], 0);
+    /// An engine was ordered to load more than its memory holds.
+    overcommitted_engine => assert_lines(&[("w1", "overcommitted")], 1);
+    /// An instance knew a configuration version and later did not.
+    lost_configuration_version => assert_version_lost(1, 1);
+    /// A restarted process may not know the version yet.
+    unknown_version_after_a_restart_is_allowed => assert_version_lost(2, 0);
+    /// Each fault ends again.
+    script_ends_each_fault => check_any_script();
+    /// The load depends on its options only.
+    load_is_reproducible => check_any_load();
 }
 
-/// Who connects sends a byte each way through a link; gives whether the one up and the one down arrive.
-async fn through(trouble: fn(&Proxy)) -> (bool, bool) {
+/// Sends a byte in each direction of a link with a fault. Returns whether the upstream and the downstream byte arrive.
+async fn send_through(inject: fn(&Proxy)) -> (bool, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let proxy = Proxy::new().await.expect("a free port");
-    let target = listener.local_addr().expect("it is bound");
+    let target = listener.local_addr().expect("the listener is bound");
     proxy.change(|link| link.target = Some(target));
-    let mut near = TcpStream::connect(proxy.address())
+    let mut client = TcpStream::connect(proxy.address())
         .await
-        .expect("it listens");
-    let (mut far, _) = listener.accept().await.expect("it forwards");
-    trouble(&proxy);
-    near.write_all(b"u").await.expect("it is open");
-    far.write_all(b"d").await.expect("it is open");
-    let up = arrives(&mut far).await;
-    (up, arrives(&mut near).await)
+        .expect("the proxy listens");
+    let (mut server, _) = listener.accept().await.expect("the proxy connects");
+    inject(&proxy);
+    client
+        .write_all(b"u")
+        .await
+        .expect("the connection is open");
+    server
+        .write_all(b"d")
+        .await
+        .expect("the connection is open");
+    let upstream = receives_byte(&mut server).await;
+    (upstream, receives_byte(&mut client).await)
 }
 
-async fn arrives(stream: &mut TcpStream) -> bool {
-    // A held byte can only be told by its absence for a while; a byte that gets through ends the wait at once.
+async fn receives_byte(stream: &mut TcpStream) -> bool {
+    // A held byte shows only by its absence for some time. A byte that arrives ends the wait at once.
     let byte = time::timeout(Duration::from_millis(300), stream.read_u8()).await;
     matches!(byte, Ok(Ok(_)))
 }
 
-/// Links carry bytes, and hold them one way or both.
+/// A link forwards bytes, and holds them back in one or both directions under a fault.
 #[tokio::test]
-async fn links() {
-    assert_eq!(through(|_| {}).await, (true, true));
-    let held_up = |proxy: &Proxy| proxy.change(|link| link.up = Flow::Held);
-    assert_eq!(through(held_up).await, (false, true));
-    let held_down = |proxy: &Proxy| proxy.change(|link| link.down = Flow::Held);
-    assert_eq!(through(held_down).await, (true, false));
-    assert_eq!(through(Proxy::silence).await, (false, false));
-    assert_eq!(through(Proxy::reset).await, (false, false));
+async fn link_faults_stop_their_directions() {
+    assert_eq!(send_through(|_| {}).await, (true, true));
+    let held_up = |proxy: &Proxy| proxy.change(|link| link.upstream = Flow::Held);
+    assert_eq!(send_through(held_up).await, (false, true));
+    let held_down = |proxy: &Proxy| proxy.change(|link| link.downstream = Flow::Held);
+    assert_eq!(send_through(held_down).await, (true, false));
+    assert_eq!(send_through(Proxy::silence).await, (false, false));
+    assert_eq!(send_through(Proxy::reset).await, (false, false));
 }
